--- a/edge/src/budget.rs
+++ b/edge/src/budget.rs
@@ -41,6 +41,11 @@
         let counter = (sockets / 512).clamp(1, 4);
         let rest = sockets.saturating_sub(OWN + counter).max(2);
         let upstream = sockets.div_ceil(3).min(rest.div_ceil(2));
-        Budget { clients: rest - upstream, upstream, counter, bytes: (memory_mb << 20) / 2 }
+        Budget {
+            clients: rest - upstream,
+            upstream,
+            counter,
+            bytes: (memory_mb << 20) / 2,
+        }
     }
 }
--- a/edge/src/calls.rs
+++ b/edge/src/calls.rs
@@ -31,19 +31,30 @@
 
 /// The most units that an API call may take, asked for or settled; a bound also where the settings state none.
 pub fn most_units(settings: &Settings) -> f64 {
-    Some(settings.counter.most_units).filter(|top| *top > 0.0).unwrap_or(1e6)
+    Some(settings.counter.most_units)
+        .filter(|top| *top > 0.0)
+        .unwrap_or(1e6)
 }
 
 /// A number in 16 hex digits.
 fn hex(word: &[u8]) -> Option<u64> {
     let digits = word.len() == 16 && word.iter().all(u8::is_ascii_hexdigit);
-    std::str::from_utf8(word).ok().filter(|_| digits).and_then(|text| u64::from_str_radix(text, 16).ok())
+    std::str::from_utf8(word)
+        .ok()
+        .filter(|_| digits)
+        .and_then(|text| u64::from_str_radix(text, 16).ok())
 }
 
 /// A number in plain decimal digits, from above zero on (or from zero) to the most.
 fn within(value: &str, least: f64, most: f64) -> Result<f64, &'static str> {
-    let plain = value.len() <= 16 && value.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-    let number = value.parse().ok().filter(|number: &f64| plain && (least..=most).contains(number));
+    let plain = value.len() <= 16
+        && value
+            .bytes()
+            .all(|byte| byte.is_ascii_digit() || byte == b'.');
+    let number = value
+        .parse()
+        .ok()
+        .filter(|number: &f64| plain && (least..=most).contains(number));
     number.ok_or("a wrong number")
 }
 
@@ -51,7 +62,9 @@
     /// Whether a command is that of an API call, whatever else it says.
     pub fn is_named(bytes: &[u8], words: &Words) -> bool {
         let name = words.first().map_or(&[][..], |word| &bytes[word.clone()]);
-        [&b"SVC.QUERY"[..], b"SVC.SUBMIT"].iter().any(|known| name.eq_ignore_ascii_case(known))
+        [&b"SVC.QUERY"[..], b"SVC.SUBMIT"]
+            .iter()
+            .any(|known| name.eq_ignore_ascii_case(known))
     }
 
     /// Checks the words of an API call, the one place where that is done: which route, whose, for how long.
@@ -62,12 +75,18 @@
         settings: &Settings,
         calls: &Calls,
     ) -> Result<ApiCall, &'static str> {
-        let word = |place: usize| words.get(place).map_or(&[][..], |word| &bytes[word.clone()]);
+        let word = |place: usize| {
+            words
+                .get(place)
+                .map_or(&[][..], |word| &bytes[word.clone()])
+        };
         let query = word(0).eq_ignore_ascii_case(b"SVC.QUERY");
         if words.len() != if query { 4 } else { 5 } {
             return Err("wrong number of words");
         }
-        let customer = hex(word(1)).filter(|number| number >> 33 == 0).ok_or("no customer")?;
+        let customer = hex(word(1))
+            .filter(|number| number >> 33 == 0)
+            .ok_or("no customer")?;
         let number = hex(word(2)).ok_or("no id")?;
         if calls.has(number) {
             return Err("the id of an open call");
@@ -81,7 +100,9 @@
         let (mut units, mut first, mut spread) = (1.0, 0.0, 1.0);
         let mut seen = Vec::with_capacity(8);
         for pair in list.split(',') {
-            let (name, value) = pair.split_once('=').ok_or("not a list of names and values")?;
+            let (name, value) = pair
+                .split_once('=')
+                .ok_or("not a list of names and values")?;
             if seen.contains(&name) {
                 return Err("a name twice");
             }
@@ -116,9 +137,24 @@
             return Err("no set of gateways");
         }
         let customer: CustomerId = format!("{customer:016x}").as_str().into();
-        let (wait, first, spread) = (Duration::from_secs_f64(wait / 1000.0), first as u32, spread as u32);
+        let (wait, first, spread) = (
+            Duration::from_secs_f64(wait / 1000.0),
+            first as u32,
+            spread as u32,
+        );
         let bytes = bytes.into();
-        Ok(ApiCall { bytes, words, number, customer, route, plan, wait, units, first, spread })
+        Ok(ApiCall {
+            bytes,
+            words,
+            number,
+            customer,
+            route,
+            plan,
+            wait,
+            units,
+            first,
+            spread,
+        })
     }
 
     pub fn size(&self) -> usize {
@@ -139,11 +175,21 @@
                 continue;
             }
             let list = std::str::from_utf8(word).unwrap_or_default();
-            let start =
-                if list.starts_with("d=") { Some(0) } else { list.find(",d=").map(|comma| comma + 1) };
+            let start = if list.starts_with("d=") {
+                Some(0)
+            } else {
+                list.find(",d=").map(|comma| comma + 1)
+            };
             let start = start.expect("the time to wait was read from it");
-            let end = list[start..].find(',').map_or(list.len(), |comma| start + comma);
-            let terms = format!("{}d={}{}", &list[..start], wait.as_millis().max(1), &list[end..]);
+            let end = list[start..]
+                .find(',')
+                .map_or(list.len(), |comma| start + comma);
+            let terms = format!(
+                "{}d={}{}",
+                &list[..start],
+                wait.as_millis().max(1),
+                &list[end..]
+            );
             resp::put_bulk(out, terms.as_bytes());
         }
     }
@@ -211,7 +257,9 @@
 
     /// Not answered yet, whether or not its client has ended its sending.
     pub fn is_owed(&self, call: &CallId) -> bool {
-        self.open.get(&serial(call)).is_some_and(|open| !open.answered)
+        self.open
+            .get(&serial(call))
+            .is_some_and(|open| !open.answered)
     }
 
     /// Still owed its one final answer, and tries may be begun for it.
@@ -228,7 +276,10 @@
 
     /// All that are still owed theirs.
     pub fn unanswered(&self) -> impl Iterator<Item = CallId> + '_ {
-        self.open.iter().filter(|(_, open)| open.wanted()).map(|(serial, _)| id(*serial))
+        self.open
+            .iter()
+            .filter(|(_, open)| open.wanted())
+            .map(|(serial, _)| id(*serial))
     }
 
     pub fn remove(&mut self, call: &CallId) -> Option<Open> {
--- a/edge/src/client.rs
+++ b/edge/src/client.rs
@@ -86,7 +86,10 @@
 
     /// A new command's place in the order; says its number.
     fn slot(&mut self) -> u64 {
-        self.slots.push_back(Slot { call: None, answer: None });
+        self.slots.push_back(Slot {
+            call: None,
+            answer: None,
+        });
         self.first + self.slots.len() as u64 - 1
     }
 
@@ -110,11 +113,17 @@
         (ready, full): (bool, bool),
     ) {
         let number = self.slot();
-        let word = |place: usize| words.get(place).map_or(&[][..], |word| &bytes[word.clone()]);
+        let word = |place: usize| {
+            words
+                .get(place)
+                .map_or(&[][..], |word| &bytes[word.clone()])
+        };
         let said = match word(0).to_ascii_uppercase().as_slice() {
             _ if ApiCall::is_named(bytes, &words) => {
                 match ApiCall::new(bytes, words, &reactor.settings, calls) {
-                    Ok(api_call) => return self.call(reactor, (key, number), api_call, calls, full),
+                    Ok(api_call) => {
+                        return self.call(reactor, (key, number), api_call, calls, full)
+                    }
                     Err(why) => format!("-ERR {why}\r\n"),
                 }
             }
@@ -126,7 +135,9 @@
             b"CLIENT" | b"SELECT" => "+OK\r\n".into(),
             _ => "-ERR unknown command\r\n".into(),
         };
-        self.answer(reactor, number, |out| out.extend_from_slice(said.as_bytes()));
+        self.answer(reactor, number, |out| {
+            out.extend_from_slice(said.as_bytes())
+        });
     }
 
     fn call(
@@ -150,21 +161,43 @@
             spread: api_call.spread,
         };
         self.known = true;
-        let place = Place { key, connection: self.connection, number };
+        let place = Place {
+            key,
+            connection: self.connection,
+            number,
+        };
         self.slots.back_mut().expect("pushed for this command").call = Some(serial);
         reactor.held += api_call.size();
-        calls.open(serial, Open { api_call, until, tries: 0, place, answered: false, left: false });
-        reactor.notifications.push_back(match full || self.half_closed {
-            true => Notification::Refused(arrival.call),
-            false => Notification::Arrived(arrival),
-        });
+        calls.open(
+            serial,
+            Open {
+                api_call,
+                until,
+                tries: 0,
+                place,
+                answered: false,
+                left: false,
+            },
+        );
+        reactor
+            .notifications
+            .push_back(match full || self.half_closed {
+                true => Notification::Refused(arrival.call),
+                false => Notification::Arrived(arrival),
+            });
     }
 
     pub fn answer(&mut self, reactor: &mut Reactor, number: u64, write: impl FnOnce(&mut Vec<u8>)) {
         let place = number.wrapping_sub(self.first) as usize;
-        must!(reactor, place < self.slots.len(), "an answer goes to a command that waits for it");
+        must!(
+            reactor,
+            place < self.slots.len(),
+            "an answer goes to a command that waits for it"
+        );
         if place > 0 {
-            let Some(slot) = self.slots.get_mut(place) else { return };
+            let Some(slot) = self.slots.get_mut(place) else {
+                return;
+            };
             must!(reactor, slot.answer.is_none(), "one answer to a command");
             let mut answer = Vec::new();
             write(&mut answer);
@@ -177,7 +210,8 @@
         self.first += 1;
         while let Some(answer) = self.slots.front_mut().and_then(|slot| slot.answer.take()) {
             reactor.freed(answer.len());
-            self.stream.put(reactor, |out| out.extend_from_slice(&answer));
+            self.stream
+                .put(reactor, |out| out.extend_from_slice(&answer));
             self.slots.pop_front();
             self.first += 1;
         }
--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -67,11 +67,22 @@
 impl Clients {
     pub fn listen(reactor: &mut Reactor, at: SocketAddr) -> io::Result<Clients> {
         let mut listener = listener(at)?;
-        reactor.registry.register(&mut listener, Side::Listener.token(0), Interest::READABLE)?;
+        reactor
+            .registry
+            .register(&mut listener, Side::Listener.token(0), Interest::READABLE)?;
         let connections = Slab::new();
         let (waiting, room, refused, ready, resume) = (false, false, false, false, vec![]);
         let lingering = Lingering::default();
-        Ok(Clients { listener, connections, lingering, waiting, room, refused, resume, ready })
+        Ok(Clients {
+            listener,
+            connections,
+            lingering,
+            waiting,
+            room,
+            refused,
+            resume,
+            ready,
+        })
     }
 
     /// Connections, with those that the gateway has ended and the client has not yet.
@@ -84,9 +95,14 @@
         self.waiting = false;
         loop {
             // What goes for a new connection is ended only when there is one.
-            let full =
-                |clients: &Clients, reactor: &Reactor| clients.connections.len() >= reactor.budget.clients;
-            let oldest = if full(self, reactor) { self.idle_longest(reactor, calls) } else { None };
+            let full = |clients: &Clients, reactor: &Reactor| {
+                clients.connections.len() >= reactor.budget.clients
+            };
+            let oldest = if full(self, reactor) {
+                self.idle_longest(reactor, calls)
+            } else {
+                None
+            };
             if oldest.is_none() && full(self, reactor) {
                 self.waiting = true;
                 return;
@@ -94,7 +110,13 @@
             let socket = match self.listener.accept() {
                 Ok((socket, _)) => socket,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                Err(error) if error.raw_os_error().is_some_and(|it| PASSED_ON.contains(&it)) => continue,
+                Err(error)
+                    if error
+                        .raw_os_error()
+                        .is_some_and(|it| PASSED_ON.contains(&it)) =>
+                {
+                    continue
+                }
                 Err(error) => {
                     if !std::mem::replace(&mut self.refused, true) {
                         slog::warn!(reactor.log, "cannot accept, trying again soon"; "error" => %error);
@@ -119,10 +141,17 @@
     /// been idle longest.
     fn idle_longest(&mut self, reactor: &mut Reactor, calls: &mut Calls) -> Option<usize> {
         loop {
-            let idle = self.connections.iter().filter(|(_, client)| client.makes_room(reactor));
+            let idle = self
+                .connections
+                .iter()
+                .filter(|(_, client)| client.makes_room(reactor));
             let (key, _) = idle.min_by_key(|(_, client)| (client.known, client.used))?;
             self.meet_unread(reactor, key, calls);
-            if self.connections.get(key).is_some_and(|client| client.makes_room(reactor)) {
+            if self
+                .connections
+                .get(key)
+                .is_some_and(|client| client.makes_room(reactor))
+            {
                 return Some(key);
             }
         }
@@ -131,7 +160,9 @@
     /// Takes what has come and not been told yet; says whether that was nothing.
     fn stays_idle(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) -> bool {
         self.meet_unread(reactor, key, calls);
-        self.connections.get(key).is_some_and(|client| client.idle(reactor))
+        self.connections
+            .get(key)
+            .is_some_and(|client| client.idle(reactor))
     }
 
     /// Takes what has come on a connection and not been told yet.
@@ -144,12 +175,16 @@
         if reactor.broken {
             return self.close(reactor, key, calls);
         }
-        let Some(client) = self.connections.get(key) else { return };
+        let Some(client) = self.connections.get(key) else {
+            return;
+        };
         // Its end is told once. One that is not read any further must not be missed.
         if reactor.ending && (client.held_up || client.closing) {
             self.sending_ended(reactor, key, calls);
         }
-        let Some(client) = self.connections.get_mut(key) else { return };
+        let Some(client) = self.connections.get_mut(key) else {
+            return;
+        };
         client.stream.drained = false;
         if client.stream.left() > 0 {
             self.flush(reactor, key, calls);
@@ -182,7 +217,9 @@
 
     /// Takes the whole commands in the input. False if the connection is to be read no further now.
     fn take(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) -> bool {
-        let Some(client) = self.connections.get_mut(key) else { return false };
+        let Some(client) = self.connections.get_mut(key) else {
+            return false;
+        };
         client.held_up = false;
         let (input, mut took) = (std::mem::take(&mut client.stream.input), 0);
         while !client.closing && took < input.len() {
@@ -203,7 +240,14 @@
                         break;
                     }
                     let full = crowded || (most > 0 && calls.len() >= most);
-                    client.command(reactor, key, &bytes[..end], words, calls, (self.ready, full));
+                    client.command(
+                        reactor,
+                        key,
+                        &bytes[..end],
+                        words,
+                        calls,
+                        (self.ready, full),
+                    );
                     (took, client.used) = (took + end, reactor.now);
                 }
                 Err(why) => client.malformed(reactor, why),
@@ -217,26 +261,40 @@
     /// The client has ended its sending: what has come whole is refused, what is out is given up, and the connection ends
     /// behind the last answer.
     fn sending_ended(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
-        let Some(client) = self.connections.get_mut(key) else { return };
+        let Some(client) = self.connections.get_mut(key) else {
+            return;
+        };
         if client.half_closed {
             return;
         }
         client.half_closed = true;
         let open: Vec<Serial> = client.slots.iter().filter_map(|slot| slot.call).collect();
         self.take(reactor, key, calls);
-        let Some(client) = self.connections.get_mut(key) else { return };
+        let Some(client) = self.connections.get_mut(key) else {
+            return;
+        };
         (client.closing, client.held_up) = (true, false);
         reactor.tally.gone += open.len() as u64;
         let left = open.into_iter().filter_map(|call| calls.left(call));
-        reactor.notifications.extend(left.map(Notification::Expired));
+        reactor
+            .notifications
+            .extend(left.map(Notification::Expired));
         if self.connections[key].quiet() {
             self.end(reactor, key, calls);
         }
     }
 
     /// Writes an answer, now if all before it are answered.
-    pub fn answer(&mut self, reactor: &mut Reactor, place: Place, write: impl FnOnce(&mut Vec<u8>)) {
-        let client = self.connections.get_mut(place.key).filter(|it| it.connection == place.connection);
+    pub fn answer(
+        &mut self,
+        reactor: &mut Reactor,
+        place: Place,
+        write: impl FnOnce(&mut Vec<u8>),
+    ) {
+        let client = self
+            .connections
+            .get_mut(place.key)
+            .filter(|it| it.connection == place.connection);
         let Some(client) = client else { return };
         client.answer(reactor, place.number, write);
         if client.held_up {
@@ -245,7 +303,9 @@
     }
 
     pub fn flush(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
-        let Some(client) = self.connections.get_mut(key) else { return };
+        let Some(client) = self.connections.get_mut(key) else {
+            return;
+        };
         match client.stream.flush(reactor) {
             Ok(moved) => {
                 client.used = if moved { reactor.now } else { client.used };
@@ -306,7 +366,11 @@
         }
         let keys = std::mem::take(&mut self.resume);
         for key in &keys {
-            if self.connections.get(*key).is_some_and(|client| client.held_up) {
+            if self
+                .connections
+                .get(*key)
+                .is_some_and(|client| client.held_up)
+            {
                 self.pump(reactor, *key, calls);
             }
         }
@@ -322,7 +386,10 @@
             // One that the poll could not take when it came.
             let _ = client.stream.register(reactor);
         }
-        let (crowded, now) = (self.connections.len() * 2 > reactor.budget.clients, reactor.now);
+        let (crowded, now) = (
+            self.connections.len() * 2 > reactor.budget.clients,
+            reactor.now,
+        );
         let over = |client: &Client| {
             let done = client.known && client.stream.input.is_empty();
             client.quiet() && client.used + IDLE <= now && (crowded || !done)
@@ -343,7 +410,8 @@
     pub fn sweep(&mut self, reactor: &mut Reactor, calls: &mut Calls) {
         // A client waits no longer for an answer.
         let longest = reactor.settings.longest_timeout().max(IDLE);
-        let stuck = |client: &Client| client.stream.left() > 0 && client.used + longest < reactor.now;
+        let stuck =
+            |client: &Client| client.stream.left() > 0 && client.used + longest < reactor.now;
         for key in self.keys(stuck) {
             self.close(reactor, key, calls);
         }
@@ -352,7 +420,9 @@
             let half = self.connections.iter().filter(|(_, client)| {
                 client.quiet() && !client.stream.input.is_empty() && client.used < stalled
             });
-            let Some((key, _)) = half.max_by_key(|(_, client)| client.stream.input.len()) else { break };
+            let Some((key, _)) = half.max_by_key(|(_, client)| client.stream.input.len()) else {
+                break;
+            };
             slog::warn!(reactor.log, "memory is short: a half command is dropped"; "held" => reactor.held);
             self.end(reactor, key, calls);
         }
@@ -386,6 +456,10 @@
     }
 
     fn keys(&self, which: impl Fn(&Client) -> bool) -> Vec<usize> {
-        self.connections.iter().filter(|(_, client)| which(client)).map(|(key, _)| key).collect()
+        self.connections
+            .iter()
+            .filter(|(_, client)| which(client))
+            .map(|(key, _)| key)
+            .collect()
     }
 }
--- a/edge/src/clock.rs
+++ b/edge/src/clock.rs
@@ -27,13 +27,20 @@
 type Offset = (Duration, Duration);
 
 fn wall() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 impl Clock {
     pub fn start() -> Clock {
         let zero = Duration::ZERO;
-        Clock { origin: wall(), start: Instant::now(), behind: zero, ahead_by: (zero, zero) }
+        Clock {
+            origin: wall(),
+            start: Instant::now(),
+            behind: zero,
+            ahead_by: (zero, zero),
+        }
     }
 
     /// The monotonic count.
--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -47,22 +47,32 @@
 fn answer(text: &str) -> Option<Counted> {
     let mut words = text.split_ascii_whitespace();
     match (words.next(), words.next()) {
-        (Some("ok"), Some(total)) => {
-            total.parse().ok().filter(|total: &f64| total.is_finite()).map(Counted::Total)
-        }
+        (Some("ok"), Some(total)) => total
+            .parse()
+            .ok()
+            .filter(|total: &f64| total.is_finite())
+            .map(Counted::Total),
         (Some("busy" | "error" | "pong"), None) => Some(Counted::NotAdded),
         _ => None,
     }
 }
 
 fn counted(reactor: &mut Reactor, name: CounterName, counted: Counted) {
-    reactor.notifications.push_back(Notification::Counted(name, counted));
+    reactor
+        .notifications
+        .push_back(Notification::Counted(name, counted));
 }
 
 impl Counter {
     pub fn new(reactor: &mut Reactor, at: Option<SocketAddr>) -> Counter {
-        let lines = (0..reactor.budget.counter * 2).map(|_| Line::default()).collect();
-        let mut counter = Counter { at: None, lines, base: 0 };
+        let lines = (0..reactor.budget.counter * 2)
+            .map(|_| Line::default())
+            .collect();
+        let mut counter = Counter {
+            at: None,
+            lines,
+            base: 0,
+        };
         counter.move_to(reactor, at);
         counter
     }
@@ -110,7 +120,11 @@
     fn connect(&mut self, reactor: &mut Reactor, place: usize) {
         let Some(at) = self.at else { return };
         let stream = BufferedStream::connect(reactor, at, Side::Counter, place).ok();
-        self.lines[place] = Line { stream, heard: reactor.now, ..Line::default() };
+        self.lines[place] = Line {
+            stream,
+            heard: reactor.now,
+            ..Line::default()
+        };
     }
 
     pub fn count(&mut self, reactor: &mut Reactor, name: CounterName, add: f64, keep: Duration) {
@@ -120,8 +134,10 @@
         // would take, may belong to a machine that is gone without a word.
         let patience = limit + reactor.connect_timeout();
         let line = &self.lines[place];
-        let silent =
-            line.waiting.front().is_some_and(|call| call.at.max(line.heard) + patience < reactor.now);
+        let silent = line
+            .waiting
+            .front()
+            .is_some_and(|call| call.at.max(line.heard) + patience < reactor.now);
         if silent {
             self.end(reactor, place);
         }
@@ -129,19 +145,37 @@
             self.connect(reactor, place);
         }
         let line = &mut self.lines[place];
-        let Some(stream) = &mut line.stream else { return counted(reactor, name, Counted::NotAdded) };
+        let Some(stream) = &mut line.stream else {
+            return counted(reactor, name, Counted::NotAdded);
+        };
         let keep = keep.as_millis().clamp(1, 60_000);
-        line.put += stream.put(reactor, |out| drop(write!(out, "incr {} {add} {keep}\r\n", name.0)));
+        line.put += stream.put(reactor, |out| {
+            drop(write!(out, "incr {} {add} {keep}\r\n", name.0))
+        });
         let number = reactor.serial();
-        let due = reactor.at(reactor.now + limit, Due::Count { line: place, number });
-        line.waiting.push_back(Waiting { number, name: Some(name), at: reactor.now, due, end: line.put });
+        let due = reactor.at(
+            reactor.now + limit,
+            Due::Count {
+                line: place,
+                number,
+            },
+        );
+        line.waiting.push_back(Waiting {
+            number,
+            name: Some(name),
+            at: reactor.now,
+            due,
+            end: line.put,
+        });
     }
 
     /// A call's time is up: told at once, as not added where it was not even written.
     pub fn due(&mut self, reactor: &mut Reactor, place: usize, number: Serial) {
         let line = &mut self.lines[place];
         let written = line.written();
-        let Some(call) = line.waiting.iter_mut().find(|call| call.number == number) else { return };
+        let Some(call) = line.waiting.iter_mut().find(|call| call.number == number) else {
+            return;
+        };
         if call.end > written {
             return self.end(reactor, place);
         }
@@ -152,14 +186,22 @@
     }
 
     pub fn ready(&mut self, reactor: &mut Reactor, place: usize, event: &Event) {
-        let Some(stream) = self.lines.get_mut(place).and_then(|line| line.stream.as_mut()) else { return };
+        let Some(stream) = self
+            .lines
+            .get_mut(place)
+            .and_then(|line| line.stream.as_mut())
+        else {
+            return;
+        };
         if event.is_writable() && (!stream.up || stream.left() > 0) {
             if stream.opened().is_err() {
                 return self.end(reactor, place);
             }
             self.flush(reactor, place);
         }
-        let Some(stream) = &mut self.lines[place].stream else { return };
+        let Some(stream) = &mut self.lines[place].stream else {
+            return;
+        };
         if event.is_readable() || event.is_read_closed() || event.is_error() {
             stream.drained = false;
             let open = stream.read(reactor, reactor.scratch.len());
@@ -183,20 +225,30 @@
             return true;
         }
         let line = &mut self.lines[place];
-        let Some(stream) = &mut line.stream else { return true };
+        let Some(stream) = &mut line.stream else {
+            return true;
+        };
         let mut took = 0;
         loop {
             let rest = &stream.input[took..];
             let end = rest.iter().position(|byte| *byte == b'\n');
             // A line without end can't be read either, nor anything behind it.
-            let Some(end) = end.or((rest.len() > LINE).then(|| rest.len() - 1)) else { break };
+            let Some(end) = end.or((rest.len() > LINE).then(|| rest.len() - 1)) else {
+                break;
+            };
             let text = std::str::from_utf8(&rest[..end]).unwrap_or("").trim_end();
             let said = answer(text);
             took += end + 1;
-            let Some(call) = line.waiting.pop_front() else { return false };
+            let Some(call) = line.waiting.pop_front() else {
+                return false;
+            };
             reactor.unset(call.due);
             if let Some(name) = call.name {
-                must!(reactor, text != "error", "the counter knows the calls that it gets");
+                must!(
+                    reactor,
+                    text != "error",
+                    "the counter knows the calls that it gets"
+                );
                 counted(reactor, name, said.unwrap_or(Counted::Added));
             }
             line.heard = reactor.now;
@@ -211,7 +263,9 @@
     }
 
     pub fn flush(&mut self, reactor: &mut Reactor, place: usize) {
-        let Some(stream) = &mut self.lines[place].stream else { return };
+        let Some(stream) = &mut self.lines[place].stream else {
+            return;
+        };
         if stream.flush(reactor).is_err() {
             self.end(reactor, place);
         }
@@ -223,7 +277,11 @@
         let written = line.written();
         for call in line.waiting.drain(..) {
             reactor.unset(call.due);
-            let how = if call.end > written { Counted::NotAdded } else { Counted::Unsure };
+            let how = if call.end > written {
+                Counted::NotAdded
+            } else {
+                Counted::Unsure
+            };
             if let Some(name) = call.name {
                 counted(reactor, name, how);
             }
@@ -237,10 +295,18 @@
     /// Once a second: a connection on which nothing waits is kept open by a ping, which costs nothing.
     pub fn sweep(&mut self, reactor: &mut Reactor) {
         for line in self.lines.iter_mut().filter(|line| line.waiting.is_empty()) {
-            let Some(stream) = line.stream.as_mut().filter(|stream| stream.up) else { continue };
+            let Some(stream) = line.stream.as_mut().filter(|stream| stream.up) else {
+                continue;
+            };
             line.put += stream.put(reactor, |out| out.extend_from_slice(b"ping\r\n"));
             let (number, due) = (reactor.serial(), (reactor.now, 0));
-            line.waiting.push_back(Waiting { number, name: None, at: reactor.now, due, end: line.put });
+            line.waiting.push_back(Waiting {
+                number,
+                name: None,
+                at: reactor.now,
+                due,
+                end: line.put,
+            });
         }
     }
 
--- a/edge/src/discovery.rs
+++ b/edge/src/discovery.rs
@@ -92,8 +92,13 @@
     }
 
     pub fn change(self) -> Change {
-        let mut change =
-            Change { rev: self.rev, whole: self.all, lines: vec![], kept: vec![], wrong: vec![] };
+        let mut change = Change {
+            rev: self.rev,
+            whole: self.all,
+            lines: vec![],
+            kept: vec![],
+            wrong: vec![],
+        };
         for (place, entry) in self.targets.into_iter().enumerate() {
             let target = match entry {
                 Entry::Read(target) => target,
@@ -105,9 +110,12 @@
                 }
             };
             let at = target.endpoint.parse().ok();
-            if at.is_none() && !(target.endpoint.is_empty() && matches!(target.state, State::Left)) {
+            if at.is_none() && !(target.endpoint.is_empty() && matches!(target.state, State::Left))
+            {
                 let (uid, endpoint) = (&target.uid, &target.endpoint);
-                change.wrong.push(format!("entry {place} ({uid}): {endpoint:?} is no address"));
+                change
+                    .wrong
+                    .push(format!("entry {place} ({uid}): {endpoint:?} is no address"));
             }
             let listed = Listed {
                 server: target.uid.as_str().into(),
@@ -116,7 +124,8 @@
                     State::Leaving => Phase::Draining,
                     State::Left => Phase::Gone,
                 },
-                started: (target.boot_ms > 0).then(|| UnixTime(Duration::from_millis(target.boot_ms))),
+                started: (target.boot_ms > 0)
+                    .then(|| UnixTime(Duration::from_millis(target.boot_ms))),
                 cell: target.pod_group,
                 zone: target.az,
                 kind: target.model,
@@ -214,7 +223,14 @@
         self.wanted = on;
         if self.stream.is_none() {
             let known = self.rev.is_some();
-            self.begin(reactor, if known { self.recall.first(self.index) } else { Duration::ZERO });
+            self.begin(
+                reactor,
+                if known {
+                    self.recall.first(self.index)
+                } else {
+                    Duration::ZERO
+                },
+            );
         }
     }
 
@@ -258,8 +274,14 @@
         let before = self.recall;
         self.drop_connection(reactor);
         let draw = self.rng.generate::<f64>();
-        self.next = reactor.now + self.recall.failed(how, reactor.now.saturating_sub(self.asked), draw);
-        let (heard, asked) = (reactor.now.saturating_sub(self.heard), reactor.now.saturating_sub(self.asked));
+        self.next = reactor.now
+            + self
+                .recall
+                .failed(how, reactor.now.saturating_sub(self.asked), draw);
+        let (heard, asked) = (
+            reactor.now.saturating_sub(self.heard),
+            reactor.now.saturating_sub(self.asked),
+        );
         match how {
             Failure::Unheard if !before.silent() => {
                 slog::warn!(reactor.log, "discovery is silent, connecting anew"; "why" => why, "rev" => self.rev,
@@ -275,7 +297,9 @@
 
     fn ask(&mut self, reactor: &mut Reactor) {
         let wait = self.wait();
-        let Some(stream) = &mut self.stream else { return };
+        let Some(stream) = &mut self.stream else {
+            return;
+        };
         let query = match self.rev {
             Some(rev) => format!("?after={rev}&wait_ms={}", wait.as_millis()),
             None => String::new(),
@@ -307,7 +331,12 @@
     }
 
     /// Says what has come, if a whole answer has.
-    pub fn ready(&mut self, reactor: &mut Reactor, key: usize, event: &Event) -> Option<ListUpdate> {
+    pub fn ready(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        event: &Event,
+    ) -> Option<ListUpdate> {
         let stream = self.stream.as_mut().filter(|_| key == self.key)?;
         if event.is_writable() && stream.left() > 0 {
             self.flush(reactor, key);
@@ -353,8 +382,15 @@
         };
         if !open {
             if self.asking {
-                let begun = self.stream.as_ref().is_some_and(|stream| !stream.input.is_empty());
-                let why = if begun { "an answer cut short" } else { "the connection ended" };
+                let begun = self
+                    .stream
+                    .as_ref()
+                    .is_some_and(|stream| !stream.input.is_empty());
+                let why = if begun {
+                    "an answer cut short"
+                } else {
+                    "the connection ended"
+                };
                 self.failed(reactor, Failure::Unheard, why);
             } else {
                 self.drop_connection(reactor);
@@ -369,7 +405,9 @@
     }
 
     pub fn flush(&mut self, reactor: &mut Reactor, key: usize) {
-        let Some(stream) = self.stream.as_mut().filter(|_| key == self.key) else { return };
+        let Some(stream) = self.stream.as_mut().filter(|_| key == self.key) else {
+            return;
+        };
         if stream.flush(reactor).is_err() {
             self.failed(reactor, Failure::Unheard, "the connection broke");
         }
@@ -388,7 +426,11 @@
                 return;
             }
             let up = self.stream.as_ref().is_some_and(|stream| stream.up);
-            self.failed(reactor, Failure::Unheard, if up { "no answer" } else { "it never came up" });
+            self.failed(
+                reactor,
+                Failure::Unheard,
+                if up { "no answer" } else { "it never came up" },
+            );
         }
         if reactor.now >= self.next {
             self.connect(reactor);
@@ -417,7 +459,10 @@
         return Ok(answer(&bytes[start..], ended, most)?.map(|(news, took)| (news, start + took)));
     }
     let header = |name: &str| {
-        let found = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
+        let found = head
+            .headers
+            .iter()
+            .find(|header| header.name.eq_ignore_ascii_case(name));
         found.and_then(|header| std::str::from_utf8(header.value).ok())
     };
     // What is no list is none before its body has come, nor does it need one.
@@ -430,7 +475,9 @@
         Some(Ok(length)) if bytes.len() - start < length => return Ok(None),
         Some(Ok(length)) => (Cow::Borrowed(&bytes[start..start + length]), start + length),
         Some(Err(_)) => return Err("a wrong length".into()),
-        None if header("Transfer-Encoding").is_some_and(|how| how.eq_ignore_ascii_case("chunked")) => {
+        None if header("Transfer-Encoding")
+            .is_some_and(|how| how.eq_ignore_ascii_case("chunked")) =>
+        {
             match chunks(bytes, start, most)? {
                 Some((body, end)) => (Cow::Owned(body), end),
                 None => return Ok(None),
@@ -439,19 +486,26 @@
         None if ended => (Cow::Borrowed(&bytes[start..]), bytes.len()),
         None => return Ok(None),
     };
-    serde_json::from_slice(&body).map(|news| Some((news, end))).map_err(|error| error.to_string())
+    serde_json::from_slice(&body)
+        .map(|news| Some((news, end)))
+        .map_err(|error| error.to_string())
 }
 
 fn chunks(bytes: &[u8], mut next: usize, most: usize) -> Result<Option<(Vec<u8>, usize)>, String> {
     let mut body = Vec::new();
     loop {
-        let (head, length) = match httparse::parse_chunk_size(&bytes[next..]).map_err(|e| e.to_string())? {
-            httparse::Status::Complete((head, length)) => (head, length),
-            httparse::Status::Partial => return Ok(None),
-        };
+        let (head, length) =
+            match httparse::parse_chunk_size(&bytes[next..]).map_err(|e| e.to_string())? {
+                httparse::Status::Complete((head, length)) => (head, length),
+                httparse::Status::Partial => return Ok(None),
+            };
         let start = next + head;
-        let end = usize::try_from(length).ok().and_then(|length| start.checked_add(length)?.checked_add(2));
-        let Some(end) = end.filter(|end| *end <= most) else { return Err(TOO_LONG.into()) };
+        let end = usize::try_from(length)
+            .ok()
+            .and_then(|length| start.checked_add(length)?.checked_add(2));
+        let Some(end) = end.filter(|end| *end <= most) else {
+            return Err(TOO_LONG.into());
+        };
         if bytes.len() < end {
             return Ok(None);
         }
--- a/edge/src/event_loop.rs
+++ b/edge/src/event_loop.rs
@@ -12,7 +12,11 @@
 use wellcrank::port::*;
 
 /// Runs until the gateway has been told to stop and nobody is left to answer.
-pub fn run(poll: &mut Poll, gateway: &Rc<RefCell<Gateway>>, control: &mut Control) -> io::Result<()> {
+pub fn run(
+    poll: &mut Poll,
+    gateway: &Rc<RefCell<Gateway>>,
+    control: &mut Control,
+) -> io::Result<()> {
     let mut events = Events::with_capacity(1024);
     loop {
         let wait = {
@@ -58,7 +62,9 @@
     loop {
         let (news, now) = {
             let reactor = &mut gateway.borrow_mut().reactor;
-            let Some(news) = reactor.notifications.pop_front() else { return };
+            let Some(news) = reactor.notifications.pop_front() else {
+                return;
+            };
             reactor.now = reactor.clock.now();
             (news, reactor.now)
         };
@@ -116,7 +122,11 @@
         gateway.reactor.tally.limited += 1;
         gateway.answer(call, |out| {
             let advice = format!("-BUSY {}\r\n", retry_after.as_millis());
-            out.extend_from_slice(if advised { advice.as_bytes() } else { b"-BUSY\r\n" });
+            out.extend_from_slice(if advised {
+                advice.as_bytes()
+            } else {
+                b"-BUSY\r\n"
+            });
         });
     }
     fn error(&mut self, call: &CallId) {
@@ -125,7 +135,9 @@
         gateway.answer(call, |out| out.extend_from_slice(b"-ERR failed\r\n"));
     }
     fn count(&mut self, name: CounterName, add: f64, keep: Duration) {
-        let Gateway { reactor, counter, .. } = &mut *self.0.borrow_mut();
+        let Gateway {
+            reactor, counter, ..
+        } = &mut *self.0.borrow_mut();
         counter.count(reactor, name, add, keep);
     }
     fn wake(&mut self, token: WakeToken, at: Duration) {
@@ -134,11 +146,15 @@
     /// The decisions send no probes, and would not be told of an answer.
     fn probe(&mut self, _: &ServerId) {}
     fn subscribe(&mut self, on: bool) {
-        let Gateway { reactor, discovery, .. } = &mut *self.0.borrow_mut();
+        let Gateway {
+            reactor, discovery, ..
+        } = &mut *self.0.borrow_mut();
         discovery.follow(reactor, on);
     }
     fn refetch(&mut self) {
-        let Gateway { reactor, discovery, .. } = &mut *self.0.borrow_mut();
+        let Gateway {
+            reactor, discovery, ..
+        } = &mut *self.0.borrow_mut();
         discovery.refetch(reactor);
     }
     fn release(&mut self, server: &ServerId) {
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -43,7 +43,13 @@
 
 impl Gateway {
     pub fn ready(&mut self, event: &Event) {
-        let Gateway { reactor, calls, clients, pool, .. } = self;
+        let Gateway {
+            reactor,
+            calls,
+            clients,
+            pool,
+            ..
+        } = self;
         match Side::of(event.token()) {
             (Side::Listener, _) => clients.accept(reactor, calls),
             (Side::Client, key) => clients.ready(reactor, key, calls),
@@ -52,7 +58,9 @@
             (Side::Counter, key) => self.counter.ready(reactor, key, event),
             (Side::Discovery, key) => {
                 if let Some(news) = self.discovery.ready(reactor, key, event) {
-                    let since_last = self.list_heard.map(|heard| reactor.now.saturating_sub(heard));
+                    let since_last = self
+                        .list_heard
+                        .map(|heard| reactor.now.saturating_sub(heard));
                     self.list_heard = Some(reactor.now);
                     self.listed(news, since_last);
                 }
@@ -61,10 +69,16 @@
             (Side::Signal, _) => {
                 for signal in self.signals.pending() {
                     if signal == SIGHUP {
-                        reread(reactor, &mut self.counter, &mut self.discovery, &self.startup_only);
+                        reread(
+                            reactor,
+                            &mut self.counter,
+                            &mut self.discovery,
+                            &self.startup_only,
+                        );
                     } else if reactor.shutdown.is_none() {
                         slog::info!(reactor.log, "stopping: still answering"; "open" => calls.len());
-                        reactor.shutdown = Some(GracefulShutdown::new(reactor.now, &reactor.settings));
+                        reactor.shutdown =
+                            Some(GracefulShutdown::new(reactor.now, &reactor.settings));
                     }
                 }
             }
@@ -80,7 +94,9 @@
                 "entries" => change.wrong.len(), "first" => first);
         }
         self.pool.complete(&mut change);
-        let discovery::Change { rev, whole, lines, .. } = change;
+        let discovery::Change {
+            rev, whole, lines, ..
+        } = change;
         if whole || !lines.is_empty() {
             let are = |phase| lines.iter().filter(|(line, _)| line.phase == phase).count();
             slog::info!(log, "list"; "rev" => rev, "whole" => whole, "ready" => are(Phase::Ready),
@@ -88,8 +104,15 @@
             let told = lines.iter().map(|(line, _)| line.clone()).collect();
             self.pool.listed(&mut self.reactor, whole, lines);
             self.reactor.look_at_clock();
-            let time = ListTime { unix_now: self.reactor.clock.unix_now(), since_last };
-            self.reactor.notifications.push_back(Notification::Listed { whole, time, lines: told });
+            let time = ListTime {
+                unix_now: self.reactor.clock.unix_now(),
+                since_last,
+            };
+            self.reactor.notifications.push_back(Notification::Listed {
+                whole,
+                time,
+                lines: told,
+            });
         }
         self.clients.ready = true;
     }
@@ -110,10 +133,18 @@
 
     /// What is done now and then; hangs on the decisions' one periodic timer.
     fn sweep(&mut self) {
-        let Gateway { reactor, calls, clients, pool, .. } = self;
+        let Gateway {
+            reactor,
+            calls,
+            clients,
+            pool,
+            ..
+        } = self;
         if reactor.last_answers() {
             clients.last_answers(reactor, calls);
-            reactor.notifications.extend(calls.unanswered().map(Notification::Expired));
+            reactor
+                .notifications
+                .extend(calls.unanswered().map(Notification::Expired));
         } else if reactor.closing() {
             clients.end_idle(reactor, calls);
         }
@@ -124,11 +155,20 @@
         }
         (self.seconds, self.next_second) = (self.seconds + 1, reactor.now + Duration::from_secs(1));
         if reactor.now >= self.started + READY && !clients.ready {
-            slog::warn!(reactor.log, "no server list yet, but ready: API calls are refused until it comes");
+            slog::warn!(
+                reactor.log,
+                "no server list yet, but ready: API calls are refused until it comes"
+            );
             clients.ready = true;
         }
         if self.seconds.is_multiple_of(60) {
-            reactor.tally.report(&reactor.log, calls.len(), clients.len(), pool.len(), reactor.held);
+            reactor.tally.report(
+                &reactor.log,
+                calls.len(),
+                clients.len(),
+                pool.len(),
+                reactor.held,
+            );
         }
         reactor.look_at_clock();
         reactor.report_faults();
@@ -152,7 +192,13 @@
 
     /// Writes what the turn has collected, once a connection.
     pub fn flush(&mut self) {
-        let Gateway { reactor, calls, clients, pool, .. } = self;
+        let Gateway {
+            reactor,
+            calls,
+            clients,
+            pool,
+            ..
+        } = self;
         for token in std::mem::take(&mut reactor.written) {
             match Side::of(token) {
                 (Side::Client, key) => clients.flush(reactor, key, calls),
@@ -168,13 +214,28 @@
     }
 
     /// Sends an API call on, if it is still open and has a try and time left.
-    pub fn send(&mut self, call: &CallId, server: &ServerId, timeout: Duration, whole_by: Duration) {
-        let Gateway { reactor, calls, pool, .. } = self;
+    pub fn send(
+        &mut self,
+        call: &CallId,
+        server: &ServerId,
+        timeout: Duration,
+        whole_by: Duration,
+    ) {
+        let Gateway {
+            reactor,
+            calls,
+            pool,
+            ..
+        } = self;
         let (now, most) = (reactor.now, reactor.settings.limits.max_attempts);
         let Some(open) = calls.get(call) else { return };
         let number = TryNumber(open.tries);
         open.tries += 1;
-        let until = if timeout.is_zero() { open.until } else { open.until.min(now + timeout) };
+        let until = if timeout.is_zero() {
+            open.until
+        } else {
+            open.until.min(now + timeout)
+        };
         if !open.wanted() || until <= now || (most > 0 && number.0 >= most) {
             return pool.not_sent(reactor, call, number);
         }
@@ -183,7 +244,11 @@
 
     /// The one final answer that the decisions give.
     pub fn answer(&mut self, call: &CallId, write: impl FnOnce(&mut Vec<u8>)) {
-        let place = self.calls.get(call).filter(|open| !open.answered).map(|open| open.place);
+        let place = self
+            .calls
+            .get(call)
+            .filter(|open| !open.answered)
+            .map(|open| open.place);
         self.forget(call);
         if let Some(place) = place {
             self.clients.answer(&mut self.reactor, place, write);
@@ -206,7 +271,12 @@
 
 /// SIGHUP: the file is read again. Its settings hold from now on, and it is followed where it says that others are; a
 /// bad one changes nothing.
-fn reread(reactor: &mut Reactor, counter: &mut Counter, discovery: &mut Discovery, started: &StartupOnly) {
+fn reread(
+    reactor: &mut Reactor,
+    counter: &mut Counter,
+    discovery: &mut Discovery,
+    started: &StartupOnly,
+) {
     match crate::told() {
         Ok((told, settings)) => {
             let mut later = started.differing(&told.startup_only());
@@ -221,7 +291,9 @@
             discovery.move_to(reactor, told.discovery);
             counter.move_to(reactor, told.counter);
         }
-        Err(why) => slog::warn!(reactor.log, "file not read again, the old one stays"; "why" => %why),
+        Err(why) => {
+            slog::warn!(reactor.log, "file not read again, the old one stays"; "why" => %why)
+        }
     }
 }
 
@@ -238,5 +310,7 @@
         shutdown.shorten(&reactor.settings);
     }
     // In its turn: what has arrived before keeps the terms that it was checked against.
-    reactor.notifications.push_back(Notification::Reconfigured(reactor.settings.clone()));
+    reactor
+        .notifications
+        .push_back(Notification::Reconfigured(reactor.settings.clone()));
 }
--- a/edge/src/lib.rs
+++ b/edge/src/lib.rs
@@ -92,7 +92,11 @@
             ("peers", self.peers != other.peers),
             ("peers_all", self.peers_all != other.peers_all),
         ];
-        fields.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name).collect()
+        fields
+            .into_iter()
+            .filter(|(_, differs)| *differs)
+            .map(|(name, _)| name)
+            .collect()
     }
 }
 
@@ -101,16 +105,22 @@
     let path = std::env::var("BALANCER_CONFIG").map_err(|_| "BALANCER_CONFIG names no file")?;
     let text = std::fs::read(&path).map_err(|error| format!("{path}: {error}"))?;
     let told: Told = serde_json::from_slice(&text).map_err(|error| format!("{path}: {error}"))?;
-    let settings = wellcrank_settings::decode(&told.settings).map_err(|error| format!("{path}: {error}"))?;
+    let settings =
+        wellcrank_settings::decode(&told.settings).map_err(|error| format!("{path}: {error}"))?;
     Ok((told, settings))
 }
 
 /// Log lines go to standard error, each as soon as it is made.
 fn logger(name: &str) -> Logger {
     let plain = slog_term::PlainSyncDecorator::new(std::io::stderr());
-    let drain = slog_term::FullFormat::new(plain).use_utc_timestamp().build();
+    let drain = slog_term::FullFormat::new(plain)
+        .use_utc_timestamp()
+        .build();
     // A log that nobody takes any more is no reason to stop serving.
-    Logger::root(Mutex::new(drain).ignore_res(), slog::o!("node" => name.to_string()))
+    Logger::root(
+        Mutex::new(drain).ignore_res(),
+        slog::o!("node" => name.to_string()),
+    )
 }
 
 fn serve(told: Told, settings: Settings, log: &Logger) -> Result<(), Box<dyn Error>> {
@@ -119,7 +129,11 @@
     let registry = startup::made(log, "the poll's registry", || poll.registry().try_clone())?;
     let signals = startup::made(log, "signals", || {
         let mut signals = Signals::new([SIGTERM, SIGHUP])?;
-        registry.register(&mut signals, reactor::Side::Signal.token(0), Interest::READABLE)?;
+        registry.register(
+            &mut signals,
+            reactor::Side::Signal.token(0),
+            Interest::READABLE,
+        )?;
         Ok(signals)
     })?;
     let sockets = budget::descriptors(told.limits.sockets);
@@ -128,7 +142,9 @@
     }
     let budget = budget::Budget::new(sockets, told.limits.memory_mb);
     let mut reactor = reactor::Reactor::new(registry, settings.clone(), budget, log.clone());
-    let clients = startup::made(log, "the listener", || clients::Clients::listen(&mut reactor, told.listen))?;
+    let clients = startup::made(log, "the listener", || {
+        clients::Clients::listen(&mut reactor, told.listen)
+    })?;
     let peers = match told.peer_listen.filter(|_| settings.limits.peers) {
         Some(at) => startup::made(log, "the peers' socket", || {
             peers::Peers::listen(&mut reactor, at, told.peers.clone(), told.peers_all)
@@ -136,9 +152,13 @@
         None => peers::Peers::default(),
     };
     let counter = counter::Counter::new(&mut reactor, told.counter);
-    let seed =
-        u64::from_str_radix(&told.seed, 16).map_err(|error| format!("seed {:?}: {error}", told.seed))?;
-    let known = told.known.as_ref().filter(|known| !known.is_empty()).map(discovery::ListUpdate::rev);
+    let seed = u64::from_str_radix(&told.seed, 16)
+        .map_err(|error| format!("seed {:?}: {error}", told.seed))?;
+    let known = told
+        .known
+        .as_ref()
+        .filter(|known| !known.is_empty())
+        .map(discovery::ListUpdate::rev);
     let now = reactor.now;
     let discovery = discovery::Discovery::new(told.discovery, known, seed ^ 0x5eed_d15c, &reactor);
     let gateway = Rc::new(RefCell::new(gateway::Gateway {
--- a/edge/src/lingering.rs
+++ b/edge/src/lingering.rs
@@ -40,13 +40,19 @@
             return stream.close(reactor);
         }
         let wait = reactor.connect_timeout().clamp(LEAST, MOST);
-        self.connections.insert(Ending { stream, until: reactor.now + wait, bytes: BYTES });
+        self.connections.insert(Ending {
+            stream,
+            until: reactor.now + wait,
+            bytes: BYTES,
+        });
         self.ready(reactor, key);
     }
 
     /// Reads and drops what has come.
     pub fn ready(&mut self, reactor: &mut Reactor, key: usize) {
-        let Some(ending) = self.connections.get_mut(key) else { return };
+        let Some(ending) = self.connections.get_mut(key) else {
+            return;
+        };
         if !ending.stream.discard(reactor, &mut ending.bytes) {
             self.close(reactor, key);
         }
@@ -54,7 +60,10 @@
 
     /// At each tick: who has not ended by now is waited for no longer. Says whether any went.
     pub fn sweep(&mut self, reactor: &mut Reactor) -> bool {
-        let over = self.connections.iter().filter(|(_, ending)| ending.until <= reactor.now);
+        let over = self
+            .connections
+            .iter()
+            .filter(|(_, ending)| ending.until <= reactor.now);
         let over: Vec<usize> = over.map(|(key, _)| key).collect();
         for key in &over {
             self.close(reactor, *key);
@@ -64,7 +73,10 @@
 
     /// A descriptor is wanted: the one that has been ending for longest goes. Says whether there was one.
     pub fn give_up(&mut self, reactor: &mut Reactor) -> bool {
-        let longest = self.connections.iter().min_by_key(|(_, ending)| ending.until);
+        let longest = self
+            .connections
+            .iter()
+            .min_by_key(|(_, ending)| ending.until);
         let longest = longest.map(|(key, _)| key);
         longest.map(|key| self.close(reactor, key)).is_some()
     }
--- a/edge/src/peers.rs
+++ b/edge/src/peers.rs
@@ -25,8 +25,14 @@
         all: Option<SocketAddr>,
     ) -> io::Result<Peers> {
         let mut socket = UdpSocket::bind(at)?;
-        reactor.registry.register(&mut socket, Side::Peers.token(0), Interest::READABLE)?;
-        Ok(Peers { socket: Some(socket), each, all })
+        reactor
+            .registry
+            .register(&mut socket, Side::Peers.token(0), Interest::READABLE)?;
+        Ok(Peers {
+            socket: Some(socket),
+            each,
+            all,
+        })
     }
 
     /// To one gateway by its number, or to all. A datagram may be lost, also here.
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -88,8 +88,16 @@
 
 fn ended(reactor: &mut Reactor, call: CallId, number: TryNumber, outcome: Outcome, sent: Duration) {
     let latency = reactor.now.saturating_sub(sent);
-    let end = Ended { outcome, latency, closed: false, settled: None, load: BTreeMap::new() };
-    reactor.notifications.push_back(Notification::Ended(call, number, end));
+    let end = Ended {
+        outcome,
+        latency,
+        closed: false,
+        settled: None,
+        load: BTreeMap::new(),
+    };
+    reactor
+        .notifications
+        .push_back(Notification::Ended(call, number, end));
 }
 
 impl Pool {
@@ -104,21 +112,40 @@
     /// A server without an address that can be read keeps the one it has; one that never had one is left out. Where
     /// entries of a whole list can't be read, their servers stay as they are, so the list becomes what changes.
     pub fn complete(&self, change: &mut Change) {
-        change.lines.retain(|(line, at)| at.is_some() || self.known.contains_key(&line.server));
+        change
+            .lines
+            .retain(|(line, at)| at.is_some() || self.known.contains_key(&line.server));
         if !change.whole || change.kept.is_empty() {
             return;
         }
-        let told: BTreeSet<&ServerId> =
-            change.lines.iter().map(|(line, _)| &line.server).chain(&change.kept).collect();
-        let missing: Vec<ServerId> =
-            self.known.keys().filter(|server| !told.contains(server)).cloned().collect();
+        let told: BTreeSet<&ServerId> = change
+            .lines
+            .iter()
+            .map(|(line, _)| &line.server)
+            .chain(&change.kept)
+            .collect();
+        let missing: Vec<ServerId> = self
+            .known
+            .keys()
+            .filter(|server| !told.contains(server))
+            .cloned()
+            .collect();
         change.whole = false;
-        change.lines.extend(missing.into_iter().map(|server| (Listed::gone(server), None)));
+        change.lines.extend(
+            missing
+                .into_iter()
+                .map(|server| (Listed::gone(server), None)),
+        );
     }
 
     /// The server list has told: addresses are known, and what was not begun at a server that drains or is
     /// gone is not begun any more.
-    pub fn listed(&mut self, reactor: &mut Reactor, whole: bool, lines: Vec<(Listed, Option<SocketAddr>)>) {
+    pub fn listed(
+        &mut self,
+        reactor: &mut Reactor,
+        whole: bool,
+        lines: Vec<(Listed, Option<SocketAddr>)>,
+    ) {
         let mut over: Vec<usize> = Vec::new();
         if whole {
             let told: BTreeSet<&ServerId> = lines.iter().map(|(line, _)| &line.server).collect();
@@ -146,7 +173,13 @@
                     (known.ready, known.at, known.started) = (ready, at, started);
                 }
                 (None, Some(at)) => {
-                    let known = Known { at, started, life: 0, ready, idle: vec![] };
+                    let known = Known {
+                        at,
+                        started,
+                        life: 0,
+                        ready,
+                        idle: vec![],
+                    };
                     self.known.insert(line.server, known);
                 }
                 (None, None) => (),
@@ -156,14 +189,18 @@
         let leaving = self.unready.iter().map(|server| &self.known[server]);
         over.extend(leaving.flat_map(|known| known.idle.iter().copied()));
         let unbegun = self.connections.iter().filter(|(_, connection)| {
-            connection.job.as_ref().is_some_and(|job| !job.begun) && !self.known[&connection.server].ready
+            connection.job.as_ref().is_some_and(|job| !job.begun)
+                && !self.known[&connection.server].ready
         });
         over.extend(unbegun.map(|(key, _)| key));
         for key in over {
             self.fail(reactor, key);
         }
-        let used: BTreeSet<&ServerId> =
-            self.connections.iter().map(|(_, connection)| &connection.server).collect();
+        let used: BTreeSet<&ServerId> = self
+            .connections
+            .iter()
+            .map(|(_, connection)| &connection.server)
+            .collect();
         let known = &mut self.known;
         self.unready.retain(|server| {
             let stays = used.contains(server);
@@ -183,7 +220,8 @@
         (until, whole_by): (Duration, Duration),
     ) {
         let now = reactor.now;
-        let over = |reactor: &mut Reactor, outcome| ended(reactor, call.clone(), number, outcome, now);
+        let over =
+            |reactor: &mut Reactor, outcome| ended(reactor, call.clone(), number, outcome, now);
         let Some(known) = self.known.get_mut(server).filter(|known| known.ready) else {
             return over(reactor, Outcome::NoConnection);
         };
@@ -196,28 +234,68 @@
                 let stream = match BufferedStream::connect(reactor, at, Side::Upstream, key) {
                     Ok(stream) => stream,
                     Err(error) => {
-                        use io::ErrorKind::{ConnectionRefused, HostUnreachable, NetworkUnreachable};
+                        use io::ErrorKind::{
+                            ConnectionRefused, HostUnreachable, NetworkUnreachable,
+                        };
                         let theirs = [ConnectionRefused, HostUnreachable, NetworkUnreachable];
                         // Else no descriptor, no port: the gateway's own want.
                         let theirs = theirs.contains(&error.kind());
-                        return over(reactor, if theirs { Outcome::NoConnection } else { Outcome::NotSent });
+                        return over(
+                            reactor,
+                            if theirs {
+                                Outcome::NoConnection
+                            } else {
+                                Outcome::NotSent
+                            },
+                        );
                     }
                 };
                 let connection = reactor.serial();
                 let (server, job) = (server.clone(), None);
-                self.connections.insert(Upstream { stream, server, life, connection, job, used: now })
+                self.connections.insert(Upstream {
+                    stream,
+                    server,
+                    life,
+                    connection,
+                    job,
+                    used: now,
+                })
             }
         };
         let upstream = &mut self.connections[key];
-        must!(reactor, upstream.job.is_none(), "one upstream try on a connection");
+        must!(
+            reactor,
+            upstream.job.is_none(),
+            "one upstream try on a connection"
+        );
         upstream.stream.flush_later(reactor);
-        let coming_up = if upstream.stream.up { until } else { now + reactor.connect_timeout() };
-        let due =
-            reactor.at(until.min(whole_by).min(coming_up), Due::Try { key, connection: upstream.connection });
+        let coming_up = if upstream.stream.up {
+            until
+        } else {
+            now + reactor.connect_timeout()
+        };
+        let due = reactor.at(
+            until.min(whole_by).min(coming_up),
+            Due::Try {
+                key,
+                connection: upstream.connection,
+            },
+        );
         let (call, sent) = (call.clone(), now);
         self.out.insert((call.clone(), number), key);
         let (put_off, begun, whole, part) = (false, false, false, false);
-        upstream.job = Some(Job { call, number, sent, until, whole_by, due, put_off, begun, whole, part });
+        upstream.job = Some(Job {
+            call,
+            number,
+            sent,
+            until,
+            whole_by,
+            due,
+            put_off,
+            begun,
+            whole,
+            part,
+        });
     }
 
     /// The connection to a server that was idle for the shortest time, but for `SETTLES` at least, and not for as long
@@ -231,7 +309,10 @@
             let key = idle.remove(idle.iter().rposition(settled)?);
             let upstream = &mut self.connections[key];
             let fresh = stands.is_none_or(|stands| reactor.now < upstream.used + stands);
-            if fresh && upstream.stream.read(reactor, resp::WHOLE) && upstream.stream.input.is_empty() {
+            if fresh
+                && upstream.stream.read(reactor, resp::WHOLE)
+                && upstream.stream.input.is_empty()
+            {
                 return Some(key);
             }
             self.close(reactor, key);
@@ -244,26 +325,47 @@
             return true;
         }
         let longest = self.known.values().filter_map(|known| known.idle.first());
-        let longest = longest.min_by_key(|key| self.connections[**key].used).copied();
+        let longest = longest
+            .min_by_key(|key| self.connections[**key].used)
+            .copied();
         longest.map(|key| self.close(reactor, key)).is_some()
     }
 
     /// Gives an upstream try up, by closing its connection.
     pub fn cancel(&mut self, reactor: &mut Reactor, call: &CallId, number: TryNumber) {
         if let Some(key) = self.out.get(&(call.clone(), number)).copied() {
-            let begun = self.connections[key].job.as_ref().is_some_and(|job| job.begun);
-            self.end(reactor, key, if begun { Outcome::Cancelled } else { Outcome::NotSent });
+            let begun = self.connections[key]
+                .job
+                .as_ref()
+                .is_some_and(|job| job.begun);
+            self.end(
+                reactor,
+                key,
+                if begun {
+                    Outcome::Cancelled
+                } else {
+                    Outcome::NotSent
+                },
+            );
         }
     }
 
     /// The time of a try is up, or that to connect for it, or that for its command to go out.
     pub fn due(&mut self, reactor: &mut Reactor, key: usize, connection: Serial) {
         let now = reactor.now;
-        let Some(upstream) = self.connections.get_mut(key).filter(|it| it.connection == connection) else {
+        let Some(upstream) = self
+            .connections
+            .get_mut(key)
+            .filter(|it| it.connection == connection)
+        else {
             return;
         };
         let Some(job) = &mut upstream.job else { return };
-        let until = if job.whole { job.until } else { job.until.min(job.whole_by) };
+        let until = if job.whole {
+            job.until
+        } else {
+            job.until.min(job.whole_by)
+        };
         if upstream.stream.up && now < until {
             if job.part {
                 return self.spoilt(reactor, key);
@@ -287,7 +389,9 @@
         calls: &mut Calls,
         clients: &mut Clients,
     ) {
-        let Some(upstream) = self.connections.get_mut(key) else { return };
+        let Some(upstream) = self.connections.get_mut(key) else {
+            return;
+        };
         let unbegun = upstream.job.as_ref().is_some_and(|job| !job.begun);
         if event.is_writable() && (unbegun || upstream.stream.left() > 0) {
             if upstream.stream.opened().is_err() {
@@ -295,7 +399,9 @@
             }
             self.flush(reactor, key, calls);
         }
-        let Some(upstream) = self.connections.get_mut(key) else { return };
+        let Some(upstream) = self.connections.get_mut(key) else {
+            return;
+        };
         if event.is_readable() || event.is_read_closed() || event.is_error() {
             upstream.stream.drained = false;
             let open = upstream.stream.read(reactor, resp::WHOLE);
@@ -314,20 +420,34 @@
     }
 
     /// Hands a whole answer to the try that waits for it.
-    fn answered(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls, clients: &mut Clients) {
+    fn answered(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        calls: &mut Calls,
+        clients: &mut Clients,
+    ) {
         let upstream = &mut self.connections[key];
         if upstream.stream.input.is_empty() {
             return;
         }
         // What comes before the command has gone out is no answer to it.
-        let Some(job) = upstream.job.as_mut().filter(|job| job.whole) else { return self.fail(reactor, key) };
+        let Some(job) = upstream.job.as_mut().filter(|job| job.whole) else {
+            return self.fail(reactor, key);
+        };
         let (reply, took) = match resp::reply(&upstream.stream.input) {
             Ok(Some(read)) => read,
             Ok(None) => {
                 if !std::mem::replace(&mut job.part, true) {
                     reactor.unset(job.due);
                     let soon = job.until.min(reactor.now + reactor.connect_timeout());
-                    job.due = reactor.at(soon, Due::Try { key, connection: upstream.connection });
+                    job.due = reactor.at(
+                        soon,
+                        Due::Try {
+                            key,
+                            connection: upstream.connection,
+                        },
+                    );
                 }
                 return;
             }
@@ -336,7 +456,11 @@
         let (mut outcome, mut settled) = (Outcome::ServerError, None);
         let load;
         match reply {
-            Reply::Value { value, figures, load: report } => {
+            Reply::Value {
+                value,
+                figures,
+                load: report,
+            } => {
                 (outcome, load) = (Outcome::Proxied, report);
                 let cost = resp::pairs(figures).find(|(name, _)| *name == "cost");
                 let most = crate::calls::most_units(&reactor.settings);
@@ -350,21 +474,41 @@
             }
             Reply::Busy { load: report } => (outcome, load) = (Outcome::TurnedAway, report),
             Reply::Failed { text, load: report } => {
-                must!(reactor, !text.starts_with("SYNTAX"), "an app server knows the commands it is sent");
+                must!(
+                    reactor,
+                    !text.starts_with("SYNTAX"),
+                    "an app server knows the commands it is sent"
+                );
                 load = report;
             }
         }
-        let load = resp::pairs(load).filter_map(|(name, value)| Some((name.into(), value.parse().ok()?)));
-        let load = load.filter(|(_, value): &(String, f64)| value.is_finite()).collect();
-        let Some(job) = self.take_job(reactor, key) else { return };
+        let load =
+            resp::pairs(load).filter_map(|(name, value)| Some((name.into(), value.parse().ok()?)));
+        let load = load
+            .filter(|(_, value): &(String, f64)| value.is_finite())
+            .collect();
+        let Some(job) = self.take_job(reactor, key) else {
+            return;
+        };
         let latency = reactor.now.saturating_sub(job.sent);
-        let end = Ended { outcome, latency, closed: false, settled, load };
-        reactor.notifications.push_back(Notification::Ended(job.call, job.number, end));
+        let end = Ended {
+            outcome,
+            latency,
+            closed: false,
+            settled,
+            load,
+        };
+        reactor
+            .notifications
+            .push_back(Notification::Ended(job.call, job.number, end));
         let upstream = &mut self.connections[key];
         upstream.stream.take(reactor, took);
         upstream.used = reactor.now;
         let life = upstream.life;
-        let known = self.known.get_mut(&upstream.server).filter(|known| known.ready && known.life == life);
+        let known = self
+            .known
+            .get_mut(&upstream.server)
+            .filter(|known| known.ready && known.life == life);
         match known.filter(|_| upstream.stream.input.is_empty()) {
             Some(known) => known.idle.push(key),
             None => self.close(reactor, key),
@@ -374,7 +518,9 @@
     /// Writes what it can of a command. The one place where one begins, perhaps long after it was decided, since its
     /// connection had to come up: the terms under which it was decided must hold still.
     pub fn flush(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
-        let Some(upstream) = self.connections.get_mut(key) else { return };
+        let Some(upstream) = self.connections.get_mut(key) else {
+            return;
+        };
         if let Some(job) = upstream.job.as_mut().filter(|job| !job.begun) {
             if !upstream.stream.up {
                 return;
@@ -395,7 +541,9 @@
             };
             let left = job.until - now;
             upstream.stream.take_back(reactor);
-            upstream.stream.put(reactor, |out| open.api_call.put(out, told_wait(left)));
+            upstream
+                .stream
+                .put(reactor, |out| open.api_call.put(out, told_wait(left)));
         }
         match upstream.stream.flush(reactor) {
             Ok(moved) => {
@@ -417,8 +565,19 @@
 
     /// The connection broke, ended or never came up.
     fn fail(&mut self, reactor: &mut Reactor, key: usize) {
-        let whole = self.connections[key].job.as_ref().is_some_and(|job| job.whole);
-        self.end(reactor, key, if whole { Outcome::Broken } else { Outcome::NoConnection });
+        let whole = self.connections[key]
+            .job
+            .as_ref()
+            .is_some_and(|job| job.whole);
+        self.end(
+            reactor,
+            key,
+            if whole {
+                Outcome::Broken
+            } else {
+                Outcome::NoConnection
+            },
+        );
     }
 
     /// Ends the try that a connection carries, if any, and the connection with it.
@@ -439,7 +598,11 @@
 
     fn close(&mut self, reactor: &mut Reactor, key: usize) {
         let upstream = self.connections.remove(key);
-        must!(reactor, upstream.job.is_none(), "a try's end is told before its connection closes");
+        must!(
+            reactor,
+            upstream.job.is_none(),
+            "a try's end is told before its connection closes"
+        );
         if let Some(known) = self.known.get_mut(&upstream.server) {
             known.idle.retain(|other| *other != key);
         }
@@ -448,7 +611,10 @@
 
     /// Closes the connections to a server that carry nothing.
     pub fn release(&mut self, reactor: &mut Reactor, server: &ServerId) {
-        let idle = self.known.get_mut(server).map(|known| std::mem::take(&mut known.idle));
+        let idle = self
+            .known
+            .get_mut(server)
+            .map(|known| std::mem::take(&mut known.idle));
         for key in idle.unwrap_or_default() {
             self.close(reactor, key);
         }
@@ -456,10 +622,14 @@
 
     /// Closes what has been idle for long, before the app server would.
     pub fn sweep(&mut self, reactor: &mut Reactor) {
-        let Some(stands) = stands(reactor) else { return };
+        let Some(stands) = stands(reactor) else {
+            return;
+        };
         let old = |key: &&usize| self.connections[**key].used + stands <= reactor.now;
         let all = self.known.values();
-        let over: Vec<usize> = all.flat_map(|known| known.idle.iter().take_while(old).copied()).collect();
+        let over: Vec<usize> = all
+            .flat_map(|known| known.idle.iter().take_while(old).copied())
+            .collect();
         for key in over {
             self.close(reactor, key);
         }
--- a/edge/src/reactor.rs
+++ b/edge/src/reactor.rs
@@ -165,25 +165,32 @@
 
     /// What falls due next, if it does by now.
     pub fn next_due(&mut self) -> Option<Due> {
-        let first = self.due.first_entry().filter(|entry| entry.key().0 <= self.now)?;
+        let first = self
+            .due
+            .first_entry()
+            .filter(|entry| entry.key().0 <= self.now)?;
         Some(first.remove())
     }
 
     /// Told to stop, and others have had the time to connect and to notice: connections are ended between API calls.
     pub fn closing(&self) -> bool {
-        self.shutdown.is_some_and(|shutdown| shutdown.closes <= self.now)
+        self.shutdown
+            .is_some_and(|shutdown| shutdown.closes <= self.now)
     }
 
     /// Told to stop, and all that was taken is answered now, as the gateway is killed soon: nothing more is taken.
     pub fn last_answers(&self) -> bool {
-        self.shutdown.is_some_and(|shutdown| shutdown.answers <= self.now)
+        self.shutdown
+            .is_some_and(|shutdown| shutdown.answers <= self.now)
     }
 
     /// How long a connection may take to come up; where the settings do not say, as long as the system waits before it
     /// asks for one again.
     pub fn connect_timeout(&self) -> Duration {
         let stated = Some(self.settings.limits.connect_timeout);
-        stated.filter(|span| !span.is_zero()).unwrap_or(Duration::from_secs(1))
+        stated
+            .filter(|span| !span.is_zero())
+            .unwrap_or(Duration::from_secs(1))
     }
 
     /// How long until something falls due.
@@ -191,7 +198,10 @@
         if !self.written_next.is_empty() {
             return Some(Duration::ZERO);
         }
-        self.due.keys().next().map(|next| next.0.saturating_sub(self.clock.now()))
+        self.due
+            .keys()
+            .next()
+            .map(|next| next.0.saturating_sub(self.clock.now()))
     }
 
     /// Notices where the wall clock was stepped.
--- a/edge/src/resp.rs
+++ b/edge/src/resp.rs
@@ -21,16 +21,27 @@
 /// An app server's answer; texts as they came.
 #[derive(Debug, PartialEq)]
 pub enum Reply<'a> {
-    Value { value: &'a [u8], figures: &'a str, load: &'a str },
-    Busy { load: &'a str },
-    Failed { text: &'a str, load: &'a str },
+    Value {
+        value: &'a [u8],
+        figures: &'a str,
+        load: &'a str,
+    },
+    Busy {
+        load: &'a str,
+    },
+    Failed {
+        text: &'a str,
+        load: &'a str,
+    },
 }
 
 /// A line without its CRLF, and where the next one begins.
 fn line(bytes: &[u8], from: usize) -> Read<&[u8]> {
     let rest = &bytes[from.min(bytes.len())..];
     match rest.iter().take(LINE).position(|byte| *byte == b'\n') {
-        Some(end) if end > 0 && rest[end - 1] == b'\r' => Ok(Some((&rest[..end - 1], from + end + 1))),
+        Some(end) if end > 0 && rest[end - 1] == b'\r' => {
+            Ok(Some((&rest[..end - 1], from + end + 1)))
+        }
         Some(_) => Err("a line without CRLF"),
         None if rest.len() >= LINE => Err("too long a line"),
         None => Ok(None),
@@ -38,14 +49,22 @@
 }
 
 fn whole(digits: &[u8], most: usize) -> Result<usize, Malformed> {
-    let number = std::str::from_utf8(digits).ok().and_then(|text| text.parse().ok());
-    number.filter(|number| *number <= most).ok_or("not a length")
+    let number = std::str::from_utf8(digits)
+        .ok()
+        .and_then(|text| text.parse().ok());
+    number
+        .filter(|number| *number <= most)
+        .ok_or("not a length")
 }
 
 /// A bulk string at `from`; none where it is null.
 fn bulk(bytes: &[u8], from: usize) -> Read<Option<Range<usize>>> {
-    let Some((head, start)) = line(bytes, from)? else { return Ok(None) };
-    let Some((b'$', digits)) = head.split_first() else { return Err("expected '$'") };
+    let Some((head, start)) = line(bytes, from)? else {
+        return Ok(None);
+    };
+    let Some((b'$', digits)) = head.split_first() else {
+        return Err("expected '$'");
+    };
     if digits == b"-1" {
         return Ok(Some((None, start)));
     }
@@ -59,8 +78,12 @@
 
 /// Takes a command: an array of bulk strings.
 pub fn command(bytes: &[u8]) -> Read<Words> {
-    let Some((head, mut next)) = line(bytes, 0)? else { return Ok(None) };
-    let Some((b'*', digits)) = head.split_first() else { return Err("expected '*'") };
+    let Some((head, mut next)) = line(bytes, 0)? else {
+        return Ok(None);
+    };
+    let Some((b'*', digits)) = head.split_first() else {
+        return Err("expected '*'");
+    };
     let count = whole(digits, WORDS)?;
     let mut words = Vec::with_capacity(count);
     for _ in 0..count {
@@ -78,7 +101,9 @@
 
 /// Takes an app server's answer.
 pub fn reply<'a>(bytes: &'a [u8]) -> Read<Reply<'a>> {
-    let Some((head, mut next)) = line(bytes, 0)? else { return Ok(None) };
+    let Some((head, mut next)) = line(bytes, 0)? else {
+        return Ok(None);
+    };
     match head.split_first() {
         Some((b'-', text)) => {
             let text = std::str::from_utf8(text).map_err(|_| "an error line that is not UTF-8")?;
@@ -86,8 +111,19 @@
             if code.is_empty() || !code.bytes().all(|byte| byte.is_ascii_uppercase()) {
                 return Err("an error line without its word");
             }
-            let load = text.rsplit(' ').next().filter(|word| word.contains('=')).unwrap_or("");
-            Ok(Some((if code == "BUSY" { Reply::Busy { load } } else { Reply::Failed { text, load } }, next)))
+            let load = text
+                .rsplit(' ')
+                .next()
+                .filter(|word| word.contains('='))
+                .unwrap_or("");
+            Ok(Some((
+                if code == "BUSY" {
+                    Reply::Busy { load }
+                } else {
+                    Reply::Failed { text, load }
+                },
+                next,
+            )))
         }
         Some((b'*', digits)) => {
             let mut parts = [None, None, None];
@@ -95,13 +131,26 @@
                 return Err("not the parts of an answer");
             }
             for part in &mut parts {
-                let Some((kept, end)) = bulk(bytes, next)? else { return Ok(None) };
+                let Some((kept, end)) = bulk(bytes, next)? else {
+                    return Ok(None);
+                };
                 (*part, next) = (kept, end);
             }
             let [value, figures, load] = parts.map(|part| part.map(|part| &bytes[part]));
-            let Some(value) = value else { return Err("an answer without a value") };
-            let text = |part: Option<&'a [u8]>| std::str::from_utf8(part.unwrap_or_default()).unwrap_or("");
-            Ok(Some((Reply::Value { value, figures: text(figures), load: text(load) }, next)))
+            let Some(value) = value else {
+                return Err("an answer without a value");
+            };
+            let text = |part: Option<&'a [u8]>| {
+                std::str::from_utf8(part.unwrap_or_default()).unwrap_or("")
+            };
+            Ok(Some((
+                Reply::Value {
+                    value,
+                    figures: text(figures),
+                    load: text(load),
+                },
+                next,
+            )))
         }
         _ => Err("no answer"),
     }
--- a/edge/src/shutdown.rs
+++ b/edge/src/shutdown.rs
@@ -26,7 +26,11 @@
 impl GracefulShutdown {
     /// Told to stop at `now`.
     pub fn new(now: Duration, settings: &Settings) -> GracefulShutdown {
-        GracefulShutdown { asked: now, closes: now + NOTICE, answers: answers(now, settings) }
+        GracefulShutdown {
+            asked: now,
+            closes: now + NOTICE,
+            answers: answers(now, settings),
+        }
     }
 
     /// Other settings: the platform may go by the shorter client timeouts of the two.
--- a/edge/src/shutdown/tests.rs
+++ b/edge/src/shutdown/tests.rs
@@ -7,14 +7,25 @@
         let mut settings = Settings::default();
         for (place, span) in spans.iter().enumerate() {
             let client_timeout = Duration::from_secs_f64(*span);
-            let route = Route { client_timeout, ..Route::default() };
-            settings.routes.insert(format!("r{place}").as_str().into(), route);
+            let route = Route {
+                client_timeout,
+                ..Route::default()
+            };
+            settings
+                .routes
+                .insert(format!("r{place}").as_str().into(), route);
         }
         settings
     };
     let (start, ms) = (Duration::from_secs(9), Duration::from_millis);
-    assert_eq!(GracefulShutdown::new(start, &settings(&[0.6, 0.4])).answers, start + ms(1060));
-    assert_eq!(GracefulShutdown::new(start, &settings(&[0.6, 20.0])).answers, start + ms(3460));
+    assert_eq!(
+        GracefulShutdown::new(start, &settings(&[0.6, 0.4])).answers,
+        start + ms(1060)
+    );
+    assert_eq!(
+        GracefulShutdown::new(start, &settings(&[0.6, 20.0])).answers,
+        start + ms(3460)
+    );
 }
 
 #[test]
@@ -22,7 +33,13 @@
     let settings = |span: f64| {
         let mut settings = Settings::default();
         let client_timeout = Duration::from_secs_f64(span);
-        settings.routes.insert("r".into(), Route { client_timeout, ..Route::default() });
+        settings.routes.insert(
+            "r".into(),
+            Route {
+                client_timeout,
+                ..Route::default()
+            },
+        );
         settings
     };
     let (start, ms) = (Duration::from_secs(9), Duration::from_millis);
@@ -40,7 +57,13 @@
             let mut settings = Settings::default();
             settings.limits.connect_timeout = Duration::from_secs_f64(connect);
             let client_timeout = Duration::from_secs_f64(timeout);
-            settings.routes.insert("r".into(), Route { client_timeout, ..Route::default() });
+            settings.routes.insert(
+                "r".into(),
+                Route {
+                    client_timeout,
+                    ..Route::default()
+                },
+            );
             let (start, ms) = (Duration::from_secs(9), Duration::from_millis);
             let shutdown = GracefulShutdown::new(start, &settings);
             // Others connect for 0.4 s, and every time limit is 50 ms longer.
--- a/edge/src/startup.rs
+++ b/edge/src/startup.rs
@@ -22,7 +22,9 @@
 ];
 
 fn passes(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|number| PASSING.contains(&number))
+    error
+        .raw_os_error()
+        .is_some_and(|number| PASSING.contains(&number))
 }
 
 /// Makes `what`, at once or within some seconds.
--- a/edge/src/stream.rs
+++ b/edge/src/stream.rs
@@ -52,7 +52,9 @@
                 stream.register(reactor).map(|()| stream)
             });
             match opened {
-                Err(error) if error.kind() != ErrorKind::ConnectionRefused && tried < CONNECTS => tried += 1,
+                Err(error) if error.kind() != ErrorKind::ConnectionRefused && tried < CONNECTS => {
+                    tried += 1
+                }
                 opened => return opened,
             }
         }
@@ -60,7 +62,12 @@
 
     /// A connection that was accepted. It is kept where the poll can't take it yet: it may hold a command. Whoever owns it
     /// registers it then.
-    pub fn accepted(reactor: &mut Reactor, socket: TcpStream, side: Side, key: usize) -> BufferedStream {
+    pub fn accepted(
+        reactor: &mut Reactor,
+        socket: TcpStream,
+        side: Side,
+        key: usize,
+    ) -> BufferedStream {
         let mut stream = BufferedStream::new(socket, side, key, true);
         let _ = stream.register(reactor);
         stream
@@ -88,7 +95,11 @@
     pub fn register(&mut self, reactor: &mut Reactor) -> io::Result<()> {
         // By its number: mio's own record of a registration outlives one that failed.
         if !self.registered {
-            reactor.registry.register(&mut SourceFd(&self.socket.as_raw_fd()), self.token, BOTH_WAYS)?;
+            reactor.registry.register(
+                &mut SourceFd(&self.socket.as_raw_fd()),
+                self.token,
+                BOTH_WAYS,
+            )?;
             self.registered = true;
         }
         Ok(())
@@ -97,13 +108,18 @@
     /// Whether a read or write that failed is only to be done again later: when the poll tells, or, where the system had
     /// no memory for it, as soon as the poll is asked again.
     fn pauses(&mut self, reactor: &Reactor, error: &io::Error) -> bool {
-        let short =
-            error.raw_os_error().is_some_and(|number| [libc::ENOBUFS, libc::ENOMEM].contains(&number));
+        let short = error
+            .raw_os_error()
+            .is_some_and(|number| [libc::ENOBUFS, libc::ENOMEM].contains(&number));
         // The poll tells what it was just told of again.
         let again = short
             && reactor
                 .registry
-                .reregister(&mut SourceFd(&self.socket.as_raw_fd()), self.token, BOTH_WAYS)
+                .reregister(
+                    &mut SourceFd(&self.socket.as_raw_fd()),
+                    self.token,
+                    BOTH_WAYS,
+                )
                 .is_ok();
         again || error.kind() == ErrorKind::WouldBlock
     }
@@ -128,7 +144,11 @@
 
     /// Takes back what was put, where none of it has gone out.
     pub fn take_back(&mut self, reactor: &mut Reactor) {
-        must!(reactor, self.done == 0, "only what has not begun to go out is taken back");
+        must!(
+            reactor,
+            self.done == 0,
+            "only what has not begun to go out is taken back"
+        );
         reactor.freed(self.output.len());
         self.output.clear();
     }
@@ -171,7 +191,11 @@
                 Ok(some) => {
                     self.up = true;
                     // Many half commands must not take twice their size.
-                    self.input.reserve_exact(if self.input.is_empty() { some } else { some.max(KEPT) });
+                    self.input.reserve_exact(if self.input.is_empty() {
+                        some
+                    } else {
+                        some.max(KEPT)
+                    });
                     self.input.extend_from_slice(&reactor.scratch[..some]);
                     reactor.held += some;
                 }
@@ -212,7 +236,11 @@
 
     /// Shuts down sending; from now on the poll tells of it by another token. All must be written.
     pub fn half_close(&mut self, reactor: &mut Reactor, side: Side, key: usize) -> io::Result<()> {
-        must!(reactor, self.left() == 0, "what was answered goes out before the end");
+        must!(
+            reactor,
+            self.left() == 0,
+            "what was answered goes out before the end"
+        );
         self.take(reactor, self.input.len());
         self.token = side.token(key);
         reactor.registry.reregister(
@@ -241,7 +269,9 @@
     /// Closes at once. What has come and was not read resets the connection.
     pub fn close(self, reactor: &mut Reactor) {
         reactor.freed(self.input.len() + self.output.len());
-        let _ = reactor.registry.deregister(&mut SourceFd(&self.socket.as_raw_fd()));
+        let _ = reactor
+            .registry
+            .deregister(&mut SourceFd(&self.socket.as_raw_fd()));
     }
 }
 
--- a/edge/src/tally.rs
+++ b/edge/src/tally.rs
@@ -34,8 +34,24 @@
     }
 
     /// Logs what was counted, beside how things stand now, and begins anew.
-    pub fn report(&mut self, log: &Logger, open: usize, clients: usize, upstream: usize, held: usize) {
-        let Tally { calls, proxied, limited, errored, gone, spoilt, lapsed, tries } = std::mem::take(self);
+    pub fn report(
+        &mut self,
+        log: &Logger,
+        open: usize,
+        clients: usize,
+        upstream: usize,
+        held: usize,
+    ) {
+        let Tally {
+            calls,
+            proxied,
+            limited,
+            errored,
+            gone,
+            spoilt,
+            lapsed,
+            tries,
+        } = std::mem::take(self);
         slog::info!(log, "minute"; "calls" => calls, "proxied" => proxied, "limited" => limited,
             "errored" => errored, "gone" => gone, "spoilt" => spoilt, "lapsed" => lapsed, "open" => open, "clients" => clients,
             "upstream" => upstream, "held" => held, "tries" => ?tries);
--- a/edge/src/tests.rs
+++ b/edge/src/tests.rs
@@ -2,7 +2,9 @@
 
 #[test]
 fn a_configuration_of_1024_peers_and_1024_known_servers_is_read() {
-    let peers: Vec<String> = (0..1024).map(|n| format!("\"10.2.{}.{}:7946\"", n / 256, n % 256)).collect();
+    let peers: Vec<String> = (0..1024)
+        .map(|n| format!("\"10.2.{}.{}:7946\"", n / 256, n % 256))
+        .collect();
     let text = format!(
         "{{\"name\": \"n0\", \"listen\": \"127.0.0.1:1\", \"discovery\": \"127.0.0.1:2\", \"seed\": \"7\",
           \"limits\": {{\"cores\": 0.1, \"memory_mb\": 1, \"sockets\": 64}}, \"peers\": [{}],
@@ -12,5 +14,8 @@
     );
     let told: Told = serde_json::from_str(&text).expect("a configuration");
     let known = told.known.expect("a list").change();
-    assert_eq!((told.peers.len(), known.lines.len(), known.wrong.len()), (1024, 1024, 0));
+    assert_eq!(
+        (told.peers.len(), known.lines.len(), known.wrong.len()),
+        (1024, 1024, 0)
+    );
 }
--- a/edge/tests/scenarios.rs
+++ b/edge/tests/scenarios.rs
@@ -86,8 +86,17 @@
 
 /// At an app server: a command's id came on a connection, or the connection with that number ended.
 enum Seen {
-    Command { server: String, id: String, connection: usize, wait: u64 },
-    End { connection: usize, server: String, unsaid: bool },
+    Command {
+        server: String,
+        id: String,
+        connection: usize,
+        wait: u64,
+    },
+    End {
+        connection: usize,
+        server: String,
+        unsaid: bool,
+    },
 }
 
 /// A loopback address for each stage: what one asks for at a port that was given back reaches no other.
@@ -96,7 +105,12 @@
 impl Default for Host {
     fn default() -> Self {
         static LAST: AtomicU8 = AtomicU8::new(0);
-        Host(Ipv4Addr::new(127, 1, 0, LAST.fetch_add(1, Ordering::Relaxed) + 1))
+        Host(Ipv4Addr::new(
+            127,
+            1,
+            0,
+            LAST.fetch_add(1, Ordering::Relaxed) + 1,
+        ))
     }
 }
 
@@ -107,17 +121,30 @@
 }
 
 /// Listens on a free port and hands each connection to a thread of its own.
-fn listen(host: &Host, serve: impl Fn(TcpStream) + Send + Sync + 'static) -> (String, Arc<AtomicBool>) {
+fn listen(
+    host: &Host,
+    serve: impl Fn(TcpStream) + Send + Sync + 'static,
+) -> (String, Arc<AtomicBool>) {
     let listener = host.free();
-    let (at, on) = (listener.local_addr().unwrap().to_string(), Arc::new(AtomicBool::new(true)));
+    let (at, on) = (
+        listener.local_addr().unwrap().to_string(),
+        Arc::new(AtomicBool::new(true)),
+    );
     accept(listener, on.clone(), serve);
     (at, on)
 }
 
-fn accept(listener: TcpListener, on: Arc<AtomicBool>, serve: impl Fn(TcpStream) + Send + Sync + 'static) {
+fn accept(
+    listener: TcpListener,
+    on: Arc<AtomicBool>,
+    serve: impl Fn(TcpStream) + Send + Sync + 'static,
+) {
     let serve = Arc::new(serve);
     spawn(move || {
-        for socket in listener.incoming().take_while(|_| on.load(Ordering::SeqCst)) {
+        for socket in listener
+            .incoming()
+            .take_while(|_| on.load(Ordering::SeqCst))
+        {
             let serve = serve.clone();
             spawn(move || serve(socket.expect("a connection")));
         }
@@ -180,10 +207,13 @@
                 _ if state.mode == "busy" => "busy".to_string(),
                 ["incr", name, add, _] => {
                     let sums = &mut state.sums;
-                    let place = sums.iter().position(|(known, _)| known == name).unwrap_or_else(|| {
-                        sums.push((name.to_string(), 0.0));
-                        sums.len() - 1
-                    });
+                    let place = sums
+                        .iter()
+                        .position(|(known, _)| known == name)
+                        .unwrap_or_else(|| {
+                            sums.push((name.to_string(), 0.0));
+                            sums.len() - 1
+                        });
                     sums[place].1 += add.parse::<f64>().expect("an amount");
                     let total = format!("ok {}", sums[place].1);
                     if state.mode == "spoilt" {
@@ -208,7 +238,11 @@
 fn told(list: &List) -> String {
     let list = list.lock().unwrap();
     let entries: Vec<&str> = list.1.values().map(String::as_str).collect();
-    format!("{{\"rev\":{},\"all\":true,\"targets\":[{}]}}", list.0, entries.join(","))
+    format!(
+        "{{\"rev\":{},\"all\":true,\"targets\":[{}]}}",
+        list.0,
+        entries.join(",")
+    )
 }
 
 /// What discovery was asked, how many calls it is still to turn away as a crowded one does, and how it is.
@@ -226,7 +260,9 @@
 
 /// The other side has ended the connection.
 fn ended(socket: &TcpStream) -> bool {
-    socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
+    socket
+        .set_read_timeout(Some(Duration::from_millis(5)))
+        .unwrap();
     let ended = matches!(socket.peek(&mut [0]), Ok(0));
     socket.set_read_timeout(None).unwrap();
     ended
@@ -272,7 +308,9 @@
                 if breaks {
                     // What was sent must have been read: a reset overtakes what waits on the other side.
                     sleep(Duration::from_millis(100));
-                    SockRef::from(&out).set_linger(Some(Duration::ZERO)).expect("a socket");
+                    SockRef::from(&out)
+                        .set_linger(Some(Duration::ZERO))
+                        .expect("a socket");
                     open.lock().unwrap().clear();
                     return;
                 }
@@ -285,14 +323,20 @@
                 let _ = out.write_all(refusal.as_bytes());
                 break;
             }
-            let after = head.split_once("after=").and_then(|(_, rest)| rest.split('&').next()?.parse().ok());
+            let after = head
+                .split_once("after=")
+                .and_then(|(_, rest)| rest.split('&').next()?.parse().ok());
             while after == Some(list.lock().unwrap().0) || mode("silent") {
                 if ended(&out) {
                     return asked.lock().unwrap().given_up += 1;
                 }
             }
             let body = told(&list);
-            let _ = write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let _ = write!(
+                out,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            );
         }
     };
     listen(host, serve)
@@ -316,11 +360,17 @@
 
 /// The bytes that a step names behind its second word.
 fn unescaped(step: &str) -> String {
-    step.splitn(3, ' ').nth(2).unwrap().replace("\\r", "\r").replace("\\n", "\n")
+    step.splitn(3, ' ')
+        .nth(2)
+        .unwrap()
+        .replace("\\r", "\r")
+        .replace("\\n", "\n")
 }
 
 fn cut(open: &mut Vec<TcpStream>) {
-    std::mem::take(open).iter().for_each(|socket| drop(socket.shutdown(Shutdown::Both)));
+    std::mem::take(open)
+        .iter()
+        .for_each(|socket| drop(socket.shutdown(Shutdown::Both)));
 }
 
 struct Server {
@@ -365,7 +415,10 @@
 impl Stage {
     /// What an app server does with a connection.
     fn serve(&mut self, name: &str) -> impl Fn(TcpStream) + Send + Sync + 'static {
-        let (sender, streams) = (self.seen.get_or_insert_with(channel).0.clone(), self.streams.clone());
+        let (sender, streams) = (
+            self.seen.get_or_insert_with(channel).0.clone(),
+            self.streams.clone(),
+        );
         let server = name.to_string();
         move |socket: TcpStream| {
             let connection = {
@@ -378,17 +431,30 @@
             loop {
                 let words = line(&mut input).and_then(|head| {
                     let count = head.strip_prefix('*')?.parse().ok()?;
-                    (0..count).map(|_| line(&mut input).and_then(|head| bulk(&mut input, &head))).collect()
+                    (0..count)
+                        .map(|_| line(&mut input).and_then(|head| bulk(&mut input, &head)))
+                        .collect()
                 });
                 let Some(words) = words else { break };
                 let words: Vec<String> = words;
                 unsaid = false;
                 let (server, id) = (server.clone(), words[2].trim_start_matches('0').to_string());
-                let wait = words[3].split(',').find_map(|pair| pair.strip_prefix("d=")?.parse().ok());
+                let wait = words[3]
+                    .split(',')
+                    .find_map(|pair| pair.strip_prefix("d=")?.parse().ok());
                 let wait = wait.expect("the list tells how long the node waits");
-                let _ = sender.send(Seen::Command { server, id, connection, wait });
+                let _ = sender.send(Seen::Command {
+                    server,
+                    id,
+                    connection,
+                    wait,
+                });
             }
-            let _ = sender.send(Seen::End { connection, server: server.clone(), unsaid });
+            let _ = sender.send(Seen::End {
+                connection,
+                server: server.clone(),
+                unsaid,
+            });
         }
     }
 
@@ -398,24 +464,35 @@
             listen(&self.host, serve)
         };
         self.tell(name, &at, "active", "0");
-        self.servers.insert(name.to_string(), Server { at, on, late: None });
+        self.servers
+            .insert(name.to_string(), Server { at, on, late: None });
     }
 
     /// An app server to which no connection comes up yet.
     fn late(&mut self, name: &str) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let free = SocketAddr::from((self.host.0, 0));
-        socket.bind(&free.into()).and_then(|()| socket.listen(0)).expect("a free port");
+        socket
+            .bind(&free.into())
+            .and_then(|()| socket.listen(0))
+            .expect("a free port");
         let listener: TcpListener = socket.into();
         let at = listener.local_addr().unwrap().to_string();
-        let (late, on) = (Some((listener, fill(&at, 8))), Arc::new(AtomicBool::new(true)));
+        let (late, on) = (
+            Some((listener, fill(&at, 8))),
+            Arc::new(AtomicBool::new(true)),
+        );
         self.tell(name, &at, "active", "0");
-        self.servers.insert(name.to_string(), Server { at, on, late });
+        self.servers
+            .insert(name.to_string(), Server { at, on, late });
     }
 
     fn up(&mut self, name: &str) {
-        let (listener, fill) =
-            self.servers.get_mut(name).and_then(|server| server.late.take()).expect("late before");
+        let (listener, fill) = self
+            .servers
+            .get_mut(name)
+            .and_then(|server| server.late.take())
+            .expect("late before");
         for _ in fill {
             listener.accept().expect("what fills the queue");
         }
@@ -433,7 +510,8 @@
     }
 
     fn start(&mut self, scenario: &str) {
-        self.file = std::env::temp_dir().join(format!("wellcrank-{}-{scenario}.json", std::process::id()));
+        self.file =
+            std::env::temp_dir().join(format!("wellcrank-{}-{scenario}.json", std::process::id()));
         self.write();
         let node = env!("CARGO_BIN_EXE_wellcrank-edge");
         let mut node = match self.descriptors {
@@ -444,8 +522,11 @@
                 shell
             }
         };
-        let log = std::fs::File::create(self.file.with_extension("log")).expect("a file for the log");
-        let node = node.env("BALANCER_CONFIG", &self.file).stderr(Stdio::from(log));
+        let log =
+            std::fs::File::create(self.file.with_extension("log")).expect("a file for the log");
+        let node = node
+            .env("BALANCER_CONFIG", &self.file)
+            .stderr(Stdio::from(log));
         if let Some(faults) = &self.faults {
             node.envs(faults.environment());
         }
@@ -457,7 +538,12 @@
     fn write(&mut self) {
         let (memory, sockets) = self.limits.unwrap_or((192, 1024));
         self.named = vec![
-            discovery(&self.host, self.list.clone(), self.watches.clone(), self.asked.clone()),
+            discovery(
+                &self.host,
+                self.list.clone(),
+                self.watches.clone(),
+                self.asked.clone(),
+            ),
             counter(&self.host, self.counter.clone()),
         ];
         // Chosen behind the stand-ins: the system may give one of them a port that was free a moment ago.
@@ -467,7 +553,9 @@
         let settings = include_str!("scenarios/settings.json");
         let mut settings: serde_json::Value = serde_json::from_str(settings).expect("settings");
         for (name, value) in &self.settings {
-            *settings.pointer_mut(&name.replace('.', "/")).expect("a setting") = value.clone();
+            *settings
+                .pointer_mut(&name.replace('.', "/"))
+                .expect("a setting") = value.clone();
         }
         let config = format!(
             "{{\"name\":\"n0\",\"listen\":\"{}\",\"discovery\":\"{}\",\"seed\":\"7\",\"counter\":\"{}\",\
@@ -483,7 +571,11 @@
 
     fn signal(&self, name: &str) {
         let id = self.node.as_ref().expect("a node").id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
+        assert!(Command::new("kill")
+            .args([name, &id])
+            .status()
+            .expect("kill")
+            .success());
     }
 
     /// What the node has logged so far.
@@ -519,11 +611,20 @@
     fn look(&mut self) {
         for seen in self.seen.get_or_insert_with(channel).1.try_iter() {
             match seen {
-                Seen::Command { server, id, connection, wait } => {
+                Seen::Command {
+                    server,
+                    id,
+                    connection,
+                    wait,
+                } => {
                     self.waits.insert(id.clone(), wait);
                     self.line.push_back((server, id, connection));
                 }
-                Seen::End { connection, server, unsaid } => {
+                Seen::End {
+                    connection,
+                    server,
+                    unsaid,
+                } => {
                     self.ended.push(connection);
                     self.unsaid.extend(unsaid.then_some(server));
                 }
@@ -555,9 +656,16 @@
             ["coming", name] => {
                 let at: SocketAddr = self.servers[name].at.parse().unwrap();
                 // The system's table of connections: the other side's address, and 02 where it was asked for.
-                let line = format!("{:08X}:{:04X} 02 ", u32::from(self.host.0).swap_bytes(), at.port());
+                let line = format!(
+                    "{:08X}:{:04X} 02 ",
+                    u32::from(self.host.0).swap_bytes(),
+                    at.port()
+                );
                 self.until(|_| {
-                    std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&line).then_some(())
+                    std::fs::read_to_string("/proc/net/tcp")
+                        .unwrap()
+                        .contains(&line)
+                        .then_some(())
                 });
             }
             ["up", name] => self.up(name),
@@ -573,7 +681,13 @@
                 let id = self.node.as_ref().expect("a node").id();
                 self.until(|_| {
                     let state = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap();
-                    state.rsplit(')').next().unwrap().trim_start().starts_with('T').then_some(())
+                    state
+                        .rsplit(')')
+                        .next()
+                        .unwrap()
+                        .trim_start()
+                        .starts_with('T')
+                        .then_some(())
                 });
             }
             ["resumed"] => self.signal("-CONT"),
@@ -584,7 +698,11 @@
                 self.servers[name].on.store(false, Ordering::SeqCst);
                 // The listener looks when somebody comes, and is dropped.
                 let _ = TcpStream::connect(&self.servers[name].at);
-                self.until(|stage| TcpStream::connect(&stage.servers[name].at).is_err().then_some(()));
+                self.until(|stage| {
+                    TcpStream::connect(&stage.servers[name].at)
+                        .is_err()
+                        .then_some(())
+                });
             }
             ["list", ref names @ ..] => {
                 for name in names {
@@ -593,27 +711,50 @@
                         Some('-') => "left",
                         _ => "active",
                     };
-                    let (name, started) =
-                        name.split_once('@').unwrap_or((name.trim_end_matches(['!', '-']), "0"));
+                    let (name, started) = name
+                        .split_once('@')
+                        .unwrap_or((name.trim_end_matches(['!', '-']), "0"));
                     let at = self.servers[name].at.clone();
-                    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis().to_string();
-                    self.tell(name, &at, state, if started == "now" { &now } else { started });
+                    let now = SystemTime::now()
+                        .duration_since(UNIX_EPOCH)
+                        .unwrap()
+                        .as_millis()
+                        .to_string();
+                    self.tell(
+                        name,
+                        &at,
+                        state,
+                        if started == "now" { &now } else { started },
+                    );
                 }
             }
             ["ask", client, id, route, plan, wait, ref size @ ..] => {
                 let list = format!("c={route},t={plan},d={wait},k=5,units=1,spread=1,first=0");
-                let verb = if route == "read" { "SVC.QUERY" } else { "SVC.SUBMIT" };
+                let verb = if route == "read" {
+                    "SVC.QUERY"
+                } else {
+                    "SVC.SUBMIT"
+                };
                 let (customer, id) = ("00000000b4d65521", format!("{id:0>16}"));
                 let body = "x".repeat(size.first().map_or(4, |size| size.parse().unwrap()));
                 let mut parts = vec![verb, customer, &id, &list];
                 parts.extend((route != "read").then_some(body.as_str()));
-                let parts = parts.iter().map(|part| format!("${}\r\n{part}\r\n", part.len()));
+                let parts = parts
+                    .iter()
+                    .map(|part| format!("${}\r\n{part}\r\n", part.len()));
                 let parts: Vec<String> = parts.collect();
                 let command = format!("*{}\r\n{}", parts.len(), parts.concat());
-                self.client(client).get_mut().write_all(command.as_bytes()).expect("the node reads");
+                self.client(client)
+                    .get_mut()
+                    .write_all(command.as_bytes())
+                    .expect("the node reads");
             }
             ["whole", client] => {
-                let error = self.client(client).get_ref().take_error().expect("its state");
+                let error = self
+                    .client(client)
+                    .get_ref()
+                    .take_error()
+                    .expect("its state");
                 assert!(error.is_none(), "{error:?}");
             }
             ["descriptors", most] => self.descriptors = Some(most.parse().unwrap()),
@@ -621,15 +762,24 @@
             ["connect", client] => drop(self.client(client)),
             ["raw", client, ..] => {
                 let bytes = unescaped(step);
-                self.client(client).get_mut().write_all(bytes.as_bytes()).expect("the node reads");
+                self.client(client)
+                    .get_mut()
+                    .write_all(bytes.as_bytes())
+                    .expect("the node reads");
             }
             ["much", client, kib] => {
                 let bytes = vec![b'x'; kib.parse::<usize>().unwrap() << 10];
-                self.client(client).get_mut().write_all(&bytes).expect("the node reads");
+                self.client(client)
+                    .get_mut()
+                    .write_all(&bytes)
+                    .expect("the node reads");
             }
             ["arrived", client, ..] => {
                 let input = self.client(client);
-                input.get_ref().set_read_timeout(Some(Duration::from_millis(10))).unwrap();
+                input
+                    .get_ref()
+                    .set_read_timeout(Some(Duration::from_millis(10)))
+                    .unwrap();
                 let there = input.fill_buf().is_ok();
                 input.get_ref().set_read_timeout(Some(PATIENCE)).unwrap();
                 assert!(there, "nothing has come to {client}");
@@ -640,7 +790,9 @@
                 let input = self.client(client);
                 let head = line_or_end(input);
                 let got = bulk(input, &head).map_or(head, |value| format!("${value}"));
-                let alike = wanted.strip_suffix('*').map_or(got == wanted, |start| got.starts_with(start));
+                let alike = wanted
+                    .strip_suffix('*')
+                    .map_or(got == wanted, |start| got.starts_with(start));
                 assert!(alike, "got: {}", &got[..got.len().min(60)]);
             }
             ["gets", server, id] => {
@@ -654,7 +806,10 @@
             }
             ["came", server, id] => {
                 self.look();
-                let place = self.line.iter().position(|(at, got, _)| at == server && got == id);
+                let place = self
+                    .line
+                    .iter()
+                    .position(|(at, got, _)| at == server && got == id);
                 let (_, _, connection) = self.line.remove(place.expect("it has come")).unwrap();
                 self.came.insert(id.to_string(), connection);
             }
@@ -671,13 +826,19 @@
                 let _ = self.streams.lock().unwrap()[self.came[id]].shutdown(Shutdown::Both);
             }
             ["says", id, said, ref figures @ ..] => {
-                let figures = figures.first().map_or("$-1".into(), |it| format!("${}\r\n{it}", it.len()));
+                let figures = figures
+                    .first()
+                    .map_or("$-1".into(), |it| format!("${}\r\n{it}", it.len()));
                 let said = match said.split_once('*') {
-                    Some((value, times)) => format!("${}", value[1..].repeat(times.parse().unwrap())),
+                    Some((value, times)) => {
+                        format!("${}", value[1..].repeat(times.parse().unwrap()))
+                    }
                     None => said.to_string(),
                 };
                 let answer = match said.strip_prefix('$') {
-                    Some(value) => format!("*3\r\n${}\r\n{value}\r\n{figures}\r\n$-1\r\n", value.len()),
+                    Some(value) => {
+                        format!("*3\r\n${}\r\n{value}\r\n{figures}\r\n$-1\r\n", value.len())
+                    }
                     None => format!("{said}\r\n"),
                 };
                 let mut stream = &self.streams.lock().unwrap()[self.came[id]];
@@ -697,15 +858,28 @@
             ["counter", mode] => self.counter.lock().unwrap().mode = mode.to_string(),
             ["even"] => self.until(|stage| {
                 let counter = stage.counter.lock().unwrap();
-                counter.sums.last().is_some_and(|(_, sum)| *sum == 0.0).then_some(())
+                counter
+                    .sums
+                    .last()
+                    .is_some_and(|(_, sum)| *sum == 0.0)
+                    .then_some(())
             }),
             ["setting", name, value] => {
-                self.settings.push((format!("/{name}"), value.parse().expect("a number or a flag")));
+                self.settings.push((
+                    format!("/{name}"),
+                    value.parse().expect("a number or a flag"),
+                ));
             }
             ["discovery", how @ ("says" | "breaks"), ..] => {
-                self.asked.lock().unwrap().says.push_back((unescaped(step), how == "breaks"));
+                self.asked
+                    .lock()
+                    .unwrap()
+                    .says
+                    .push_back((unescaped(step), how == "breaks"));
+            }
+            ["discovery", "deaf", count] => {
+                self.asked.lock().unwrap().deaf = count.parse().unwrap()
             }
-            ["discovery", "deaf", count] => self.asked.lock().unwrap().deaf = count.parse().unwrap(),
             ["discovery", "deaf", count, "watch"] => {
                 self.asked.lock().unwrap().deaf_watches = count.parse().unwrap();
             }
@@ -742,19 +916,24 @@
                     let asked = stage.asked.lock().unwrap();
                     (asked.heads.len() >= count).then(|| asked.heads.clone())
                 });
-                let whole: Vec<&String> = heads.iter().filter(|head| !head.contains("?after=")).collect();
+                let whole: Vec<&String> = heads
+                    .iter()
+                    .filter(|head| !head.contains("?after="))
+                    .collect();
                 assert!(whole.is_empty(), "the whole list was asked for: {whole:?}");
             }
             ["moved"] => {
                 let old = std::mem::take(&mut self.named);
-                old.iter().for_each(|(_, on)| on.store(false, Ordering::SeqCst));
+                old.iter()
+                    .for_each(|(_, on)| on.store(false, Ordering::SeqCst));
                 let (counter, watches) = (self.counter.clone(), self.watches.clone());
                 let mut open = std::mem::take(&mut counter.lock().unwrap().open);
                 open.append(&mut watches.lock().unwrap());
                 self.write();
                 self.signal("-HUP");
                 self.until(|_| {
-                    let met = !counter.lock().unwrap().open.is_empty() && !watches.lock().unwrap().is_empty();
+                    let met = !counter.lock().unwrap().open.is_empty()
+                        && !watches.lock().unwrap().is_empty();
                     met.then(|| cut(&mut open))
                 });
             }
@@ -768,14 +947,18 @@
             }
             ["faults"] => self.faults = Some(Faults::new(&self.host.0.to_string())),
             ["fails", call, error, times] => {
-                self.faults().fail(call, error_number(error), times.parse().unwrap());
+                self.faults()
+                    .fail(call, error_number(error), times.parse().unwrap());
             }
             ["clock", seconds] => self.faults().step_clock(seconds.parse().unwrap()),
             ["pieces", bytes] => self.faults().pieces(bytes.parse().unwrap()),
             ["held", "up", milliseconds] => self.faults().hold_up(milliseconds.parse().unwrap(), 1),
             ["wait", milliseconds] => sleep(Duration::from_millis(milliseconds.parse().unwrap())),
             ["half", client] => {
-                self.client(client).get_ref().shutdown(Shutdown::Write).expect("the node reads");
+                self.client(client)
+                    .get_ref()
+                    .shutdown(Shutdown::Write)
+                    .expect("the node reads");
             }
             ["tells", id, most] => {
                 let (told, most) = (self.waits[id], most.parse::<u64>().unwrap());
@@ -783,7 +966,9 @@
             }
             ["stop"] => self.signal("-TERM"),
             ["killed", ref after @ ..] => {
-                sleep(Duration::from_millis(after.first().map_or(3700, |after| after.parse().unwrap())));
+                sleep(Duration::from_millis(
+                    after.first().map_or(3700, |after| after.parse().unwrap()),
+                ));
                 self.signal("-KILL");
             }
             ["gone"] => {
@@ -792,7 +977,11 @@
             }
             ["times", count, ..] => {
                 for time in 0..count.parse().unwrap() {
-                    let steps = step.splitn(3, ' ').nth(2).unwrap().replace('%', &format!("{time}"));
+                    let steps = step
+                        .splitn(3, ' ')
+                        .nth(2)
+                        .unwrap()
+                        .replace('%', &format!("{time}"));
                     steps.split(';').for_each(|step| self.step(step.trim()));
                 }
             }
--- a/faults/src/handle.rs
+++ b/faults/src/handle.rs
@@ -18,7 +18,8 @@
 impl Faults {
     /// `name` tells the pages of one process apart.
     pub fn new(name: &str) -> Faults {
-        let path = std::env::temp_dir().join(format!("wellcrank-{}-{name}.faults", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("wellcrank-{}-{name}.faults", std::process::id()));
         std::fs::write(&path, [0; 8 * page::NUMBERS]).expect("a file for the page");
         let file = File::options().write(true).open(&path).expect("the page");
         Faults { path, file }
@@ -26,14 +27,25 @@
 
     /// What the environment of a process has to hold.
     pub fn environment(&self) -> Vec<(String, OsString)> {
-        let library = std::env::current_exe().expect("this test").with_file_name("libwellcrank_faults.so");
-        assert!(library.exists(), "the build leaves the library beside the tests: {}", library.display());
-        vec![("LD_PRELOAD".into(), library.into()), (page::FILE.into(), self.path.clone().into())]
+        let library = std::env::current_exe()
+            .expect("this test")
+            .with_file_name("libwellcrank_faults.so");
+        assert!(
+            library.exists(),
+            "the build leaves the library beside the tests: {}",
+            library.display()
+        );
+        vec![
+            ("LD_PRELOAD".into(), library.into()),
+            (page::FILE.into(), self.path.clone().into()),
+        ]
     }
 
     /// Puts a number on the page.
     pub fn set(&self, place: usize, number: i64) {
-        self.file.write_all_at(&number.to_ne_bytes(), 8 * place as u64).expect("the page");
+        self.file
+            .write_all_at(&number.to_ne_bytes(), 8 * place as u64)
+            .expect("the page");
     }
 
     /// So many of the next calls fail with that error number.
--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -15,11 +15,22 @@
 fn shared() -> Option<&'static Page> {
     static PAGE: OnceLock<Option<&'static Page>> = OnceLock::new();
     *PAGE.get_or_init(|| {
-        let file = OpenOptions::new().read(true).write(true).open(std::env::var_os(page::FILE)?).ok()?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .open(std::env::var_os(page::FILE)?)
+            .ok()?;
         let (length, access) = (size_of::<Page>(), libc::PROT_READ | libc::PROT_WRITE);
         // SAFETY: the file is a whole page long and stays mapped as long as the process lives.
         let at = unsafe {
-            libc::mmap(std::ptr::null_mut(), length, access, libc::MAP_SHARED, file.as_raw_fd(), 0)
+            libc::mmap(
+                std::ptr::null_mut(),
+                length,
+                access,
+                libc::MAP_SHARED,
+                file.as_raw_fd(),
+                0,
+            )
         };
         // SAFETY: mapped above, aligned to a page, and any bytes are numbers.
         (at != libc::MAP_FAILED).then(|| unsafe { &*at.cast::<Page>() })
@@ -33,12 +44,18 @@
 /// Takes one off a number that is above zero; says whether there was one.
 fn take_one(place: usize) -> bool {
     let less = |left: i64| (left > 0).then(|| left - 1);
-    shared().is_some_and(|page| page[place].fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).is_ok())
+    shared().is_some_and(|page| {
+        page[place]
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, less)
+            .is_ok()
+    })
 }
 
 /// Whether this call is to fail; its error number is set.
 fn fails(call: &str) -> bool {
-    let Some(error) = page::error_of(call).filter(|error| take_one(error + 1)) else { return false };
+    let Some(error) = page::error_of(call).filter(|error| take_one(error + 1)) else {
+        return false;
+    };
     // SAFETY: the place of this thread's error number.
     unsafe { *libc::__errno_location() = number(error) as c_int };
     true
@@ -101,7 +118,12 @@
 /// # Safety
 /// As epoll_ctl(2). Only a descriptor that is added can fail: to change or remove one needs no memory.
 #[no_mangle]
-pub unsafe extern "C" fn epoll_ctl(poll: c_int, what: c_int, fd: c_int, event: *mut epoll_event) -> c_int {
+pub unsafe extern "C" fn epoll_ctl(
+    poll: c_int,
+    what: c_int,
+    fd: c_int,
+    event: *mut epoll_event,
+) -> c_int {
     if what == libc::EPOLL_CTL_ADD {
         return pass_on!("register", libc::SYS_epoll_ctl, poll, what, fd, event);
     }
@@ -125,16 +147,44 @@
 #[no_mangle]
 pub unsafe extern "C" fn recv(fd: c_int, to: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
     let (length, nobody) = (at_most(page::MOST_READ, length), std::ptr::null::<c_void>());
-    pass_on!("read", libc::SYS_recvfrom, fd, to, length, flags, nobody, nobody)
+    pass_on!(
+        "read",
+        libc::SYS_recvfrom,
+        fd,
+        to,
+        length,
+        flags,
+        nobody,
+        nobody
+    )
 }
 
 /// # Safety
 /// As send(2).
 #[no_mangle]
-pub unsafe extern "C" fn send(fd: c_int, from: *const c_void, length: size_t, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn send(
+    fd: c_int,
+    from: *const c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
     if take_one(page::HELD_UP) {
-        std::thread::sleep(std::time::Duration::from_millis(number(page::HELD_UP_MS) as u64));
+        std::thread::sleep(std::time::Duration::from_millis(
+            number(page::HELD_UP_MS) as u64
+        ));
     }
-    let (length, nobody) = (at_most(page::MOST_WRITTEN, length), std::ptr::null::<c_void>());
-    pass_on!("write", libc::SYS_sendto, fd, from, length, flags, nobody, 0)
+    let (length, nobody) = (
+        at_most(page::MOST_WRITTEN, length),
+        std::ptr::null::<c_void>(),
+    );
+    pass_on!(
+        "write",
+        libc::SYS_sendto,
+        fd,
+        from,
+        length,
+        flags,
+        nobody,
+        0
+    )
 }
--- a/faults/src/page.rs
+++ b/faults/src/page.rs
@@ -17,9 +17,14 @@
 pub const HELD_UP_MS: usize = 4;
 
 /// The system calls that can be made to fail.
-pub const CALLS: [&str; 7] = ["accept", "socket", "connect", "register", "wait", "read", "write"];
+pub const CALLS: [&str; 7] = [
+    "accept", "socket", "connect", "register", "wait", "read", "write",
+];
 
 /// Where a call's error number stands; behind it, how many of the next calls fail with it.
 pub fn error_of(call: &str) -> Option<usize> {
-    CALLS.iter().position(|known| *known == call).map(|place| 8 + 2 * place)
+    CALLS
+        .iter()
+        .position(|known| *known == call)
+        .map(|place| 8 + 2 * place)
 }
--- a/fleet/src/backoff.rs
+++ b/fleet/src/backoff.rs
@@ -22,15 +22,23 @@
     /// as the most at any time: where calls that are turned away cost the service too, a fleet that comes again faster than it
     /// serves keeps it full for good, and only a first span that grows with the fleet lets it empty.
     pub fn shared(base: Duration, gateways: f64, longest: Duration) -> Backoff {
-        let first = base.min(longest).mul_f64((gateways / GATEWAYS_A_BASE).clamp(1.0, 1e6));
-        Backoff { first: first.min(longest), most: longest }
+        let first = base
+            .min(longest)
+            .mul_f64((gateways / GATEWAYS_A_BASE).clamp(1.0, 1e6));
+        Backoff {
+            first: first.min(longest),
+            most: longest,
+        }
     }
 
     /// The span in which the next call falls after `failures` in a row (none: no wait).
     pub fn span(&self, failures: u32) -> Duration {
         match failures {
             0 => Duration::ZERO,
-            more => self.first.saturating_mul(1 << (more - 1).min(16)).min(self.most.max(self.first)),
+            more => self
+                .first
+                .saturating_mul(1 << (more - 1).min(16))
+                .min(self.most.max(self.first)),
         }
     }
 
--- a/fleet/src/backoff/tests.rs
+++ b/fleet/src/backoff/tests.rs
@@ -4,25 +4,41 @@
 
 #[test]
 fn spans_double_up_to_the_most() {
-    let backoff = Backoff { first: MS(250), most: MS(4000) };
-    let spans: Vec<u64> = (0..8).map(|failures| backoff.span(failures).as_millis() as u64).collect();
+    let backoff = Backoff {
+        first: MS(250),
+        most: MS(4000),
+    };
+    let spans: Vec<u64> = (0..8)
+        .map(|failures| backoff.span(failures).as_millis() as u64)
+        .collect();
     assert_eq!(spans, [0, 250, 500, 1000, 2000, 4000, 4000, 4000]);
     assert_eq!(backoff.span(u32::MAX), MS(4000));
 }
 
 #[test]
 fn waits_stay_in_the_span_and_spread_over_it() {
-    let backoff = Backoff { first: MS(250), most: MS(4000) };
+    let backoff = Backoff {
+        first: MS(250),
+        most: MS(4000),
+    };
     assert_eq!(backoff.wait(0, 0.7), Duration::ZERO);
     assert_eq!(backoff.wait(5, 0.0), MS(62) + Duration::from_micros(500));
     assert_eq!(backoff.wait(5, 0.5), MS(2000));
     assert_eq!(backoff.wait(5, 2.0), MS(4000));
     // A hundred gateways turned away at one instant, with evenly spread draws: no tenth of the span holds
     // more than a tenth and one of them.
-    let waits: Vec<Duration> = (0..100).map(|g| backoff.wait(6, f64::from(g) / 100.0)).collect();
+    let waits: Vec<Duration> = (0..100)
+        .map(|g| backoff.wait(6, f64::from(g) / 100.0))
+        .collect();
     for tenth in 0..10u32 {
         let (from, to) = (MS(400) * tenth, MS(400) * (tenth + 1));
-        assert!(waits.iter().filter(|wait| (from..to).contains(wait)).count() <= 11);
+        assert!(
+            waits
+                .iter()
+                .filter(|wait| (from..to).contains(wait))
+                .count()
+                <= 11
+        );
     }
 }
 
@@ -40,6 +56,9 @@
 
 #[test]
 fn a_first_span_longer_than_the_most_is_kept() {
-    let backoff = Backoff { first: MS(500), most: MS(100) };
+    let backoff = Backoff {
+        first: MS(500),
+        most: MS(100),
+    };
     assert_eq!(backoff.span(3), MS(500));
 }
--- a/fleet/src/ramp.rs
+++ b/fleet/src/ramp.rs
@@ -21,7 +21,10 @@
 impl Share {
     /// The part of one of `gateways` alike that use a server which bears `budget` sends a second in all.
     pub fn of(budget: f64, gateways: f64, lapse: Duration) -> Share {
-        Share { rate: (budget / gateways.max(1.0)).max(0.0), lapse }
+        Share {
+            rate: (budget / gateways.max(1.0)).max(0.0),
+            lapse,
+        }
     }
 }
 
@@ -37,7 +40,10 @@
     /// late at another.
     pub fn new(gateway: u32, salt: u64, now: Duration) -> Ramp {
         let salt = (salt >> 11) as f64 / (1u64 << 53) as f64;
-        Ramp { credit: (spread::place(gateway) + salt).fract(), at: now }
+        Ramp {
+            credit: (spread::place(gateway) + salt).fract(),
+            at: now,
+        }
     }
 
     /// Permits that may be used now, and the part of the next.
@@ -57,7 +63,10 @@
     /// One was sent.
     pub fn sent(&mut self, now: Duration, share: Share) {
         let (permits, part) = self.permits(now, share);
-        *self = Ramp { credit: (permits - 1.0).max(0.0) + part, at: now };
+        *self = Ramp {
+            credit: (permits - 1.0).max(0.0) + part,
+            at: now,
+        };
     }
 }
 
--- a/fleet/src/ramp/tests.rs
+++ b/fleet/src/ramp/tests.rs
@@ -5,10 +5,18 @@
 
 /// The most sends in any window, where each gateway sends whenever it is permitted and `wants` says so, and a send
 /// arrives up to `late` seconds after it was decided.
-fn most(gateways: u32, share: Share, late: f64, rng: &mut WyRand, wants: impl Fn(f64) -> bool) -> usize {
+fn most(
+    gateways: u32,
+    share: Share,
+    late: f64,
+    rng: &mut WyRand,
+    wants: impl Fn(f64) -> bool,
+) -> usize {
     let start = Duration::from_secs(1_700_000_000);
     let salt = rng.generate::<u64>();
-    let mut ramps: Vec<Ramp> = (0..gateways).map(|gateway| Ramp::new(gateway, salt, start)).collect();
+    let mut ramps: Vec<Ramp> = (0..gateways)
+        .map(|gateway| Ramp::new(gateway, salt, start))
+        .collect();
     let mut sends: Vec<f64> = Vec::new();
     for step in 0..500 {
         let at = f64::from(step) * 0.02;
@@ -31,11 +39,19 @@
     for gateways in [3, 20, 30, 100, 350, 1024] {
         for budget in [0.5, 4.0, 12.0, 60.0, 900.0] {
             // The module uses 0.4 of the budget, its permits lapse in a window, and a send begins half of one late at most.
-            let share = Share::of(budget * 0.4, f64::from(gateways), Duration::from_secs_f64(WINDOW));
+            let share = Share::of(
+                budget * 0.4,
+                f64::from(gateways),
+                Duration::from_secs_f64(WINDOW),
+            );
             let allowed = budget + 2.0 * budget.sqrt() + 2.0;
             let steady = most(gateways, share, 0.0, &mut rng, |_| true);
-            let burst = most(gateways, share, 0.0, &mut rng, |at| (4.0..4.1).contains(&at));
-            let late = most(gateways, share, WINDOW / 2.0, &mut rng, |at| !(3.0..5.0).contains(&at));
+            let burst = most(gateways, share, 0.0, &mut rng, |at| {
+                (4.0..4.1).contains(&at)
+            });
+            let late = most(gateways, share, WINDOW / 2.0, &mut rng, |at| {
+                !(3.0..5.0).contains(&at)
+            });
             for (what, sends) in [("steady", steady), ("burst", burst), ("late", late)] {
                 assert!(
                     sends as f64 <= allowed,
@@ -43,7 +59,10 @@
                 );
             }
             let least = (budget * 0.4 * WINDOW).floor() * 0.8 - 1.0;
-            assert!(steady as f64 >= least, "{gateways} gateways, {budget}: {steady} of {least}");
+            assert!(
+                steady as f64 >= least,
+                "{gateways} gateways, {budget}: {steady} of {least}"
+            );
         }
     }
 }
@@ -52,24 +71,34 @@
 fn fractions_are_carried_over_and_permits_lapse() {
     let start = Duration::from_secs(50);
     let share = Share::of(1.0, 4.0, Duration::from_millis(500));
-    let mut ramp = Ramp { credit: 0.5, at: start };
+    let mut ramp = Ramp {
+        credit: 0.5,
+        at: start,
+    };
     let at = |ms| start + Duration::from_millis(ms);
     assert!(!ramp.permits_one(at(1999), share));
     assert!(ramp.permits_one(at(2001), share));
     assert!(!ramp.permits_one(at(2501), share), "lapsed");
     ramp.sent(at(2400), share);
     assert!(!ramp.permits_one(at(5999), share));
-    assert!(ramp.permits_one(at(6001), share), "by its coming together, not by its use");
+    assert!(
+        ramp.permits_one(at(6001), share),
+        "by its coming together, not by its use"
+    );
     assert!(!Ramp::new(7, 9, start).permits_one(at(3_600_000), Share::of(0.0, 3.0, share.lapse)));
 }
 
 #[test]
 fn gateways_begin_at_parts_that_are_spread_evenly() {
     for gateways in [3u32, 30, 350, 1024] {
-        let mut parts: Vec<f64> =
-            (0..gateways).map(|gateway| Ramp::new(gateway, 77, Duration::ZERO).credit).collect();
+        let mut parts: Vec<f64> = (0..gateways)
+            .map(|gateway| Ramp::new(gateway, 77, Duration::ZERO).credit)
+            .collect();
         parts.sort_by(f64::total_cmp);
         let even = f64::from(gateways);
-        assert!(parts.windows(2).all(|pair| pair[1] - pair[0] < 2.7 / even), "{gateways}");
+        assert!(
+            parts.windows(2).all(|pair| pair[1] - pair[0] < 2.7 / even),
+            "{gateways}"
+        );
     }
 }
--- a/fleet/src/recall.rs
+++ b/fleet/src/recall.rs
@@ -49,7 +49,11 @@
 
 impl Recall {
     pub fn new(terms: Terms) -> Recall {
-        Recall { terms, unheard: 0, refused: 0 }
+        Recall {
+            terms,
+            unheard: 0,
+            refused: 0,
+        }
     }
 
     /// Other terms from now on; what has failed since the last list stays counted.
@@ -87,7 +91,9 @@
     /// The least time between the beginnings of two calls: a quarter of the grace, so that the return of the service,
     /// one such time, a connection and the answer all fit in it.
     pub fn pace(&self) -> Duration {
-        (self.terms.grace / 4).min(self.terms.connect).clamp(Duration::from_millis(10), TOLD / 48)
+        (self.terms.grace / 4)
+            .min(self.terms.connect)
+            .clamp(Duration::from_millis(10), TOLD / 48)
     }
 
     /// How long a connection may take to come up: what asks for it may be lost while the service is away, and the
@@ -102,9 +108,17 @@
     /// service may be slow, up to four times as long (a whole list: sixteen times). A crowded service that gateways
     /// share is left the time that it takes to turn a call away: one given up before that has cost it as much.
     pub fn answer_time(&self, whole: bool) -> Duration {
-        let (longest, most) = if whole { (16, TOLD / 3) } else { (4, TOLD / 12) };
+        let (longest, most) = if whole {
+            (16, TOLD / 3)
+        } else {
+            (4, TOLD / 12)
+        };
         let slow = self.terms.connect.min(TOLD) * (1u32 << self.failures().min(8)).min(longest);
-        let least = if whole && self.terms.sharing.is_some() { most } else { LEAST };
+        let least = if whole && self.terms.sharing.is_some() {
+            most
+        } else {
+            LEAST
+        };
         slow.clamp(least, most)
     }
 
@@ -118,7 +132,10 @@
     /// How long a gateway that knows a list waits before its first call, by its number: where hundreds start together
     /// and call a service that they share at one moment, most are turned away, and keep it crowded.
     pub fn first(&self, gateway: u32) -> Duration {
-        let span = self.terms.sharing.map_or(Duration::ZERO, |gateways| self.backoff(gateways).first);
+        let span = self
+            .terms
+            .sharing
+            .map_or(Duration::ZERO, |gateways| self.backoff(gateways).first);
         span.mul_f64(spread::place(gateway))
     }
 
@@ -149,7 +166,9 @@
     /// At the pace, counted from the call that failed: at once after one that was waited for. The draw parts gateways
     /// that failed together.
     fn soon(&self, ago: Duration, draw: f64) -> Duration {
-        self.pace().mul_f64(0.5 + draw.clamp(0.0, 1.0) / 2.0).saturating_sub(ago)
+        self.pace()
+            .mul_f64(0.5 + draw.clamp(0.0, 1.0) / 2.0)
+            .saturating_sub(ago)
     }
 }
 
--- a/fleet/src/recall/tests.rs
+++ b/fleet/src/recall/tests.rs
@@ -4,12 +4,23 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 fn terms(connect: u64, grace: u64, sharing: Option<f64>) -> Terms {
-    Terms { connect: MS(connect), grace: MS(grace), within: MS(10_000), sharing }
+    Terms {
+        connect: MS(connect),
+        grace: MS(grace),
+        within: MS(10_000),
+        sharing,
+    }
 }
 
 #[test]
 fn after_silence_the_return_is_heard_within_the_grace_at_any_number_of_failures() {
-    for (connect, grace) in [(250, 500), (250, 250), (50, 2000), (1000, 500), (2000, 2000)] {
+    for (connect, grace) in [
+        (250, 500),
+        (250, 250),
+        (50, 2000),
+        (1000, 500),
+        (2000, 2000),
+    ] {
         for sharing in [None, Some(3.0), Some(1024.0)] {
             for draw in [0.0, 0.5, 0.999] {
                 let mut recall = Recall::new(terms(connect, grace, sharing));
@@ -17,7 +28,10 @@
                     // A connection that is refused or reset at once, one that never came up, one that fell silent.
                     let ago = [MS(0), recall.coming_up(), recall.watch()][failure % 3];
                     let wait = recall.failed(Failure::Unheard, ago, draw);
-                    assert!(wait <= recall.pace(), "{connect} {grace} {failure}: {wait:?}");
+                    assert!(
+                        wait <= recall.pace(),
+                        "{connect} {grace} {failure}: {wait:?}"
+                    );
                     assert!(wait + recall.coming_up() <= MS(grace).max(MS(connect)) * 3 / 4);
                 }
             }
@@ -37,7 +51,9 @@
 fn a_shared_service_that_says_no_is_left_alone_for_longer_and_longer_within_what_counts_as_told() {
     let mut recall = Recall::new(terms(250, 500, Some(20.0)));
     let waits = |recall: &mut Recall| -> Vec<u64> {
-        (0..5).map(|_| recall.failed(Failure::Refused, MS(0), 0.5).as_millis() as u64).collect()
+        (0..5)
+            .map(|_| recall.failed(Failure::Refused, MS(0), 0.5).as_millis() as u64)
+            .collect()
     };
     assert_eq!(waits(&mut recall), [500, 1000, 2000, 2000, 2000]);
     // Silence in between is no sign of room, nor does it make the next call wait.
@@ -45,7 +61,10 @@
     assert_eq!(recall.failed(Failure::Refused, MS(0), 0.5), MS(2000));
     recall.answered();
     assert_eq!(recall.failed(Failure::Refused, MS(0), 0.5), MS(500));
-    assert_eq!(waits(&mut Recall::new(terms(250, 500, Some(300.0)))), [2000; 5]);
+    assert_eq!(
+        waits(&mut Recall::new(terms(250, 500, Some(300.0)))),
+        [2000; 5]
+    );
 }
 
 #[test]
@@ -63,8 +82,14 @@
         _ => MS(rng.generate_range(1..usual)),
     };
     let (connect, grace, within) = (span(3000), span(3000), span(60_000));
-    let sharing = [None, Some(0.0), Some(3.0), Some(350.0), Some(1024.0)][rng.generate_range(0..5usize)];
-    Terms { connect, grace, within, sharing }
+    let sharing =
+        [None, Some(0.0), Some(3.0), Some(350.0), Some(1024.0)][rng.generate_range(0..5usize)];
+    Terms {
+        connect,
+        grace,
+        within,
+        sharing,
+    }
 }
 
 #[test]
@@ -83,19 +108,35 @@
         let mut after = recall;
         after.failed(Failure::Unheard, silent, rng.generate());
         let again = after.pace() + after.coming_up() + after.answer_time(false);
-        assert!(silent + again * 2 <= TOLD + MS(250), "{terms:?}: {silent:?} {again:?}");
+        assert!(
+            silent + again * 2 <= TOLD + MS(250),
+            "{terms:?}: {silent:?} {again:?}"
+        );
         // So does a whole list.
         let whole = recall.answer_time(true);
-        assert!(whole + after.pace() + after.coming_up() + after.answer_time(true) <= TOLD, "{terms:?}");
+        assert!(
+            whole + after.pace() + after.coming_up() + after.answer_time(true) <= TOLD,
+            "{terms:?}"
+        );
         // A call is refused, the next is answered within the time that a crowded service takes.
         let wait = recall.failed(Failure::Refused, MS(0), rng.generate());
         assert!(wait + TOLD / 3 <= TOLD, "{terms:?}: {wait:?}");
-        assert!(!shared || recall.answer_time(true) >= TOLD / 3, "given up before it is turned away");
+        assert!(
+            !shared || recall.answer_time(true) >= TOLD / 3,
+            "given up before it is turned away"
+        );
         // And the first call of a gateway that starts.
         let first = recall.first(rng.generate_range(0..1024u32));
-        assert!(first + TOLD / 3 <= TOLD && (shared || first.is_zero()), "{terms:?}: {first:?}");
+        assert!(
+            first + TOLD / 3 <= TOLD && (shared || first.is_zero()),
+            "{terms:?}: {first:?}"
+        );
         // Nothing is so short that it can't succeed, or calls come one upon another.
-        assert!(recall.watch() >= LEAST && recall.coming_up() >= LEAST && recall.answer_time(false) >= LEAST);
+        assert!(
+            recall.watch() >= LEAST
+                && recall.coming_up() >= LEAST
+                && recall.answer_time(false) >= LEAST
+        );
     }
 }
 
@@ -104,5 +145,8 @@
     let recall = Recall::new(terms(250, 500, Some(300.0)));
     let mut firsts: Vec<Duration> = (0..300).map(|gateway| recall.first(gateway)).collect();
     firsts.sort();
-    assert!(firsts.windows(60).all(|row| row[59] - row[0] > MS(700)), "80 a second at the most");
+    assert!(
+        firsts.windows(60).all(|row| row[59] - row[0] > MS(700)),
+        "80 a second at the most"
+    );
 }
--- a/fleet/src/subset.rs
+++ b/fleet/src/subset.rs
@@ -48,7 +48,12 @@
 }
 
 /// The servers of one gateway, as places in `ring`, which holds each server's [`place`] in rising order.
-pub fn window(ring: usize, gateway: u32, gateways: u32, width: usize) -> impl Iterator<Item = usize> {
+pub fn window(
+    ring: usize,
+    gateway: u32,
+    gateways: u32,
+    width: usize,
+) -> impl Iterator<Item = usize> {
     let share = f64::from(gateway % gateways.max(1)) / f64::from(gateways.max(1));
     let start = (share * ring as f64) as usize;
     (0..width.min(ring)).map(move |step| (start + step) % ring)
--- a/lab/src/agree.rs
+++ b/lab/src/agree.rs
@@ -31,15 +31,25 @@
 
 /// The model's differences by seed.
 fn differences(results: &[Results], base: &str, other: &str, figure: &str) -> Vec<f64> {
-    let value = |it: &Results| it.figures().iter().find(|(name, _)| *name == figure).map_or(0.0, |it| it.1);
+    let value = |it: &Results| {
+        it.figures()
+            .iter()
+            .find(|(name, _)| *name == figure)
+            .map_or(0.0, |it| it.1)
+    };
     let all: Vec<&Results> = results.iter().collect();
-    let pairs = stats::pairs(&all, base, other).into_iter().filter(stats::in_time);
+    let pairs = stats::pairs(&all, base, other)
+        .into_iter()
+        .filter(stats::in_time);
     pairs.map(|(one, two)| value(two) - value(one)).collect()
 }
 
 /// Where a mean over `count` seeds should fall, from the model's differences: half the width of 95%.
 pub fn reach(differences: &[f64], count: usize) -> f64 {
-    stats::half_width(differences, 1.0 / differences.len() as f64 + 1.0 / count.max(1) as f64)
+    stats::half_width(
+        differences,
+        1.0 / differences.len() as f64 + 1.0 / count.max(1) as f64,
+    )
 }
 
 /// Plays every variant of an experiment against its first in both engines. `model_seeds` in simulated time,
@@ -56,7 +66,11 @@
         seeds: Some((1..=count.max(1) as u64).collect()),
         ..ways.clone()
     };
-    let model = runs::all(experiment, &engine(Engine::Simulated, model_seeds.max(3)), told)?;
+    let model = runs::all(
+        experiment,
+        &engine(Engine::Simulated, model_seeds.max(3)),
+        told,
+    )?;
     let loopback = runs::all(experiment, &engine(Engine::Loopback, seeds), told)?;
     let sides = experiment.sides();
     let trial = |other: &crate::experiment::Variant| {
--- a/lab/src/bears.rs
+++ b/lab/src/bears.rs
@@ -25,9 +25,17 @@
     it.counter.bears = 1e6;
     it.counter.latency_ms = 0.0;
     it.network.near_ms = 0.0;
-    let plan = PlanTerms { rate: 20.0, burst: 100.0, cap: 50.0, ..it.plans[0].clone() };
+    let plan = PlanTerms {
+        rate: 20.0,
+        burst: 100.0,
+        cap: 50.0,
+        ..it.plans[0].clone()
+    };
     it.plans = vec![plan];
-    let route = RouteTerms { work_ms: 0.0, ..it.routes[0].clone() };
+    let route = RouteTerms {
+        work_ms: 0.0,
+        ..it.routes[0].clone()
+    };
     it.routes = vec![route];
     it
 }
@@ -52,7 +60,11 @@
         let all = &results.all;
         let proxied = all.proxied as f64 >= all.asked as f64 * 0.99;
         let borne = proxied && results.proxied_ms.p99 <= p99_ms && results.sound();
-        told(&Step { calls, results, borne });
+        told(&Step {
+            calls,
+            results,
+            borne,
+        });
         Ok(borne)
     };
     // A hiccup of the machine is no limit of the gateway: a rate is tried twice before it counts as too high.
--- a/lab/src/clock.rs
+++ b/lab/src/clock.rs
@@ -9,8 +9,13 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), wall }
+        let wall = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            wall,
+        }
     }
 
     pub fn now(&self) -> Duration {
--- a/lab/src/decision_engine.rs
+++ b/lab/src/decision_engine.rs
@@ -37,7 +37,8 @@
 
 pub trait DecisionEngine {
     /// Something has happened at a gateway.
-    fn deliver(&mut self, now: Duration, gateway: usize, event: GatewayEvent) -> Result<(), String>;
+    fn deliver(&mut self, now: Duration, gateway: usize, event: GatewayEvent)
+        -> Result<(), String>;
     /// All that has been done since, in its order.
     fn actions(&mut self) -> Result<Vec<(usize, GatewayAction)>, String>;
 }
@@ -94,12 +95,24 @@
 }
 
 impl DecisionEngine for InProcess {
-    fn deliver(&mut self, now: Duration, gateway: usize, event: GatewayEvent) -> Result<(), String> {
+    fn deliver(
+        &mut self,
+        now: Duration,
+        gateway: usize,
+        event: GatewayEvent,
+    ) -> Result<(), String> {
         let event = match event {
             GatewayEvent::Start { settings, seed } => {
-                let settings = wellcrank_settings::decode(&settings).map_err(|error| error.to_string())?;
-                let port = EnginePort { gateway, log: self.log.clone() };
-                self.controls.insert(gateway, Control::new(Rc::new(settings), seed, now, Box::new(port)));
+                let settings =
+                    wellcrank_settings::decode(&settings).map_err(|error| error.to_string())?;
+                let port = EnginePort {
+                    gateway,
+                    log: self.log.clone(),
+                };
+                self.controls.insert(
+                    gateway,
+                    Control::new(Rc::new(settings), seed, now, Box::new(port)),
+                );
                 return Ok(());
             }
             GatewayEvent::Killed => {
@@ -108,12 +121,19 @@
             }
             event => event,
         };
-        let Some(control) = self.controls.get_mut(&gateway) else { return Ok(()) };
+        let Some(control) = self.controls.get_mut(&gateway) else {
+            return Ok(());
+        };
         control.tell_time(now);
         match event {
-            GatewayEvent::Listed(whole, lines) => {
-                control.listed(whole, ListTime { unix_now: UnixTime(now), since_last: None }, lines)
-            }
+            GatewayEvent::Listed(whole, lines) => control.listed(
+                whole,
+                ListTime {
+                    unix_now: UnixTime(now),
+                    since_last: None,
+                },
+                lines,
+            ),
             GatewayEvent::Arrived(arrival) => control.arrived(arrival),
             GatewayEvent::Ended(call, number, end) => control.ended(&call, number, end),
             GatewayEvent::Counted(name, counted) => control.counted(name, counted),
@@ -146,18 +166,31 @@
 
 impl ExternalEngine {
     pub fn start(program: &str) -> Result<ExternalEngine, String> {
-        let child = Command::new(program).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn();
+        let child = Command::new(program)
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .spawn();
         let mut child = child.map_err(|error| format!("{program}: {error}"))?;
         let input = child.stdin.take().ok_or("no input to the other build")?;
         let output = BufReader::new(child.stdout.take().ok_or("no output of the other build")?);
-        Ok(ExternalEngine { child, input, output, batch: String::new(), at: None, actions: Vec::new() })
+        Ok(ExternalEngine {
+            child,
+            input,
+            output,
+            batch: String::new(),
+            at: None,
+            actions: Vec::new(),
+        })
     }
 
     fn event(&mut self, now: Duration, event: Value) -> Result<(), String> {
         if self.at != Some(now) {
             self.flush()?;
             self.at = Some(now);
-            self.batch.push_str(&format!("{}\n", json!({"event_type": "frame", "wall_ns": nanos(now)})));
+            self.batch.push_str(&format!(
+                "{}\n",
+                json!({"event_type": "frame", "wall_ns": nanos(now)})
+            ));
         }
         self.batch.push_str(&format!("{event}\n"));
         Ok(())
@@ -169,13 +202,19 @@
             return Ok(());
         }
         self.batch.push_str("{\"event_type\":\"eob\"}\n");
-        let sent = self.input.write_all(self.batch.as_bytes()).and_then(|()| self.input.flush());
+        let sent = self
+            .input
+            .write_all(self.batch.as_bytes())
+            .and_then(|()| self.input.flush());
         sent.map_err(|error| format!("the other build takes nothing more: {error}"))?;
         self.batch.clear();
         self.at = None;
         loop {
             let mut line = String::new();
-            let read = self.output.read_line(&mut line).map_err(|error| error.to_string())?;
+            let read = self
+                .output
+                .read_line(&mut line)
+                .map_err(|error| error.to_string())?;
             if read == 0 {
                 return Err("the other build has ended".into());
             }
@@ -199,26 +238,44 @@
     let call = || CallId::from(text("txn"));
     Some(match text("event_type") {
         "transmit" => GatewayAction::Send(call(), text("server").into(), span("timeout_ns")),
-        "undo_send" => GatewayAction::Cancel(call(), TryNumber(said["attempt"].as_u64().unwrap_or(0) as u32)),
+        "undo_send" => GatewayAction::Cancel(
+            call(),
+            TryNumber(said["attempt"].as_u64().unwrap_or(0) as u32),
+        ),
         "turn_away" => GatewayAction::Limit(call(), span("backoff_ns")),
         "give_up" => GatewayAction::Error(call()),
         "bump" => {
             let name = CounterName(said["name"].as_u64().unwrap_or(0));
-            GatewayAction::Count(name, said["step"].as_f64().unwrap_or(0.0), span("expire_in_ns"))
+            GatewayAction::Count(
+                name,
+                said["step"].as_f64().unwrap_or(0.0),
+                span("expire_in_ns"),
+            )
         }
-        "defer" => GatewayAction::Wake(WakeToken(said["token"].as_u64().unwrap_or(0)), span("due_at_ns")),
+        "defer" => GatewayAction::Wake(
+            WakeToken(said["token"].as_u64().unwrap_or(0)),
+            span("due_at_ns"),
+        ),
         "post" => {
             let body = text("body");
-            let bytes =
-                (0..body.len() / 2).filter_map(|at| u8::from_str_radix(&body[at * 2..at * 2 + 2], 16).ok());
-            GatewayAction::Tell(said["recipient"].as_u64().map(|peer| peer as u32), bytes.collect())
+            let bytes = (0..body.len() / 2)
+                .filter_map(|at| u8::from_str_radix(&body[at * 2..at * 2 + 2], 16).ok());
+            GatewayAction::Tell(
+                said["recipient"].as_u64().map(|peer| peer as u32),
+                bytes.collect(),
+            )
         }
         _ => return None,
     })
 }
 
 impl DecisionEngine for ExternalEngine {
-    fn deliver(&mut self, now: Duration, gateway: usize, event: GatewayEvent) -> Result<(), String> {
+    fn deliver(
+        &mut self,
+        now: Duration,
+        gateway: usize,
+        event: GatewayEvent,
+    ) -> Result<(), String> {
         let event = match event {
             GatewayEvent::Start { settings, seed } => {
                 json!({"event_type": "open_instance", "i": gateway, "config": settings, "salt": seed})
@@ -259,8 +316,12 @@
                 };
                 json!({"event_type": "tallied", "i": gateway, "name": name.0, "disposition": how, "total": total})
             }
-            GatewayEvent::Gone(call) => json!({"event_type": "vanished", "i": gateway, "txn": &*call.0}),
-            GatewayEvent::Woken(token) => json!({"event_type": "wake", "i": gateway, "token": token.0}),
+            GatewayEvent::Gone(call) => {
+                json!({"event_type": "vanished", "i": gateway, "txn": &*call.0})
+            }
+            GatewayEvent::Woken(token) => {
+                json!({"event_type": "wake", "i": gateway, "token": token.0})
+            }
         };
         self.event(now, event)
     }
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -98,7 +98,12 @@
             servers: 10,
             zones: 1,
             cells: 1,
-            kinds: vec![KindTerms { name: "large".into(), share: 1.0, cores: 2, speed: 1.0 }],
+            kinds: vec![KindTerms {
+                name: "large".into(),
+                share: 1.0,
+                cores: 2,
+                speed: 1.0,
+            }],
             queue: 40,
             connections: 256,
             handshake_ms: 1.0,
@@ -408,22 +413,32 @@
 /// Ranges of the project's own; no deployment's figures.
 fn usual_routes() -> Vec<RouteTerms> {
     let route =
-        |name: &str, share, repeat, work_ms, latency_target, client_timeout, billed_value| RouteTerms {
-            name: name.into(),
-            share,
-            repeat,
-            group: Group::All,
-            memory: if repeat == Repeat::Tokened { 8.0 } else { 0.0 },
-            work_ms,
-            latency_target,
-            client_timeout,
-            billed_value,
-            late_worth: 0.0,
+        |name: &str, share, repeat, work_ms, latency_target, client_timeout, billed_value| {
+            RouteTerms {
+                name: name.into(),
+                share,
+                repeat,
+                group: Group::All,
+                memory: if repeat == Repeat::Tokened { 8.0 } else { 0.0 },
+                work_ms,
+                latency_target,
+                client_timeout,
+                billed_value,
+                late_worth: 0.0,
+            }
         };
     vec![
         route("preview", 0.4, Repeat::Idempotent, 100.0, 1.0, 3.0, 1.0),
         route("submit-track", 0.35, Repeat::Tokened, 120.0, 1.5, 4.0, 4.0),
-        route("issue-ref", 0.25, Repeat::NonIdempotent, 50.0, 0.6, 2.0, 2.0),
+        route(
+            "issue-ref",
+            0.25,
+            Repeat::NonIdempotent,
+            50.0,
+            0.6,
+            2.0,
+            2.0,
+        ),
     ]
 }
 
@@ -457,7 +472,11 @@
 impl fmt::Display for Complaint {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         for (place, (line, column, what)) in self.wrongs.iter().enumerate() {
-            let end = if place + 1 < self.wrongs.len() { "\n" } else { "" };
+            let end = if place + 1 < self.wrongs.len() {
+                "\n"
+            } else {
+                ""
+            };
             match line {
                 0 => write!(out, "{}: {what}{end}", self.file)?,
                 _ => write!(out, "{}:{line}:{column}: {what}{end}", self.file)?,
@@ -491,13 +510,19 @@
 fn place(text: &str, at: usize) -> (usize, usize) {
     let before = &text[..at.min(text.len())];
     let line = before.matches('\n').count() + 1;
-    (line, before.len() - before.rfind('\n').map_or(0, |end| end + 1) + 1)
+    (
+        line,
+        before.len() - before.rfind('\n').map_or(0, |end| end + 1) + 1,
+    )
 }
 
 impl Experiment {
     /// Reads and checks a file's text.
     pub fn read(file: &str, text: &str) -> Result<Experiment, Complaint> {
-        let complain = |wrongs| Complaint { file: file.to_string(), wrongs };
+        let complain = |wrongs| Complaint {
+            file: file.to_string(),
+            wrongs,
+        };
         let experiment: Experiment = toml::from_str(text).map_err(|error| {
             let (line, column) = error.span().map_or((0, 0), |span| place(text, span.start));
             complain(vec![(line, column, error.message().to_string())])
@@ -508,7 +533,10 @@
                 let known: Vec<String> = wrongs.iter().map(|(path, _)| path.clone()).collect();
                 let fresh = found.into_iter().filter(|(path, _)| !known.contains(path));
                 wrongs.extend(fresh.map(|(path, what)| {
-                    ("variants".to_string(), format!("variant '{}': {path}: {what}", variant.name))
+                    (
+                        "variants".to_string(),
+                        format!("variant '{}': {path}: {what}", variant.name),
+                    )
                 }));
             }
         }
@@ -517,7 +545,15 @@
         }
         let located = wrongs.into_iter().map(|(path, what)| {
             let (line, column) = span(text, &path).map_or((0, 0), |span| place(text, span.start));
-            (line, column, if path == "variants" { what } else { format!("{path}: {what}") })
+            (
+                line,
+                column,
+                if path == "variants" {
+                    what
+                } else {
+                    format!("{path}: {what}")
+                },
+            )
         });
         Err(complain(located.collect()))
     }
@@ -533,7 +569,10 @@
     /// The variants, or the experiment as it is where it names none.
     pub fn sides(&self) -> Vec<Variant> {
         match self.variants.is_empty() {
-            true => vec![Variant { name: "as it is".into(), ..Variant::default() }],
+            true => vec![Variant {
+                name: "as it is".into(),
+                ..Variant::default()
+            }],
             false => self.variants.clone(),
         }
     }
@@ -546,8 +585,9 @@
         let wrong = |what: String| vec![("change".to_string(), what)];
         let mut whole = Value::try_from(self).map_err(|error| wrong(error.to_string()))?;
         lay_over(&mut whole, &Value::Table(variant.change.clone())).map_err(wrong)?;
-        let changed: Experiment =
-            whole.try_into().map_err(|error: toml::de::Error| wrong(error.message().to_string()))?;
+        let changed: Experiment = whole
+            .try_into()
+            .map_err(|error: toml::de::Error| wrong(error.message().to_string()))?;
         match changed.wrongs() {
             wrongs if wrongs.is_empty() => Ok(changed),
             wrongs => Err(wrongs),
@@ -566,7 +606,10 @@
         let (fleet, load, counter, net) = (&self.fleet, &self.load, &self.counter, &self.network);
         for (path, (value, least, most)) in [
             ("seconds", (self.seconds, 1.0, 86_400.0)),
-            ("warm_up", (self.warm_up, 0.0, (self.seconds - 1.0).max(0.0))),
+            (
+                "warm_up",
+                (self.warm_up, 0.0, (self.seconds - 1.0).max(0.0)),
+            ),
             ("seeds", (self.seeds.len() as f64, 1.0, 1000.0)),
             ("fleet.gateways", (fleet.gateways as f64, 1.0, 2000.0)),
             ("fleet.servers", (fleet.servers as f64, 1.0, 5000.0)),
@@ -604,7 +647,10 @@
             ("load.use_usual", (load.use_usual, 0.01, 1.0)),
             ("load.greedy_share", share(load.greedy_share)),
             ("load.greedy_factor", (load.greedy_factor, 1.0, 100.0)),
-            ("load.spread", (load.spread as f64, 1.0, fleet.gateways as f64)),
+            (
+                "load.spread",
+                (load.spread as f64, 1.0, fleet.gateways as f64),
+            ),
             ("load.shift_every", (load.shift_every, 0.0, 86_400.0)),
             ("load.units_top", (f64::from(load.units_top), 1.0, 1000.0)),
             ("load.retries", (f64::from(load.retries), 0.0, 100.0)),
@@ -618,32 +664,63 @@
         }
         for (place, kind) in fleet.kinds.iter().enumerate() {
             within(format!("fleet.kinds.{place}.share"), kind.share, 0.0, 1e6);
-            within(format!("fleet.kinds.{place}.cores"), kind.cores as f64, 1.0, 1024.0);
-            within(format!("fleet.kinds.{place}.speed"), kind.speed, 0.01, 100.0);
+            within(
+                format!("fleet.kinds.{place}.cores"),
+                kind.cores as f64,
+                1.0,
+                1024.0,
+            );
+            within(
+                format!("fleet.kinds.{place}.speed"),
+                kind.speed,
+                0.01,
+                100.0,
+            );
         }
         for (place, route) in self.routes.iter().enumerate() {
             let path = |field: &str| format!("routes.{place}.{field}");
             within(path("share"), route.share, 0.0, 1e6);
             within(path("work_ms"), route.work_ms, 0.0, 600_000.0);
             within(path("client_timeout"), route.client_timeout, 0.01, 600.0);
-            within(path("latency_target"), route.latency_target, 0.001, route.client_timeout);
+            within(
+                path("latency_target"),
+                route.latency_target,
+                0.001,
+                route.client_timeout,
+            );
             within(path("billed_value"), route.billed_value, 0.0, 1e6);
             within(path("late_worth"), route.late_worth, 0.0, 1.0);
-            let least = if route.repeat == Repeat::Tokened { 0.01 } else { 0.0 };
+            let least = if route.repeat == Repeat::Tokened {
+                0.01
+            } else {
+                0.0
+            };
             within(path("memory"), route.memory, least, 3600.0);
         }
         for (place, plan) in self.plans.iter().enumerate() {
             let path = |field: &str| format!("plans.{place}.{field}");
             within(path("share"), plan.share, 0.0, 1e6);
             within(path("rate"), plan.rate, 0.0, 1e9);
-            let least = if plan.rate > 0.0 { f64::from(load.units_top) } else { 0.0 };
+            let least = if plan.rate > 0.0 {
+                f64::from(load.units_top)
+            } else {
+                0.0
+            };
             within(path("burst"), plan.burst, least, 1e9);
             within(path("cap"), plan.cap, 0.0, 1e6);
             within(path("price"), plan.price, 0.0, 1e6);
             within(path("over_cost"), plan.over_cost, 0.0, 100.0);
-            let least = if plan.ceiling_rate > 0.0 { plan.rate } else { 0.0 };
+            let least = if plan.ceiling_rate > 0.0 {
+                plan.rate
+            } else {
+                0.0
+            };
             within(path("ceiling_rate"), plan.ceiling_rate, least, 1e9);
-            let least = if plan.ceiling_rate > 0.0 { f64::from(load.units_top) } else { 0.0 };
+            let least = if plan.ceiling_rate > 0.0 {
+                f64::from(load.units_top)
+            } else {
+                0.0
+            };
             within(path("ceiling_burst"), plan.ceiling_burst, least, 1e9);
             within(path("ceiling_slack"), plan.ceiling_slack, 0.0, 1.0);
         }
@@ -653,7 +730,12 @@
             within(path("for"), trouble.lasts, 0.0, self.seconds);
             within(path("share"), trouble.share, 0.0, 1.0);
             within(path("factor"), trouble.factor, 0.0, 1000.0);
-            within(path("zone"), trouble.zone as f64, 0.0, fleet.zones as f64 - 1.0);
+            within(
+                path("zone"),
+                trouble.zone as f64,
+                0.0,
+                fleet.zones as f64 - 1.0,
+            );
         }
         let mut names = |list: &str, found: Vec<&str>| {
             for (place, name) in found.iter().enumerate() {
@@ -665,17 +747,35 @@
                     wrongs.push((format!("{list}.{place}.name"), what));
                 }
                 if found[..place].contains(name) {
-                    wrongs.push((format!("{list}.{place}.name"), format!("'{name}' stands there twice")));
+                    wrongs.push((
+                        format!("{list}.{place}.name"),
+                        format!("'{name}' stands there twice"),
+                    ));
                 }
             }
         };
-        names("routes", self.routes.iter().map(|it| it.name.as_str()).collect());
-        names("plans", self.plans.iter().map(|it| it.name.as_str()).collect());
-        names("fleet.kinds", fleet.kinds.iter().map(|it| it.name.as_str()).collect());
-        names("variants", self.variants.iter().map(|it| it.name.as_str()).collect());
+        names(
+            "routes",
+            self.routes.iter().map(|it| it.name.as_str()).collect(),
+        );
+        names(
+            "plans",
+            self.plans.iter().map(|it| it.name.as_str()).collect(),
+        );
+        names(
+            "fleet.kinds",
+            fleet.kinds.iter().map(|it| it.name.as_str()).collect(),
+        );
+        names(
+            "variants",
+            self.variants.iter().map(|it| it.name.as_str()).collect(),
+        );
         for (place, trouble) in self.troubles.iter().enumerate() {
             let unknown = |wanted: &Option<String>, known: &[&str]| {
-                wanted.as_ref().filter(|name| !known.contains(&name.as_str())).cloned()
+                wanted
+                    .as_ref()
+                    .filter(|name| !known.contains(&name.as_str()))
+                    .cloned()
             };
             let routes: Vec<&str> = self.routes.iter().map(|it| it.name.as_str()).collect();
             let plans: Vec<&str> = self.plans.iter().map(|it| it.name.as_str()).collect();
@@ -684,15 +784,24 @@
                 ("plan", unknown(&trouble.plan, &plans), &plans),
             ] {
                 if let Some(name) = name {
-                    let what = format!("no {field} is named '{name}'; there are {}", known.join(", "));
+                    let what = format!(
+                        "no {field} is named '{name}'; there are {}",
+                        known.join(", ")
+                    );
                     wrongs.push((format!("troubles.{place}.{field}"), what));
                 }
             }
             if trouble.kind == TroubleKind::RouteUnanswered && trouble.route.is_none() {
-                wrongs.push((format!("troubles.{place}"), "expected 'route', the one unanswered".into()));
+                wrongs.push((
+                    format!("troubles.{place}"),
+                    "expected 'route', the one unanswered".into(),
+                ));
             }
             if trouble.kind == TroubleKind::PlanBurst && trouble.plan.is_none() {
-                wrongs.push((format!("troubles.{place}"), "expected 'plan', the one that bursts".into()));
+                wrongs.push((
+                    format!("troubles.{place}"),
+                    "expected 'plan', the one that bursts".into(),
+                ));
             }
         }
         wrongs
@@ -700,13 +809,20 @@
 
     /// The longest that a client waits, in seconds.
     pub fn longest_wait(&self) -> f64 {
-        self.routes.iter().map(|route| route.client_timeout).fold(0.0, f64::max)
+        self.routes
+            .iter()
+            .map(|route| route.client_timeout)
+            .fold(0.0, f64::max)
     }
 
     /// Mean work of an API call, in seconds of a core of speed 1.
     pub fn mean_work(&self) -> f64 {
         let shares: f64 = self.routes.iter().map(|route| route.share).sum();
-        let work: f64 = self.routes.iter().map(|route| route.share * route.work_ms / 1e3).sum();
+        let work: f64 = self
+            .routes
+            .iter()
+            .map(|route| route.share * route.work_ms / 1e3)
+            .sum();
         work / shares.max(1e-9)
     }
 
@@ -735,9 +851,12 @@
         // A list of named things takes a table: name to changes.
         (Value::Array(items), Value::Table(over)) => {
             for (name, value) in over {
-                let named = |item: &&mut Value| item.get("name").and_then(Value::as_str) == Some(name);
-                let item =
-                    items.iter_mut().find(named).ok_or_else(|| format!("nothing is named '{name}'"))?;
+                let named =
+                    |item: &&mut Value| item.get("name").and_then(Value::as_str) == Some(name);
+                let item = items
+                    .iter_mut()
+                    .find(named)
+                    .ok_or_else(|| format!("nothing is named '{name}'"))?;
                 lay_over(item, value)?;
             }
             Ok(())
--- a/lab/src/loopback/clients.rs
+++ b/lab/src/loopback/clients.rs
@@ -67,7 +67,13 @@
         let entry = self.places.vacant_entry();
         let key = entry.key();
         let wire = Wire::connect(&self.registry, self.gateways[gateway].listen, Token(key)).ok()?;
-        entry.insert(Place::Client(Client { wire, gateway, who, open: VecDeque::new(), used: false }));
+        entry.insert(Place::Client(Client {
+            wire,
+            gateway,
+            who,
+            open: VecDeque::new(),
+            used: false,
+        }));
         if who == Who::Front {
             self.gateways[gateway].clients += 1;
         }
@@ -103,14 +109,26 @@
     /// connection was closed under it.
     pub(super) fn ask(&mut self, ask: AskId, first: bool) -> Result<(), String> {
         let it = &self.world.asks[ask.0 as usize];
-        let (gateway, origin) = (it.gateway, &self.world.clients.origins[it.origin.0 as usize]);
+        let (gateway, origin) = (
+            it.gateway,
+            &self.world.clients.origins[it.origin.0 as usize],
+        );
         let account = &self.world.clients.accounts[origin.account as usize];
-        let (route, plan) = (&self.world.terms.routes[origin.route], &self.world.terms.plans[account.plan]);
+        let (route, plan) = (
+            &self.world.terms.routes[origin.route],
+            &self.world.terms.plans[account.plan],
+        );
         if first && origin.retries == 0 {
             if let Some(recorder) = &mut self.recorder {
                 let (plan, route) = (plan.name.clone(), route.name.clone());
                 let (at, account, units) = (it.born, account.name, origin.units);
-                let noted = recorder.note(&Recorded { at, account, plan, route, units });
+                let noted = recorder.note(&Recorded {
+                    at,
+                    account,
+                    plan,
+                    route,
+                    units,
+                });
                 noted.map_err(|error| format!("the recording: {error}"))?;
             }
         }
@@ -122,15 +140,29 @@
         if origin.retries > 0 {
             list.push_str(",r=1");
         }
-        list.push_str(&format!(",units={},spread={},first={}", origin.units, account.spread, account.first));
-        let verb = if route.repeat == Repeat::Idempotent { "SVC.QUERY" } else { "SVC.SUBMIT" };
+        list.push_str(&format!(
+            ",units={},spread={},first={}",
+            origin.units, account.spread, account.first
+        ));
+        let verb = if route.repeat == Repeat::Idempotent {
+            "SVC.QUERY"
+        } else {
+            "SVC.SUBMIT"
+        };
         let id = format!("{:016x}", u64::from(ask.0) + 1);
-        let mut words = vec![bulk(verb), bulk(format!("{:016x}", account.name)), bulk(id), bulk(list)];
+        let mut words = vec![
+            bulk(verb),
+            bulk(format!("{:016x}", account.name)),
+            bulk(id),
+            bulk(list),
+        ];
         words.extend((route.repeat != Repeat::Idempotent).then(|| bulk("a track to render")));
         let frame = OwnedFrame::Array(words);
         let free = loop {
             match self.gateways[gateway].idle.pop() {
-                Some(key) if matches!(self.places.get(key), Some(Place::Client(_))) => break Some(key),
+                Some(key) if matches!(self.places.get(key), Some(Place::Client(_))) => {
+                    break Some(key)
+                }
                 Some(_) => (),
                 None => break None,
             }
@@ -138,7 +170,9 @@
         let key = match free {
             Some(key) => Some(key),
             None if !self.world.connects(self.now, gateway) => None,
-            None if self.gateways[gateway].clients < CONNECTIONS => self.connect(gateway, Who::Front),
+            None if self.gateways[gateway].clients < CONNECTIONS => {
+                self.connect(gateway, Who::Front)
+            }
             None => {
                 let all = self.places.iter().filter_map(|(key, place)| match place {
                     Place::Client(it) if it.gateway == gateway && it.who == Who::Front => {
@@ -154,7 +188,11 @@
             return Ok(());
         };
         client.wire.frame(&frame);
-        client.open.push_back(Sent { ask, end: client.wire.put, taken: false });
+        client.open.push_back(Sent {
+            ask,
+            end: client.wire.put,
+            taken: false,
+        });
         if let Some(key) = key {
             self.asking.insert(ask, key);
             self.written.push(key);
@@ -164,9 +202,15 @@
 
     /// What has been written whole is taken: an answer is owed.
     pub(super) fn taken(&mut self, key: usize) {
-        let Some(Place::Client(client)) = self.places.get_mut(key) else { return };
+        let Some(Place::Client(client)) = self.places.get_mut(key) else {
+            return;
+        };
         let written = client.wire.written;
-        for sent in client.open.iter_mut().filter(|sent| !sent.taken && sent.end <= written) {
+        for sent in client
+            .open
+            .iter_mut()
+            .filter(|sent| !sent.taken && sent.end <= written)
+        {
             sent.taken = true;
             self.world.taken(self.now, sent.ask);
         }
@@ -174,7 +218,9 @@
 
     /// The client of an API call has no patience left: its connection is closed, unless others wait there too.
     pub(super) fn leave(&mut self, ask: AskId) -> Result<(), String> {
-        let Some(key) = self.asking.remove(&ask) else { return Ok(()) };
+        let Some(key) = self.asking.remove(&ask) else {
+            return Ok(());
+        };
         match self.places.get_mut(key) {
             Some(Place::Client(client)) if client.open.len() == 1 => {
                 client.open.clear();
@@ -185,7 +231,9 @@
     }
 
     pub(super) fn client_ready(&mut self, key: usize) -> Result<(), String> {
-        let Some(Place::Client(client)) = self.places.get_mut(key) else { return Ok(()) };
+        let Some(Place::Client(client)) = self.places.get_mut(key) else {
+            return Ok(());
+        };
         let open = client.wire.read();
         let mut took = 0;
         let mut heard = Vec::new();
@@ -218,7 +266,9 @@
     /// One whole answer; false where its connection is no more.
     fn heard(&mut self, key: usize, frame: OwnedFrame) -> Result<bool, String> {
         let now = self.now;
-        let Some(Place::Client(client)) = self.places.get_mut(key) else { return Ok(false) };
+        let Some(Place::Client(client)) = self.places.get_mut(key) else {
+            return Ok(false);
+        };
         let gateway = client.gateway;
         match client.who {
             Who::Ping => {
@@ -230,7 +280,8 @@
                 return Ok(false);
             }
             Who::Bad(since) => {
-                self.bad.0 += u64::from(!matches!(frame, OwnedFrame::Error(_)) || now > since + OWED);
+                self.bad.0 +=
+                    u64::from(!matches!(frame, OwnedFrame::Error(_)) || now > since + OWED);
                 self.places_bad_done(key);
                 self.close(key)?;
                 return Ok(false);
@@ -247,12 +298,23 @@
             return Ok(false);
         };
         let free = client.open.is_empty();
-        let right =
-            |value: &OwnedFrame| matches!(value, OwnedFrame::BulkString(it) if *it == value_bytes(sent.ask));
+        let right = |value: &OwnedFrame| matches!(value, OwnedFrame::BulkString(it) if *it == value_bytes(sent.ask));
         let (verdict, advice) = match &frame {
-            OwnedFrame::BulkString(_) => (Verdict::Served { right: right(&frame) }, None),
-            OwnedFrame::Array(parts) if matches!(parts.first(), Some(OwnedFrame::BulkString(_))) => {
-                (Verdict::Served { right: right(&parts[0]) }, None)
+            OwnedFrame::BulkString(_) => (
+                Verdict::Served {
+                    right: right(&frame),
+                },
+                None,
+            ),
+            OwnedFrame::Array(parts)
+                if matches!(parts.first(), Some(OwnedFrame::BulkString(_))) =>
+            {
+                (
+                    Verdict::Served {
+                        right: right(&parts[0]),
+                    },
+                    None,
+                )
             }
             OwnedFrame::Error(said) if said.split(' ').next() == Some("BUSY") => {
                 let wait = said.split(' ').nth(1).and_then(|it| it.parse().ok());
@@ -307,7 +369,12 @@
             Place::Client(it) => matches!(it.who, Who::Bad(since) if since + OWED * 2 < self.now),
             _ => false,
         };
-        let keys: Vec<usize> = self.places.iter().filter(|(_, it)| over(it)).map(|(key, _)| key).collect();
+        let keys: Vec<usize> = self
+            .places
+            .iter()
+            .filter(|(_, it)| over(it))
+            .map(|(key, _)| key)
+            .collect();
         keys.into_iter().try_for_each(|key| self.close(key))
     }
 }
--- a/lab/src/loopback/counter.rs
+++ b/lab/src/loopback/counter.rs
@@ -16,7 +16,12 @@
 
 impl Line {
     pub fn new(wire: Wire, gateway: usize, door: usize) -> Line {
-        Line { wire, gateway, door, turns: Turns::default() }
+        Line {
+            wire,
+            gateway,
+            door,
+            turns: Turns::default(),
+        }
     }
 }
 
@@ -32,21 +37,32 @@
     let words: Vec<&str> = line.split_ascii_whitespace().collect();
     match words[..] {
         ["ping"] => Asked::Ping,
-        ["incr", name, add, keep] => match (name.parse(), add.parse::<f64>(), keep.parse::<u64>()) {
-            (Ok(name), Ok(add), Ok(keep)) if add.abs() <= 1e9 && keep > 0 => {
-                Asked::Add { name, add, keep: Duration::from_millis(keep) }
+        ["incr", name, add, keep] => {
+            match (name.parse(), add.parse::<f64>(), keep.parse::<u64>()) {
+                (Ok(name), Ok(add), Ok(keep)) if add.abs() <= 1e9 && keep > 0 => Asked::Add {
+                    name,
+                    add,
+                    keep: Duration::from_millis(keep),
+                },
+                _ => Asked::Nothing,
             }
-            _ => Asked::Nothing,
-        },
+        }
         _ => Asked::Nothing,
     }
 }
 
 impl Stage {
     pub(super) fn counter_ready(&mut self, key: usize) -> Result<(), String> {
-        let Some(Place::Counter(line)) = self.places.get_mut(key) else { return Ok(()) };
+        let Some(Place::Counter(line)) = self.places.get_mut(key) else {
+            return Ok(());
+        };
         let (open, gateway) = (line.wire.read(), line.gateway);
-        let end = line.wire.input.iter().rposition(|byte| *byte == b'\n').map_or(0, |end| end + 1);
+        let end = line
+            .wire
+            .input
+            .iter()
+            .rposition(|byte| *byte == b'\n')
+            .map_or(0, |end| end + 1);
         let whole: Vec<u8> = line.wire.input.drain(..end).collect();
         let mut acts = Vec::new();
         for text in String::from_utf8_lossy(&whole).lines() {
@@ -56,7 +72,9 @@
                     self.line_says(key, None, b"pong\r\n".to_vec());
                 }
                 Asked::Add { name, add, keep } => {
-                    let id = self.world.count(self.now, gateway, name, add, keep, &mut acts);
+                    let id = self
+                        .world
+                        .count(self.now, gateway, name, add, keep, &mut acts);
                     self.line_asked(key, Some(id));
                     self.counting.insert(id, key);
                 }
@@ -88,7 +106,9 @@
     }
 
     pub(super) fn counted(&mut self, id: CountId, says: CounterSays) -> Result<(), String> {
-        let Some(key) = self.counting.remove(&id) else { return Ok(()) };
+        let Some(key) = self.counting.remove(&id) else {
+            return Ok(());
+        };
         match says {
             CounterSays::Total(total) => {
                 self.line_says(key, Some(id), format!("ok {total}\r\n").into_bytes())
--- a/lab/src/loopback/discovery.rs
+++ b/lab/src/loopback/discovery.rs
@@ -15,7 +15,12 @@
 
 impl Watcher {
     pub fn new(wire: Wire, gateway: usize, door: usize) -> Watcher {
-        Watcher { wire, gateway, door, waiting: None }
+        Watcher {
+            wire,
+            gateway,
+            door,
+            waiting: None,
+        }
     }
 }
 
@@ -40,7 +45,10 @@
         return Err(format!("no such thing: {path}"));
     }
     let value = |name: &str| {
-        let pair = query.split('&').filter_map(|pair| pair.split_once('=')).find(|pair| pair.0 == name);
+        let pair = query
+            .split('&')
+            .filter_map(|pair| pair.split_once('='))
+            .find(|pair| pair.0 == name);
         pair.and_then(|pair| pair.1.parse::<u64>().ok())
     };
     let wanted = match value("after") {
@@ -55,15 +63,21 @@
 
 impl Stage {
     pub(super) fn discovery_ready(&mut self, key: usize) -> Result<(), String> {
-        let Some(Place::Discovery(watcher)) = self.places.get_mut(key) else { return Ok(()) };
+        let Some(Place::Discovery(watcher)) = self.places.get_mut(key) else {
+            return Ok(());
+        };
         let open = watcher.wire.read();
         loop {
-            let Some(Place::Discovery(watcher)) = self.places.get_mut(key) else { return Ok(()) };
+            let Some(Place::Discovery(watcher)) = self.places.get_mut(key) else {
+                return Ok(());
+            };
             let gateway = watcher.gateway;
             match request(&watcher.wire.input) {
                 Ok(None) => break,
                 Err(_) => {
-                    watcher.wire.put(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+                    watcher
+                        .wire
+                        .put(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
                     watcher.wire.input.clear();
                     self.written.push(key);
                     break;
@@ -89,7 +103,9 @@
 
     /// Answers with the changes since a version, or with the whole list.
     fn list_to(&mut self, key: usize, after: Option<usize>) {
-        let Some(Place::Discovery(watcher)) = self.places.get_mut(key) else { return };
+        let Some(Place::Discovery(watcher)) = self.places.get_mut(key) else {
+            return;
+        };
         watcher.waiting = None;
         let gateway = watcher.gateway;
         let upto = self.world.upto(gateway);
@@ -97,7 +113,8 @@
             Some(after) => self.world.changes[after..upto].to_vec(),
             None => self.world.list(upto),
         };
-        let body = told::list(upto as u64, after.is_none(), self.lines(gateway, &changes)).to_string();
+        let body =
+            told::list(upto as u64, after.is_none(), self.lines(gateway, &changes)).to_string();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         if let Some(Place::Discovery(watcher)) = self.places.get_mut(key) {
             watcher.wire.put(head.as_bytes());
@@ -109,9 +126,10 @@
 
     fn watches(&self, which: impl Fn(&Watcher, usize, Duration) -> bool) -> Vec<(usize, usize)> {
         let all = self.places.iter().filter_map(|(key, place)| match place {
-            Place::Discovery(it) => {
-                it.waiting.filter(|(after, until)| which(it, *after, *until)).map(|w| (key, w.0))
-            }
+            Place::Discovery(it) => it
+                .waiting
+                .filter(|(after, until)| which(it, *after, *until))
+                .map(|w| (key, w.0)),
             _ => None,
         });
         all.collect()
