--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -67,10 +67,24 @@
 /// Whom an event of the poll is for.
 enum Place {
     Signals,
-    ServerDoor { gateway: usize, server: ServerNo, door: TcpListener },
-    CounterDoor { gateway: usize, door: TcpListener },
-    DiscoveryDoor { gateway: usize, door: TcpListener },
-    Peer { from: usize, to: Option<usize>, socket: UdpSocket },
+    ServerDoor {
+        gateway: usize,
+        server: ServerNo,
+        door: TcpListener,
+    },
+    CounterDoor {
+        gateway: usize,
+        door: TcpListener,
+    },
+    DiscoveryDoor {
+        gateway: usize,
+        door: TcpListener,
+    },
+    Peer {
+        from: usize,
+        to: Option<usize>,
+        socket: UdpSocket,
+    },
     Client(clients::Client),
     Upstream(servers::Upstream),
     Counter(counter::Line),
@@ -136,13 +150,16 @@
     seed: u64,
     mut terms: Terms,
 ) -> Result<Results, String> {
-    let changed = experiment.with(variant).map_err(|wrongs| format!("{wrongs:?}"))?;
+    let changed = experiment
+        .with(variant)
+        .map_err(|wrongs| format!("{wrongs:?}"))?;
     let said = |error: std::io::Error| error.to_string();
     let poll = Poll::new().map_err(said)?;
     let registry = poll.registry().try_clone().map_err(said)?;
     let recorder = match &terms.record {
         Some(path) => {
-            let file = File::create(path).map_err(|error| format!("{}: {error}", path.display()))?;
+            let file =
+                File::create(path).map_err(|error| format!("{}: {error}", path.display()))?;
             Some(Recorder::new(file).map_err(said)?)
         }
         None => None,
@@ -150,7 +167,13 @@
     if let Some(logs) = &terms.logs {
         std::fs::create_dir_all(logs).map_err(|error| format!("{}: {error}", logs.display()))?;
     }
-    let world = World::new(&changed, seed, true, SLACK, std::mem::take(&mut terms.replay));
+    let world = World::new(
+        &changed,
+        seed,
+        true,
+        SLACK,
+        std::mem::take(&mut terms.replay),
+    );
     let mut stage = Stage {
         poll,
         registry,
@@ -161,7 +184,10 @@
         gateways: Vec::new(),
         folder: Folder::new()?,
         program: match &variant.edge {
-            Some(path) => Program { path: path.into(), ..Program::default() },
+            Some(path) => Program {
+                path: path.into(),
+                ..Program::default()
+            },
             None => terms.edge.clone(),
         },
         told: variant.told.clone(),
@@ -183,14 +209,21 @@
     };
     stage.set_up(changed.fleet.gateways)?;
     stage.run(terms.watch.as_deref_mut())?;
-    let mut results = stage.world.results("loopback", &experiment.title, &variant.name, seed);
+    let mut results = stage
+        .world
+        .results("loopback", &experiment.title, &variant.name, seed);
     results.seconds = stage.now.min(stage.world.length()).as_secs_f64();
     results.by_second.truncate(results.seconds.ceil() as usize);
     results.bad_clients = stage.bad;
     results.crashes = std::mem::take(&mut stage.crashes);
     results.took = stage.now.as_secs_f64();
     results.gateway_cpu = stage.gateways.iter().map(|it| it.process.cpu).sum();
-    let most = stage.gateways.iter().map(|it| it.process.resident).max().unwrap_or(0);
+    let most = stage
+        .gateways
+        .iter()
+        .map(|it| it.process.resident)
+        .max()
+        .unwrap_or(0);
     results.gateway_mb = most as f64 / f64::from(1 << 20);
     if let Some(recorder) = stage.recorder.take() {
         recorder.finish().map_err(said)?;
@@ -202,7 +235,9 @@
     fn set_up(&mut self, gateways: usize) -> Result<(), String> {
         let mut signals = Signals::new([SIGINT, SIGTERM]).map_err(|error| error.to_string())?;
         let token = Token(self.places.insert(Place::Signals));
-        let registered = self.registry.register(&mut signals, token, Interest::READABLE);
+        let registered = self
+            .registry
+            .register(&mut signals, token, Interest::READABLE);
         registered.map_err(|error| error.to_string())?;
         self.world.begin();
         for gateway in 0..gateways {
@@ -237,14 +272,19 @@
     }
 
     /// A door on a free port of loopback.
-    fn door(&mut self, place: impl FnOnce(TcpListener) -> Place) -> Result<(usize, SocketAddr), String> {
+    fn door(
+        &mut self,
+        place: impl FnOnce(TcpListener) -> Place,
+    ) -> Result<(usize, SocketAddr), String> {
         let said = |error: std::io::Error| format!("no door on loopback: {error}");
         let at = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut door = TcpListener::bind(at).map_err(said)?;
         let at = door.local_addr().map_err(said)?;
         let entry = self.places.vacant_entry();
         let key = entry.key();
-        self.registry.register(&mut door, Token(key), Interest::READABLE).map_err(said)?;
+        self.registry
+            .register(&mut door, Token(key), Interest::READABLE)
+            .map_err(said)?;
         entry.insert(place(door));
         Ok((key, at))
     }
@@ -300,7 +340,10 @@
 
     fn start(&mut self, gateway: usize) -> Result<(), String> {
         let file = self.write_file(gateway)?;
-        let log = self.logs.as_ref().map(|logs| logs.join(format!("g{gateway}.log")));
+        let log = self
+            .logs
+            .as_ref()
+            .map(|logs| logs.join(format!("g{gateway}.log")));
         let it = &mut self.gateways[gateway];
         it.process.start(&self.program, &file, log.as_deref())?;
         (it.stopping, it.ping) = (false, Some(self.now));
@@ -317,7 +360,10 @@
             self.now = self.clock.now();
             if !self.begun {
                 let all = 0..self.gateways.len();
-                if all.into_iter().all(|gateway| self.world.state(gateway) == GatewayState::Ready) {
+                if all
+                    .into_iter()
+                    .all(|gateway| self.world.state(gateway) == GatewayState::Ready)
+                {
                     // The day's clock begins here.
                     self.clock = Clock::start();
                     (self.now, self.begun, next_look) = (Duration::ZERO, true, Duration::ZERO);
@@ -367,7 +413,11 @@
             self.now = self.clock.now();
             for event in &events {
                 let (key, ended) = (event.token().0, event.is_read_closed() || event.is_error());
-                self.ready(key, event.is_readable() || ended, event.is_writable() || ended)?;
+                self.ready(
+                    key,
+                    event.is_readable() || ended,
+                    event.is_writable() || ended,
+                )?;
             }
             self.flush()?;
         }
@@ -391,12 +441,21 @@
 
     /// When something is due next.
     fn next(&self) -> Duration {
-        let world = if self.begun { self.world.next_due() } else { None };
+        let world = if self.begun {
+            self.world.next_due()
+        } else {
+            None
+        };
         let pings = self.gateways.iter().filter_map(|it| it.ping).min();
         let closing = self.closing.iter().map(|(when, _)| *when).min();
         let flying = self.flying.keys().next().map(|key| key.0);
         let far = self.now + Duration::from_secs(1);
-        [world, pings, closing, flying].into_iter().flatten().min().unwrap_or(far).min(far)
+        [world, pings, closing, flying]
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap_or(far)
+            .min(far)
     }
 
     fn due(&mut self) -> Result<(), String> {
@@ -406,7 +465,12 @@
                 self.ping(gateway);
             }
         }
-        let over: Vec<usize> = self.closing.iter().filter(|it| it.0 <= self.now).map(|it| it.1).collect();
+        let over: Vec<usize> = self
+            .closing
+            .iter()
+            .filter(|it| it.0 <= self.now)
+            .map(|it| it.1)
+            .collect();
         self.closing.retain(|it| it.0 > self.now);
         for key in over {
             self.close(key)?;
@@ -427,9 +491,14 @@
         for gateway in 0..self.gateways.len() {
             let it = &mut self.gateways[gateway];
             it.process.look();
-            let Some(ended) = it.process.ended() else { continue };
+            let Some(ended) = it.process.ended() else {
+                continue;
+            };
             if !it.stopping || !ended.success() {
-                self.crashes.push(format!("gateway {gateway} at {:.3} s: {ended}", self.now.as_secs_f64()));
+                self.crashes.push(format!(
+                    "gateway {gateway} at {:.3} s: {ended}",
+                    self.now.as_secs_f64()
+                ));
             }
             it.ping = None;
             self.world.ended_by_itself(self.now, gateway);
@@ -445,7 +514,9 @@
                 }
                 return Ok(());
             }
-            Some(Place::ServerDoor { .. } | Place::CounterDoor { .. } | Place::DiscoveryDoor { .. }) => {
+            Some(
+                Place::ServerDoor { .. } | Place::CounterDoor { .. } | Place::DiscoveryDoor { .. },
+            ) => {
                 return self.accept(key);
             }
             Some(Place::Peer { .. }) => {
@@ -476,12 +547,18 @@
             else {
                 return Ok(());
             };
-            let Ok((socket, _)) = door.accept() else { return Ok(()) };
+            let Ok((socket, _)) = door.accept() else {
+                return Ok(());
+            };
             let entry = self.places.vacant_entry();
             let token = Token(entry.key());
-            let Ok(wire) = wire::Wire::accepted(&self.registry, socket, token) else { continue };
+            let Ok(wire) = wire::Wire::accepted(&self.registry, socket, token) else {
+                continue;
+            };
             let place = match self.places.get(key) {
-                Some(Place::ServerDoor { gateway, server, .. }) => {
+                Some(Place::ServerDoor {
+                    gateway, server, ..
+                }) => {
                     let (gateway, server) = (*gateway, *server);
                     self.world.connected(self.now, server);
                     Place::Upstream(servers::Upstream::new(wire, gateway, server, self.now))
@@ -560,7 +637,12 @@
             Place::Discovery(it) => it.door == door,
             _ => false,
         };
-        let lines: Vec<usize> = self.places.iter().filter(|(_, it)| of(it)).map(|(key, _)| key).collect();
+        let lines: Vec<usize> = self
+            .places
+            .iter()
+            .filter(|(_, it)| of(it))
+            .map(|(key, _)| key)
+            .collect();
         lines.into_iter().try_for_each(|key| self.close(key))
     }
 
@@ -588,12 +670,17 @@
                 }
                 Act::Stop(gateway) => {
                     self.gateways[gateway].stopping = true;
-                    self.gateways[gateway].process.signal(rustix::process::Signal::TERM);
+                    self.gateways[gateway]
+                        .process
+                        .signal(rustix::process::Signal::TERM);
                 }
                 Act::Start(gateway) => self.start(gateway)?,
                 Act::Move(gateway) => self.move_platform(gateway)?,
                 Act::CounterCut => {
-                    let lines = self.places.iter().filter(|(_, it)| matches!(it, Place::Counter(_)));
+                    let lines = self
+                        .places
+                        .iter()
+                        .filter(|(_, it)| matches!(it, Place::Counter(_)));
                     let lines: Vec<usize> = lines.map(|(key, _)| key).collect();
                     lines.into_iter().try_for_each(|key| self.close(key))?;
                 }
@@ -613,9 +700,12 @@
         let old = [it.counter, it.discovery];
         self.open_platform(gateway)?;
         self.write_file(gateway)?;
-        self.gateways[gateway].process.signal(rustix::process::Signal::HUP);
+        self.gateways[gateway]
+            .process
+            .signal(rustix::process::Signal::HUP);
         let when = self.now + STILL_THERE;
-        self.closing.extend(old.into_iter().flatten().map(|key| (when, key)));
+        self.closing
+            .extend(old.into_iter().flatten().map(|key| (when, key)));
         Ok(())
     }
 }
--- a/lab/src/loopback/process.rs
+++ b/lab/src/loopback/process.rs
@@ -39,10 +39,20 @@
 
 impl Process {
     pub fn none() -> Process {
-        Process { child: None, cpu: 0.0, resident: 0, lives_cpu: 0.0 }
+        Process {
+            child: None,
+            cpu: 0.0,
+            resident: 0,
+            lives_cpu: 0.0,
+        }
     }
 
-    pub fn start(&mut self, program: &Program, file: &Path, log: Option<&Path>) -> Result<(), String> {
+    pub fn start(
+        &mut self,
+        program: &Program,
+        file: &Path,
+        log: Option<&Path>,
+    ) -> Result<(), String> {
         self.kill();
         let said = match log {
             Some(path) => {
@@ -54,7 +64,11 @@
         let mut command = Command::new(&program.path);
         command.args(&program.arguments);
         command.envs(program.environment.iter().cloned());
-        command.env("BALANCER_CONFIG", file).stdin(Stdio::null()).stdout(Stdio::null()).stderr(said);
+        command
+            .env("BALANCER_CONFIG", file)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(said);
         // A laboratory that is killed outright can't end its gateways: the system does. Set between fork and
         // exec, where only calls such as this one are allowed.
         #[allow(unsafe_code)]
@@ -64,13 +78,19 @@
                 Ok(())
             });
         }
-        let child = command.spawn().map_err(|error| format!("{}: {error}", program.path.display()))?;
+        let child = command
+            .spawn()
+            .map_err(|error| format!("{}: {error}", program.path.display()))?;
         self.child = Some(child);
         Ok(())
     }
 
     pub fn signal(&self, signal: Signal) {
-        if let Some(pid) = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32)) {
+        if let Some(pid) = self
+            .child
+            .as_ref()
+            .and_then(|child| Pid::from_raw(child.id() as i32))
+        {
             let _ = kill_process(pid, signal);
         }
     }
@@ -96,8 +116,18 @@
         let Some(child) = &self.child else { return };
         let stat = fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
         // The name may hold spaces and stands in parentheses.
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-        let number = |at: usize| fields.get(at).and_then(|it| it.parse::<u64>().ok()).unwrap_or(0);
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or("")
+            .split_whitespace()
+            .collect();
+        let number = |at: usize| {
+            fields
+                .get(at)
+                .and_then(|it| it.parse::<u64>().ok())
+                .unwrap_or(0)
+        };
         if fields.len() > 21 {
             self.cpu = self.lives_cpu + (number(11) + number(12)) as f64 / 100.0;
             self.resident = self.resident.max(number(21) * 4096);
--- a/lab/src/loopback/servers.rs
+++ b/lab/src/loopback/servers.rs
@@ -23,12 +23,21 @@
 
 impl Upstream {
     pub fn new(wire: Wire, gateway: usize, server: ServerNo, used: Duration) -> Upstream {
-        Upstream { wire, gateway, server, fresh: true, turns: Turns::default(), used }
+        Upstream {
+            wire,
+            gateway,
+            server,
+            fresh: true,
+            turns: Turns::default(),
+            used,
+        }
     }
 }
 
 fn words(frame: OwnedFrame) -> Option<Vec<Vec<u8>>> {
-    let OwnedFrame::Array(parts) = frame else { return None };
+    let OwnedFrame::Array(parts) = frame else {
+        return None;
+    };
     let word = |part| match part {
         OwnedFrame::BulkString(word) => Some(word),
         _ => None,
@@ -48,11 +57,17 @@
     let value = clients::value(ask);
     let good = |units: Option<f64>, load: String| {
         let figures = units.map_or(OwnedFrame::Null, |units| bulk(format!("cost={units}")));
-        let load = if load.is_empty() { OwnedFrame::Null } else { bulk(load) };
+        let load = if load.is_empty() {
+            OwnedFrame::Null
+        } else {
+            bulk(load)
+        };
         encoded(&OwnedFrame::Array(vec![bulk(value.clone()), figures, load]))
     };
     match says {
-        Says::Value { units, load } => good(units, load.map(|load| load.to_string()).unwrap_or_default()),
+        Says::Value { units, load } => {
+            good(units, load.map(|load| load.to_string()).unwrap_or_default())
+        }
         Says::Busy => b"-BUSY\r\n".to_vec(),
         Says::Failed => b"-ERR failed\r\n".to_vec(),
         Says::Spoilt(0) => b"\x07\x00\xffnoise\r\n".to_vec(),
@@ -60,13 +75,21 @@
         Says::Spoilt(2) => b"*3\r\n$5\r\nrendered more than that\r\n$-1\r\n$-1\r\n".to_vec(),
         Says::Spoilt(3) => b"*3\r\n$3000000000\r\nrendered".to_vec(),
         Says::Spoilt(4) => [good(None, String::new()), good(None, String::new())].concat(),
-        Says::Spoilt(_) => [good(None, "inflight=x,queue=-,util".into()), b"noise\r\n".to_vec()].concat(),
+        Says::Spoilt(_) => [
+            good(None, "inflight=x,queue=-,util".into()),
+            b"noise\r\n".to_vec(),
+        ]
+        .concat(),
     }
 }
 
 impl Stage {
     pub(super) fn open_door(&mut self, gateway: usize, server: ServerNo) -> Result<(), String> {
-        let (key, at) = self.door(|door| Place::ServerDoor { gateway, server, door })?;
+        let (key, at) = self.door(|door| Place::ServerDoor {
+            gateway,
+            server,
+            door,
+        })?;
         self.gateways[gateway].doors.insert(server, (key, at));
         Ok(())
     }
@@ -85,7 +108,16 @@
             let zone = told::zone_name(it.zone);
             let started_ms = change.started.map_or(0, |at| self.clock.unix_ms(at));
             let (uid, kind, cell) = (it.uid.as_str(), it.kind.as_str(), it.cell);
-            ListedServer { uid, endpoint: &endpoint, zone: &zone, kind, cell, state, started_ms }.json()
+            ListedServer {
+                uid,
+                endpoint: &endpoint,
+                zone: &zone,
+                kind,
+                cell,
+                state,
+                started_ms,
+            }
+            .json()
         };
         changes.iter().map(line).collect()
     }
@@ -98,12 +130,19 @@
             }
         }
         let of = |place: &Place| matches!(place, Place::Upstream(it) if it.server == server);
-        let keys: Vec<usize> = self.places.iter().filter(|(_, it)| of(it)).map(|(key, _)| key).collect();
+        let keys: Vec<usize> = self
+            .places
+            .iter()
+            .filter(|(_, it)| of(it))
+            .map(|(key, _)| key)
+            .collect();
         keys.into_iter().try_for_each(|key| self.close(key))
     }
 
     pub(super) fn upstream_ready(&mut self, key: usize) -> Result<(), String> {
-        let Some(Place::Upstream(it)) = self.places.get_mut(key) else { return Ok(()) };
+        let Some(Place::Upstream(it)) = self.places.get_mut(key) else {
+            return Ok(());
+        };
         let open = it.wire.read();
         it.used = self.now;
         let (gateway, server) = (it.gateway, it.server);
@@ -125,7 +164,9 @@
         }
         if wrong {
             let at = self.now.as_secs_f64();
-            self.crashes.push(format!("gateway {gateway} at {at:.3} s: sent what no client asked"));
+            self.crashes.push(format!(
+                "gateway {gateway} at {at:.3} s: sent what no client asked"
+            ));
         }
         if !open || wrong {
             return self.close(key);
@@ -141,7 +182,10 @@
         server: ServerNo,
         words: &[Vec<u8>],
     ) -> Result<bool, String> {
-        let verb = words.first().map(|word| word.to_ascii_uppercase()).unwrap_or_default();
+        let verb = words
+            .first()
+            .map(|word| word.to_ascii_uppercase())
+            .unwrap_or_default();
         let at_once = match verb.as_slice() {
             b"PING" => b"+PONG\r\n".as_slice(),
             b"CLIENT" | b"SELECT" => b"+OK\r\n",
@@ -149,17 +193,29 @@
                 return Ok(self.probed(key, server))
             }
             b"SVC.QUERY" | b"SVC.SUBMIT" => {
-                let Some(ask) = asked(words).filter(|ask| (ask.0 as usize) < self.world.asks.len()) else {
+                let Some(ask) = asked(words).filter(|ask| (ask.0 as usize) < self.world.asks.len())
+                else {
+                    return Ok(false);
+                };
+                let terms = words
+                    .get(3)
+                    .and_then(|list| std::str::from_utf8(list).ok())
+                    .unwrap_or_default();
+                let wait = terms
+                    .split(',')
+                    .find_map(|pair| pair.strip_prefix("d=")?.parse().ok());
+                let Some(wait) = wait.map(Duration::from_millis) else {
                     return Ok(false);
                 };
-                let terms = words.get(3).and_then(|list| std::str::from_utf8(list).ok()).unwrap_or_default();
-                let wait = terms.split(',').find_map(|pair| pair.strip_prefix("d=")?.parse().ok());
-                let Some(wait) = wait.map(Duration::from_millis) else { return Ok(false) };
                 self.world.referee.told_wait(self.now, ask, gateway, wait);
-                let Some(Place::Upstream(it)) = self.places.get_mut(key) else { return Ok(true) };
+                let Some(Place::Upstream(it)) = self.places.get_mut(key) else {
+                    return Ok(true);
+                };
                 let fresh = std::mem::replace(&mut it.fresh, false);
                 let mut acts = Vec::new();
-                let of = self.world.came(self.now, gateway, server, (ask, fresh), &mut acts);
+                let of = self
+                    .world
+                    .came(self.now, gateway, server, (ask, fresh), &mut acts);
                 if let Some(Place::Upstream(it)) = self.places.get_mut(key) {
                     it.turns.asked(of);
                 }
@@ -191,7 +247,9 @@
 
     pub(super) fn reply(&mut self, of: TryId, says: Says) -> Result<(), String> {
         let ask = self.world.tries[of.0 as usize].ask;
-        let Some(key) = self.trying.remove(&of) else { return Ok(()) };
+        let Some(key) = self.trying.remove(&of) else {
+            return Ok(());
+        };
         if let Some(Place::Upstream(it)) = self.places.get_mut(key) {
             let out = it.turns.answered(of, said(says, ask));
             it.wire.put(&out);
@@ -208,7 +266,12 @@
             Place::Upstream(it) => it.turns.open().next().is_none() && it.used + keep <= self.now,
             _ => false,
         };
-        let keys: Vec<usize> = self.places.iter().filter(|(_, it)| old(it)).map(|(key, _)| key).collect();
+        let keys: Vec<usize> = self
+            .places
+            .iter()
+            .filter(|(_, it)| old(it))
+            .map(|(key, _)| key)
+            .collect();
         keys.into_iter().try_for_each(|key| self.close(key))
     }
 
--- a/lab/src/loopback/tap.rs
+++ b/lab/src/loopback/tap.rs
@@ -21,7 +21,9 @@
 
 /// What a client asks, if it is an API call and no retry that says so.
 fn asked(frame: &OwnedFrame, at: Duration) -> Option<Recorded> {
-    let OwnedFrame::Array(words) = frame else { return None };
+    let OwnedFrame::Array(words) = frame else {
+        return None;
+    };
     let word = |place: usize| match words.get(place) {
         Some(OwnedFrame::BulkString(word)) => std::str::from_utf8(word).ok(),
         _ => None,
@@ -30,15 +32,29 @@
     if verb != "SVC.QUERY" && verb != "SVC.SUBMIT" {
         return None;
     }
-    let account = u64::from_str_radix(word(1)?, 16).ok().filter(|it| it >> 33 == 0)?;
+    let account = u64::from_str_radix(word(1)?, 16)
+        .ok()
+        .filter(|it| it >> 33 == 0)?;
     let list = word(3)?;
-    let value = |name: &str| list.split(',').filter_map(|pair| pair.split_once('=')).find(|it| it.0 == name);
+    let value = |name: &str| {
+        list.split(',')
+            .filter_map(|pair| pair.split_once('='))
+            .find(|it| it.0 == name)
+    };
     if value("r").is_some_and(|it| it.1 == "1") {
         return None;
     }
-    let units = value("units").and_then(|it| it.1.parse().ok()).unwrap_or(1.0);
+    let units = value("units")
+        .and_then(|it| it.1.parse().ok())
+        .unwrap_or(1.0);
     let (route, plan) = (value("c")?.1.to_string(), value("t")?.1.to_string());
-    Some(Recorded { at, account, plan, route, units })
+    Some(Recorded {
+        at,
+        account,
+        plan,
+        route,
+        units,
+    })
 }
 
 /// Passes on one way; hands what passes to `look`.
@@ -54,7 +70,12 @@
     let _ = from.shutdown(Shutdown::Read);
 }
 
-fn connection(client: TcpStream, to: SocketAddr, clock: Arc<Clock>, shared: Shared) -> std::io::Result<()> {
+fn connection(
+    client: TcpStream,
+    to: SocketAddr,
+    clock: Arc<Clock>,
+    shared: Shared,
+) -> std::io::Result<()> {
     let gateway = TcpStream::connect(to)?;
     client.set_nodelay(true)?;
     gateway.set_nodelay(true)?;
@@ -70,10 +91,15 @@
             match decode(&waiting) {
                 Ok(Some((frame, length))) => {
                     waiting.drain(..length);
-                    let Some(it) = asked(&frame, clock.now()) else { continue };
+                    let Some(it) = asked(&frame, clock.now()) else {
+                        continue;
+                    };
                     let mut shared = shared.lock().unwrap_or_else(|broken| broken.into_inner());
                     // The moment is taken under the lock, so that lines stand in the order of their time.
-                    let it = Recorded { at: clock.now(), ..it };
+                    let it = Recorded {
+                        at: clock.now(),
+                        ..it
+                    };
                     if let Some(recorder) = shared.as_mut() {
                         let _ = recorder.note(&it);
                     }
@@ -100,8 +126,12 @@
     let door = TcpListener::bind(listen).map_err(|error| format!("{listen}: {error}"))?;
     let file = File::create(out).map_err(|error| format!("{}: {error}", out.display()))?;
     let recorder = Recorder::new(file).map_err(|error| error.to_string())?;
-    let (clock, shared) = (Arc::new(Clock::start()), Arc::new(Mutex::new(Some(recorder))));
-    door.set_nonblocking(true).map_err(|error| error.to_string())?;
+    let (clock, shared) = (
+        Arc::new(Clock::start()),
+        Arc::new(Mutex::new(Some(recorder))),
+    );
+    door.set_nonblocking(true)
+        .map_err(|error| error.to_string())?;
     while !stop.load(Ordering::SeqCst) && most.is_none_or(|most| clock.now() < most) {
         match door.accept() {
             Ok((client, _)) => {
@@ -112,6 +142,11 @@
             Err(_) => thread::sleep(Duration::from_millis(2)),
         }
     }
-    let recorder = shared.lock().unwrap_or_else(|broken| broken.into_inner()).take();
-    recorder.map_or(Ok(()), |it| it.finish()).map_err(|error| format!("{}: {error}", out.display()))
+    let recorder = shared
+        .lock()
+        .unwrap_or_else(|broken| broken.into_inner())
+        .take();
+    recorder
+        .map_or(Ok(()), |it| it.finish())
+        .map_err(|error| format!("{}: {error}", out.display()))
 }
--- a/lab/src/loopback/wire.rs
+++ b/lab/src/loopback/wire.rs
@@ -31,7 +31,15 @@
     fn new(registry: &Registry, mut socket: TcpStream, token: Token, up: bool) -> io::Result<Wire> {
         registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE)?;
         let _ = socket.set_nodelay(true);
-        Ok(Wire { socket, input: Vec::new(), output: Vec::new(), done: 0, put: 0, written: 0, up })
+        Ok(Wire {
+            socket,
+            input: Vec::new(),
+            output: Vec::new(),
+            done: 0,
+            put: 0,
+            written: 0,
+            up,
+        })
     }
 
     pub fn put(&mut self, bytes: &[u8]) {
@@ -55,7 +63,12 @@
                     self.up = true;
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => (),
-                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
+                Err(error)
+                    if matches!(
+                        error.kind(),
+                        ErrorKind::WouldBlock | ErrorKind::NotConnected
+                    ) =>
+                {
                     return Ok(());
                 }
                 Err(error) => return Err(error),
@@ -107,7 +120,9 @@
 
 impl<K> Default for Turns<K> {
     fn default() -> Self {
-        Turns { slots: VecDeque::new() }
+        Turns {
+            slots: VecDeque::new(),
+        }
     }
 }
 
@@ -118,7 +133,11 @@
 
     /// An answer: says what may go out now.
     pub fn answered(&mut self, key: K, answer: Vec<u8>) -> Vec<u8> {
-        if let Some(slot) = self.slots.iter_mut().find(|slot| slot.0 == key && slot.1.is_none()) {
+        if let Some(slot) = self
+            .slots
+            .iter_mut()
+            .find(|slot| slot.0 == key && slot.1.is_none())
+        {
             slot.1 = Some(answer);
         }
         let mut out = Vec::new();
--- a/lab/src/measure.rs
+++ b/lab/src/measure.rs
@@ -119,11 +119,20 @@
         let (asked, tries) = (all.asked as f64, all.tries as f64);
         vec![
             ("served", per(all.value_in_time, all.value_asked)),
-            ("net", per(all.value_in_time - all.beyond_cost, all.value_asked)),
+            (
+                "net",
+                per(all.value_in_time - all.beyond_cost, all.value_asked),
+            ),
             ("limited", per(all.limited as f64, asked)),
-            ("limited with room", per(all.limited_with_room as f64, all.limited as f64)),
+            (
+                "limited with room",
+                per(all.limited_with_room as f64, all.limited as f64),
+            ),
             ("beyond quotas", per(all.beyond, all.units)),
-            ("errored", per((all.errored + all.unanswered + all.unreached) as f64, asked)),
+            (
+                "errored",
+                per((all.errored + all.unanswered + all.unreached) as f64, asked),
+            ),
             ("counter calls a try", per(all.counter_calls as f64, tries)),
             ("connections a try", per(all.connections as f64, tries)),
             ("tries a proxied call", per(tries, all.proxied as f64)),
@@ -232,15 +241,24 @@
         if self.late.is_empty() {
             return Lateness::default();
         }
-        let (worst, p99) = (self.late.max() as f64 / 1e3, self.late.value_at_quantile(0.99) as f64 / 1e3);
-        Lateness { worst_ms: worst, p99_ms: p99, spoilt: p99 > 5.0 || worst > 250.0 }
+        let (worst, p99) = (
+            self.late.max() as f64 / 1e3,
+            self.late.value_at_quantile(0.99) as f64 / 1e3,
+        );
+        Lateness {
+            worst_ms: worst,
+            p99_ms: p99,
+            spoilt: p99 > 5.0 || worst > 250.0,
+        }
     }
 
     /// Adds up what came after the warm-up.
     pub fn results(&self) -> Results {
         let mut all = Second::default();
         let from = self.warm_up.as_secs() as usize;
-        self.seconds[from.min(self.seconds.len())..].iter().for_each(|second| all.add(second));
+        self.seconds[from.min(self.seconds.len())..]
+            .iter()
+            .for_each(|second| all.add(second));
         Results {
             seconds: self.length.as_secs_f64(),
             all,
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -45,7 +45,10 @@
 impl<W: Write> Recorder<W> {
     pub fn new(to: W) -> io::Result<Recorder<W>> {
         let mut out = zstd::stream::write::Encoder::new(to, 3)?;
-        let head = Head { format: FORMAT.into(), version: 1 };
+        let head = Head {
+            format: FORMAT.into(),
+            version: 1,
+        };
         writeln!(out, "{}", serde_json::to_string(&head)?)?;
         Ok(Recorder { out })
     }
@@ -68,13 +71,15 @@
 
 /// Reads a whole file; what is wrong is told with its line.
 pub fn read(from: impl Read) -> Result<Vec<Recorded>, String> {
-    let text = BufReader::new(zstd::stream::read::Decoder::new(from).map_err(|error| error.to_string())?);
+    let text =
+        BufReader::new(zstd::stream::read::Decoder::new(from).map_err(|error| error.to_string())?);
     let mut all: Vec<Recorded> = Vec::new();
     for (place, line) in text.lines().enumerate() {
         let wrong = |what: String| format!("line {}: {what}", place + 1);
         let line = line.map_err(|error| wrong(error.to_string()))?;
         if place == 0 {
-            let head: Head = serde_json::from_str(&line).map_err(|error| wrong(error.to_string()))?;
+            let head: Head =
+                serde_json::from_str(&line).map_err(|error| wrong(error.to_string()))?;
             if (head.format.as_str(), head.version) != (FORMAT, 1) {
                 let found = format!("{} {}", head.format, head.version);
                 return Err(wrong(format!("expected {FORMAT} 1, found {found}")));
@@ -82,17 +87,27 @@
             continue;
         }
         let line: Line = serde_json::from_str(&line).map_err(|error| wrong(error.to_string()))?;
-        let account = u64::from_str_radix(&line.account, 16).ok().filter(|it| it >> 33 == 0);
+        let account = u64::from_str_radix(&line.account, 16)
+            .ok()
+            .filter(|it| it >> 33 == 0);
         let account = account.ok_or_else(|| wrong(format!("no account: '{}'", line.account)))?;
         let fits = |value: f64, most: f64| value.is_finite() && (0.0..=most).contains(&value);
         if !fits(line.at_ms, 86_400e3 * 365.0) || !fits(line.units, 1e6) {
-            return Err(wrong("expected a time and units that are not negative".into()));
+            return Err(wrong(
+                "expected a time and units that are not negative".into(),
+            ));
         }
         let at = Duration::from_secs_f64(line.at_ms / 1e3);
         if all.last().is_some_and(|last| last.at > at) {
             return Err(wrong("expected lines in the order of their time".into()));
         }
-        all.push(Recorded { at, account, plan: line.plan, route: line.route, units: line.units });
+        all.push(Recorded {
+            at,
+            account,
+            plan: line.plan,
+            route: line.route,
+            units: line.units,
+        });
     }
     Ok(all)
 }
@@ -108,9 +123,17 @@
         let drawn = WyRand::new_seed(it.account ^ seed).generate::<f64>();
         let copies = whole + u64::from(drawn < rest);
         for copy in 0..copies {
-            let apart = if copy == 0 { 0.0 } else { rng.generate::<f64>() * 0.2 };
+            let apart = if copy == 0 {
+                0.0
+            } else {
+                rng.generate::<f64>() * 0.2
+            };
             let account = (it.account ^ (copy << 20)) & ((1 << 33) - 1);
-            out.push(Recorded { at: it.at + Duration::from_secs_f64(apart), account, ..it.clone() });
+            out.push(Recorded {
+                at: it.at + Duration::from_secs_f64(apart),
+                account,
+                ..it.clone()
+            });
         }
     }
     out.sort_by_key(|it| it.at);
--- a/lab/src/record/tests.rs
+++ b/lab/src/record/tests.rs
@@ -8,7 +8,9 @@
         route: "preview".into(),
         units: 2.0,
     };
-    (0..50).map(|place| one(place * 10, 7 + place % 5)).collect()
+    (0..50)
+        .map(|place| one(place * 10, 7 + place % 5))
+        .collect()
 }
 
 fn file(lines: &[&str]) -> Vec<u8> {
@@ -31,14 +33,30 @@
     let head = r#"{"format":"wellcrank-asked","version":1}"#;
     let good = r#"{"at_ms":9,"account":"07","plan":"p","route":"r","units":1}"#;
     for (lines, wanted) in [
-        (vec![r#"{"format":"other","version":1}"#], "line 1: expected wellcrank-asked 1"),
         (
-            vec![head, good, r#"{"at_ms":8,"account":"07","plan":"p","route":"r","units":1}"#],
+            vec![r#"{"format":"other","version":1}"#],
+            "line 1: expected wellcrank-asked 1",
+        ),
+        (
+            vec![
+                head,
+                good,
+                r#"{"at_ms":8,"account":"07","plan":"p","route":"r","units":1}"#,
+            ],
             "line 3: expected lines",
         ),
-        (vec![head, r#"{"at_ms":8,"account":"x","plan":"p","route":"r","units":1}"#], "line 2: no account"),
         (
-            vec![head, r#"{"at_ms":8,"account":"07","plan":"p","route":"r","units":-1}"#],
+            vec![
+                head,
+                r#"{"at_ms":8,"account":"x","plan":"p","route":"r","units":1}"#,
+            ],
+            "line 2: no account",
+        ),
+        (
+            vec![
+                head,
+                r#"{"at_ms":8,"account":"07","plan":"p","route":"r","units":-1}"#,
+            ],
             "line 2: expected a time",
         ),
         (vec![head, "{}"], "line 2: missing field"),
--- a/lab/src/referee.rs
+++ b/lab/src/referee.rs
@@ -146,7 +146,13 @@
         self.count += 1;
         if self.broken.len() < KEPT {
             let (at, call) = (now.as_secs_f64(), call.map(|id| id.0));
-            self.broken.push(Broken { rule, at, call, gateway, what });
+            self.broken.push(Broken {
+                rule,
+                at,
+                call,
+                gateway,
+                what,
+            });
         }
     }
 
@@ -185,7 +191,18 @@
         self.open[gateway].insert(ask);
         let tries = Vec::new();
         let (left, answer, excused) = (None, None, false);
-        let seen = Seen { asked, left, route, gateway, account, units, until, tries, answer, excused };
+        let seen = Seen {
+            asked,
+            left,
+            route,
+            gateway,
+            account,
+            units,
+            until,
+            tries,
+            answer,
+            excused,
+        };
         self.asks.insert(ask, seen);
     }
 
@@ -202,8 +219,10 @@
         let late = |ask: &AskId| self.asks[ask].asked + self.slack < now;
         let unanswered: Vec<AskId> = self.open[gateway].iter().copied().filter(late).collect();
         for ask in unanswered {
-            let what =
-                format!("unanswered at the kill, {:?} after it was taken", now - self.asks[&ask].asked);
+            let what = format!(
+                "unanswered at the kill, {:?} after it was taken",
+                now - self.asks[&ask].asked
+            );
             self.breaks(Rule::OneAnswer, now, Some(ask), Some(gateway), what);
         }
         self.killed(gateway);
@@ -219,7 +238,9 @@
 
     /// A try says how long the gateway waits: no longer than the client does.
     pub fn told_wait(&mut self, now: Duration, ask: AskId, gateway: usize, wait: Duration) {
-        let Some(seen) = self.asks.get(&ask) else { return };
+        let Some(seen) = self.asks.get(&ask) else {
+            return;
+        };
         let left = seen.until.saturating_sub(now);
         if wait > left + TOLD_SLACK + self.slack {
             let what = format!("a server was told that {wait:?} are left, of {left:?}");
@@ -241,11 +262,16 @@
         if let Some(since) = self.told.get(&(gateway, server)) {
             let late = now.saturating_sub(*since);
             if late > Duration::from_secs_f64(self.terms.fleet.drain_grace) + slack {
-                let what = format!("sent to server {} {late:?} after being told it leaves", server.0);
+                let what = format!(
+                    "sent to server {} {late:?} after being told it leaves",
+                    server.0
+                );
                 self.breaks(Rule::Drains, now, Some(ask), Some(gateway), what);
             }
         }
-        let Some(seen) = self.asks.get_mut(&ask) else { return };
+        let Some(seen) = self.asks.get_mut(&ask) else {
+            return;
+        };
         let (first, places) = (seen.tries.is_empty(), &self.places);
         let mut wrongs = Vec::new();
         if let Some(answered) = seen.answer.filter(|answered| now > *answered + slack) {
@@ -257,7 +283,10 @@
             wrongs.push((Rule::OneAnswer, what));
         }
         let route = &self.terms.routes[seen.route];
-        let ran = seen.tries.iter().find(|it| it.end.is_none_or(|(_, end)| end != TryEnd::TurnedAway));
+        let ran = seen
+            .tries
+            .iter()
+            .find(|it| it.end.is_none_or(|(_, end)| end != TryEnd::TurnedAway));
         if let Some(ran) = ran {
             let known = ran.came + Duration::from_secs_f64(route.memory) + slack >= now;
             let place = |server: &ServerNo| places.get(server).copied().unwrap_or_default();
@@ -271,7 +300,10 @@
                 Repeat::Idempotent => (),
                 Repeat::Tokened if known && dropped => (),
                 _ => {
-                    let what = format!("sent again after a try at server {} that may have run", ran.server.0);
+                    let what = format!(
+                        "sent again after a try at server {} that may have run",
+                        ran.server.0
+                    );
                     wrongs.push((Rule::NoEffectTwice, what));
                 }
             }
@@ -279,7 +311,12 @@
         for earlier in seen.tries.iter().filter(|it| it.end.is_none()) {
             self.overlaps.insert((ask, earlier.of), now + slack);
         }
-        seen.tries.push(TrySeen { of, server, came: now, end: None });
+        seen.tries.push(TrySeen {
+            of,
+            server,
+            came: now,
+            end: None,
+        });
         let (account, units) = (seen.account, seen.units);
         for (rule, what) in wrongs {
             self.breaks(rule, now, Some(ask), Some(gateway), what);
@@ -291,7 +328,13 @@
 
     /// Each first try takes its units from the ceiling of its customer.
     fn ceiling(&mut self, now: Duration, ask: AskId, gateway: usize, account: u32, units: f64) {
-        let Some(plan) = self.plan_of.get(&account).map(|plan| &self.terms.plans[*plan]) else { return };
+        let Some(plan) = self
+            .plan_of
+            .get(&account)
+            .map(|plan| &self.terms.plans[*plan])
+        else {
+            return;
+        };
         if plan.ceiling_rate <= 0.0 {
             return;
         }
@@ -300,8 +343,12 @@
         // The slack is a part of the ceiling or one of the largest API calls, whichever is more.
         let depth = (plan.ceiling_burst * more).max(plan.ceiling_burst + top);
         let rate = plan.ceiling_rate * more;
-        let bucket = self.ceilings.entry(account).or_insert(Ceiling { left: depth, at: now });
-        bucket.left = (bucket.left + now.saturating_sub(bucket.at).as_secs_f64() * rate).min(depth) - units;
+        let bucket = self.ceilings.entry(account).or_insert(Ceiling {
+            left: depth,
+            at: now,
+        });
+        bucket.left =
+            (bucket.left + now.saturating_sub(bucket.at).as_secs_f64() * rate).min(depth) - units;
         bucket.at = now;
         if bucket.left < 0.0 {
             let what = format!(
@@ -315,7 +362,9 @@
 
     /// A try is no longer out.
     pub fn over(&mut self, now: Duration, of: TryId, ask: AskId, end: TryEnd) {
-        let Some(seen) = self.asks.get_mut(&ask) else { return };
+        let Some(seen) = self.asks.get_mut(&ask) else {
+            return;
+        };
         let gateway = seen.gateway;
         if let Some(it) = seen.tries.iter_mut().find(|it| it.of == of) {
             it.end.get_or_insert((now, end));
@@ -331,7 +380,9 @@
     /// A client has an answer, or the end of its connection.
     pub fn answered(&mut self, now: Duration, ask: AskId, verdict: Verdict) {
         let slack = self.slack;
-        let Some(seen) = self.asks.get_mut(&ask) else { return };
+        let Some(seen) = self.asks.get_mut(&ask) else {
+            return;
+        };
         let gateway = seen.gateway;
         self.open[gateway].remove(&ask);
         let mut wrongs = Vec::new();
@@ -345,8 +396,10 @@
             wrongs.push((Rule::OneAnswer, what));
         }
         let route = &self.terms.routes[seen.route];
-        let may_have_run =
-            seen.tries.iter().any(|it| it.end.is_none_or(|(_, end)| end != TryEnd::TurnedAway));
+        let may_have_run = seen
+            .tries
+            .iter()
+            .any(|it| it.end.is_none_or(|(_, end)| end != TryEnd::TurnedAway));
         let harmless = match route.repeat {
             Repeat::Idempotent => true,
             // A client's next try is a new API call, but has the key that is known.
@@ -355,9 +408,15 @@
         };
         match verdict {
             Verdict::Served { right: false } => {
-                wrongs.push((Rule::OneAnswer, "served with what no server made for it".into()));
+                wrongs.push((
+                    Rule::OneAnswer,
+                    "served with what no server made for it".into(),
+                ));
             }
-            Verdict::Cut => wrongs.push((Rule::OneAnswer, "the connection ended with no answer".into())),
+            Verdict::Cut => wrongs.push((
+                Rule::OneAnswer,
+                "the connection ended with no answer".into(),
+            )),
             Verdict::Limited if !harmless => {
                 let what = "called harmless to try again though a try may have run".to_string();
                 wrongs.push((Rule::NoEffectTwice, what));
@@ -371,7 +430,9 @@
 
     /// The time of an API call is over, slack and all.
     pub fn time_up(&mut self, now: Duration, ask: AskId) {
-        let Some(seen) = self.asks.get(&ask) else { return };
+        let Some(seen) = self.asks.get(&ask) else {
+            return;
+        };
         let gateway = seen.gateway;
         if seen.answer.is_none() && !seen.excused {
             self.open[gateway].remove(&ask);
@@ -386,7 +447,10 @@
     }
 
     pub fn fell(&mut self, now: Duration, server: ServerNo) {
-        let what = format!("cold server {} was pushed over by all gateways together", server.0);
+        let what = format!(
+            "cold server {} was pushed over by all gateways together",
+            server.0
+        );
         self.breaks(Rule::ColdServers, now, None, None, what);
     }
 
@@ -395,14 +459,24 @@
         for ((ask, _), by) in std::mem::take(&mut self.overlaps) {
             if now > by {
                 let gateway = self.asks.get(&ask).map(|seen| seen.gateway);
-                self.breaks(Rule::NoEffectTwice, now, Some(ask), gateway, "two tries out at once".into());
+                self.breaks(
+                    Rule::NoEffectTwice,
+                    now,
+                    Some(ask),
+                    gateway,
+                    "two tries out at once".into(),
+                );
             }
         }
     }
 
     /// What is long over is forgotten, so that a long day does not fill the memory.
     pub fn forget(&mut self, before: Duration) {
-        while let Some(entry) = self.asks.first_entry().filter(|entry| entry.get().until < before) {
+        while let Some(entry) = self
+            .asks
+            .first_entry()
+            .filter(|entry| entry.get().until < before)
+        {
             entry.remove();
         }
     }
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -9,7 +9,10 @@
 use std::fmt::Write;
 
 fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;max-width:1340px;margin:2em auto;padding:0 1em;color:#222}\
@@ -21,15 +24,29 @@
 type BySecond = (&'static str, &'static str, fn(&Second) -> (f64, f64));
 
 const OVER_TIME: &[BySecond] = &[
-    ("Billed value in time", "share of what was asked inside quotas", |it| {
-        (it.value_in_time, it.value_asked)
-    }),
+    (
+        "Billed value in time",
+        "share of what was asked inside quotas",
+        |it| (it.value_in_time, it.value_asked),
+    ),
     ("API calls", "a second", |it| (it.asked as f64, 1.0)),
-    ("Rate-limited", "share of API calls", |it| (it.limited as f64, it.asked as f64)),
-    ("Rate-limited with half of the quota unused", "a second", |it| (it.limited_half_unused as f64, 1.0)),
-    ("Sent beyond quotas", "share of units", |it| (it.beyond, it.units)),
-    ("Counter calls", "a second", |it| (it.counter_calls as f64, 1.0)),
-    ("New connections", "a try", |it| (it.connections as f64, it.tries as f64)),
+    ("Rate-limited", "share of API calls", |it| {
+        (it.limited as f64, it.asked as f64)
+    }),
+    (
+        "Rate-limited with half of the quota unused",
+        "a second",
+        |it| (it.limited_half_unused as f64, 1.0),
+    ),
+    ("Sent beyond quotas", "share of units", |it| {
+        (it.beyond, it.units)
+    }),
+    ("Counter calls", "a second", |it| {
+        (it.counter_calls as f64, 1.0)
+    }),
+    ("New connections", "a try", |it| {
+        (it.connections as f64, it.tries as f64)
+    }),
     ("Not answered, errored or nobody there", "a second", |it| {
         ((it.unanswered + it.errored + it.unreached) as f64, 1.0)
     }),
@@ -48,13 +65,27 @@
 
 /// The busiest, the middle and the least busy server, by second.
 fn server_load(runs: &[&Results]) -> Vec<Line> {
-    let Some(run) = runs.first() else { return Vec::new() };
-    let seconds = run.server_load.iter().map(|(_, load)| load.len()).max().unwrap_or(0);
-    let mut lines: Vec<Line> =
-        ["busiest", "middle", "least busy"].map(|name| Line { name: name.into(), points: Vec::new() }).into();
+    let Some(run) = runs.first() else {
+        return Vec::new();
+    };
+    let seconds = run
+        .server_load
+        .iter()
+        .map(|(_, load)| load.len())
+        .max()
+        .unwrap_or(0);
+    let mut lines: Vec<Line> = ["busiest", "middle", "least busy"]
+        .map(|name| Line {
+            name: name.into(),
+            points: Vec::new(),
+        })
+        .into();
     for at in 0..seconds {
-        let mut loads: Vec<f32> =
-            run.server_load.iter().filter_map(|(_, load)| load.get(at).copied()).collect();
+        let mut loads: Vec<f32> = run
+            .server_load
+            .iter()
+            .filter_map(|(_, load)| load.get(at).copied())
+            .collect();
         loads.sort_by(f32::total_cmp);
         if let (Some(low), Some(high)) = (loads.first(), loads.last()) {
             for (line, value) in lines.iter_mut().zip([*high, loads[loads.len() / 2], *low]) {
@@ -85,7 +116,11 @@
     engines.sort_unstable();
     engines.dedup();
     for engine in engines {
-        let of: Vec<Results> = results.iter().filter(|it| it.engine == engine).cloned().collect();
+        let of: Vec<Results> = results
+            .iter()
+            .filter(|it| it.engine == engine)
+            .cloned()
+            .collect();
         let _ = write!(out, "<h2>Engine: {}</h2>", escaped(engine));
         figures(&mut out, &of);
         differences(&mut out, &of);
@@ -109,7 +144,11 @@
         for name in &names {
             let of = results.iter().filter(|it| it.variant == *name);
             let values: Vec<f64> = of.map(|it| it.figures()[place].1).collect();
-            let _ = write!(out, "<td>{:.4}</td>", values.iter().sum::<f64>() / values.len().max(1) as f64);
+            let _ = write!(
+                out,
+                "<td>{:.4}</td>",
+                values.iter().sum::<f64>() / values.len().max(1) as f64
+            );
         }
         out.push_str("</tr>");
     }
@@ -136,7 +175,11 @@
         }
         out.push_str("</table>");
         if it.late > 0 {
-            let _ = write!(out, "<p class=\"bad\">{} pairs left out: the laboratory ran late.</p>", it.late);
+            let _ = write!(
+                out,
+                "<p class=\"bad\">{} pairs left out: the laboratory ran late.</p>",
+                it.late
+            );
         }
     }
 }
@@ -145,12 +188,20 @@
 
 fn plots(out: &mut String, results: &[Results]) -> Result<(), String> {
     let names = stats::variants(results);
-    let of = |name: &String| results.iter().filter(|it| it.variant == *name).collect::<Vec<&Results>>();
+    let of = |name: &String| {
+        results
+            .iter()
+            .filter(|it| it.variant == *name)
+            .collect::<Vec<&Results>>()
+    };
     out.push_str("<h3>Over time</h3><div class=\"plots\">");
     for (title, up, pick) in OVER_TIME {
         let lines: Vec<Line> = names
             .iter()
-            .map(|name| Line { name: name.clone(), points: over_time(&of(name), *pick) })
+            .map(|name| Line {
+                name: name.clone(),
+                points: over_time(&of(name), *pick),
+            })
             .collect();
         out.push_str(&plots::lines(title, "seconds", up, &lines, true)?);
     }
@@ -164,24 +215,48 @@
         let mut lines = Vec::new();
         for name in &names {
             let runs = of(name);
-            let longest = runs.iter().map(|it| pick(it).curve.len()).max().unwrap_or(0);
+            let longest = runs
+                .iter()
+                .map(|it| pick(it).curve.len())
+                .max()
+                .unwrap_or(0);
             let points = (0..longest).map(|at| {
-                let parts: Vec<f64> = runs.iter().filter_map(|it| Some(pick(it).curve.get(at)?.1)).collect();
+                let parts: Vec<f64> = runs
+                    .iter()
+                    .filter_map(|it| Some(pick(it).curve.get(at)?.1))
+                    .collect();
                 // Nines of the quantile: 1 is p90, 2 is p99.
                 (
                     (at + 1) as f64 / 15.0,
-                    (parts.iter().sum::<f64>() / parts.len().max(1) as f64).max(0.001).log10(),
+                    (parts.iter().sum::<f64>() / parts.len().max(1) as f64)
+                        .max(0.001)
+                        .log10(),
                 )
             });
-            lines.push(Line { name: name.clone(), points: points.collect() });
+            lines.push(Line {
+                name: name.clone(),
+                points: points.collect(),
+            });
         }
         let up = "milliseconds, power of ten";
-        out.push_str(&plots::lines(title, "nines of the quantile (1: p90, 2: p99)", up, &lines, false)?);
+        out.push_str(&plots::lines(
+            title,
+            "nines of the quantile (1: p90, 2: p99)",
+            up,
+            &lines,
+            false,
+        )?);
     }
     out.push_str("</div><h3>Load of app servers</h3><div class=\"plots\">");
     for name in &names {
         let title = format!("Busy share of cores: {name}, first seed");
-        out.push_str(&plots::lines(&title, "seconds", "share", &server_load(&of(name)), true)?);
+        out.push_str(&plots::lines(
+            &title,
+            "seconds",
+            "share",
+            &server_load(&of(name)),
+            true,
+        )?);
     }
     out.push_str("</div>");
     Ok(())
@@ -201,7 +276,10 @@
                 escaped(&text)
             );
         };
-        it.broken.iter().take(20).for_each(|broken| note(broken.to_string()));
+        it.broken
+            .iter()
+            .take(20)
+            .for_each(|broken| note(broken.to_string()));
         if it.broken_count > 20 {
             note(format!("{} broken rules in all", it.broken_count));
         }
--- a/lab/src/report/tests.rs
+++ b/lab/src/report/tests.rs
@@ -3,14 +3,36 @@
 #[test]
 fn a_page_says_what_was_run_and_hides_no_broken_rule() {
     use crate::referee::{Broken, Rule};
-    let mut one =
-        Results { variant: "a<b".into(), engine: "simulated".into(), seed: 3, ..Results::default() };
-    one.by_second = vec![Second { asked: 5, value_asked: 4.0, value_in_time: 2.0, ..Second::default() }; 4];
-    one.broken =
-        vec![Broken { rule: Rule::Drains, at: 2.5, call: Some(7), gateway: Some(1), what: "sent".into() }];
+    let mut one = Results {
+        variant: "a<b".into(),
+        engine: "simulated".into(),
+        seed: 3,
+        ..Results::default()
+    };
+    one.by_second = vec![
+        Second {
+            asked: 5,
+            value_asked: 4.0,
+            value_in_time: 2.0,
+            ..Second::default()
+        };
+        4
+    ];
+    one.broken = vec![Broken {
+        rule: Rule::Drains,
+        at: 2.5,
+        call: Some(7),
+        gateway: Some(1),
+        what: "sent".into(),
+    }];
     one.broken_count = 1;
     let page = page("Title", "About & more", &[one]).expect("a page");
-    for wanted in ["<h1>Title</h1>", "About &amp; more", "a&lt;b seed 3: Drains broken at 2.500 s", "<svg"] {
+    for wanted in [
+        "<h1>Title</h1>",
+        "About &amp; more",
+        "a&lt;b seed 3: Drains broken at 2.500 s",
+        "<svg",
+    ] {
         assert!(page.contains(wanted), "{wanted}");
     }
     assert!(!page.contains("a<b"));
--- a/lab/src/runs.rs
+++ b/lab/src/runs.rs
@@ -28,16 +28,22 @@
 
 /// Recorded traffic that an experiment replays, scaled as it says.
 pub fn replay(experiment: &Experiment, seed: u64, beside: &Path) -> Result<Vec<Recorded>, String> {
-    let Some(file) = &experiment.load.replay else { return Ok(Vec::new()) };
+    let Some(file) = &experiment.load.replay else {
+        return Ok(Vec::new());
+    };
     let path = beside.join(file);
     let open = File::open(&path).map_err(|error| format!("{}: {error}", path.display()))?;
     let all = record::read(open).map_err(|why| format!("{}: {why}", path.display()))?;
     for it in &all {
-        for (what, name, known) in
-            [("route", &it.route, experiment.route(&it.route)), ("plan", &it.plan, experiment.plan(&it.plan))]
-        {
+        for (what, name, known) in [
+            ("route", &it.route, experiment.route(&it.route)),
+            ("plan", &it.plan, experiment.plan(&it.plan)),
+        ] {
             if known.is_none() {
-                return Err(format!("{}: the experiment has no {what} '{name}'", path.display()));
+                return Err(format!(
+                    "{}: the experiment has no {what} '{name}'",
+                    path.display()
+                ));
             }
         }
     }
@@ -45,18 +51,39 @@
 }
 
 /// One day.
-pub fn one(experiment: &Experiment, variant: &Variant, seed: u64, ways: &Ways) -> Result<Results, String> {
-    let changed = experiment.with(variant).map_err(|wrongs| format!("{wrongs:?}"))?;
+pub fn one(
+    experiment: &Experiment,
+    variant: &Variant,
+    seed: u64,
+    ways: &Ways,
+) -> Result<Results, String> {
+    let changed = experiment
+        .with(variant)
+        .map_err(|wrongs| format!("{wrongs:?}"))?;
     let replay = replay(&changed, seed, &ways.beside)?;
     match ways.engine.unwrap_or(experiment.engine) {
-        Engine::Simulated => {
-            simulated::play(experiment, variant, seed, &simulated::Terms { replay, fault: None })
-        }
+        Engine::Simulated => simulated::play(
+            experiment,
+            variant,
+            seed,
+            &simulated::Terms {
+                replay,
+                fault: None,
+            },
+        ),
         Engine::Loopback => {
-            let logs = ways.logs.as_ref().map(|logs| logs.join(format!("{}-{seed}", variant.name)));
+            let logs = ways
+                .logs
+                .as_ref()
+                .map(|logs| logs.join(format!("{}-{seed}", variant.name)));
             let play = || {
                 let (replay, logs) = (replay.clone(), logs.clone());
-                let terms = loopback::Terms { edge: ways.edge.clone(), replay, logs, ..Default::default() };
+                let terms = loopback::Terms {
+                    edge: ways.edge.clone(),
+                    replay,
+                    logs,
+                    ..Default::default()
+                };
                 loopback::play(experiment, variant, seed, terms)
             };
             let mut results = play()?;
@@ -77,7 +104,10 @@
     ways: &Ways,
     told: &(dyn Fn(&Result<Results, String>) + Sync),
 ) -> Result<Vec<Results>, String> {
-    let seeds = ways.seeds.clone().unwrap_or_else(|| experiment.seeds.clone());
+    let seeds = ways
+        .seeds
+        .clone()
+        .unwrap_or_else(|| experiment.seeds.clone());
     let days: Vec<(Variant, u64)> = experiment
         .sides()
         .into_iter()
@@ -88,17 +118,23 @@
         for _ in 0..ways.jobs.clamp(1, days.len().max(1)) {
             scope.spawn(|| loop {
                 let place = next.fetch_add(1, Ordering::SeqCst);
-                let Some((variant, seed)) = days.get(place) else { return };
+                let Some((variant, seed)) = days.get(place) else {
+                    return;
+                };
                 let result = one(experiment, variant, *seed, ways);
                 told(&result);
                 if result.is_err() {
                     next.store(days.len(), Ordering::SeqCst);
                 }
-                done.lock().unwrap_or_else(|broken| broken.into_inner()).push((place, result));
+                done.lock()
+                    .unwrap_or_else(|broken| broken.into_inner())
+                    .push((place, result));
             });
         }
     });
-    let mut done = done.into_inner().unwrap_or_else(|broken| broken.into_inner());
+    let mut done = done
+        .into_inner()
+        .unwrap_or_else(|broken| broken.into_inner());
     done.sort_by_key(|(place, _)| *place);
     done.into_iter().map(|(_, result)| result).collect()
 }
@@ -115,12 +151,18 @@
         let line = serde_json::to_string(it).map_err(|error| error.to_string())?;
         writeln!(out, "{line}").map_err(said)?;
     }
-    out.sync_all().and_then(|()| fs::rename(&half, path)).map_err(said)
+    out.sync_all()
+        .and_then(|()| fs::rename(&half, path))
+        .map_err(said)
 }
 
 /// Reads results from a file, or from `results.jsonl` in a folder.
 pub fn read(path: &Path) -> Result<Vec<Results>, String> {
-    let path = if path.is_dir() { path.join("results.jsonl") } else { path.to_path_buf() };
+    let path = if path.is_dir() {
+        path.join("results.jsonl")
+    } else {
+        path.to_path_buf()
+    };
     let file = File::open(&path).map_err(|error| format!("{}: {error}", path.display()))?;
     let mut all = Vec::new();
     for (place, line) in BufReader::new(file).lines().enumerate() {
--- a/lab/src/simulated.rs
+++ b/lab/src/simulated.rs
@@ -3,7 +3,9 @@
 //! connection carries a try, when its time is up, what a call on the counter that is late comes to) is played
 //! here as `edge/` does it; the processor time of a gateway is not.
 
-use crate::decision_engine::{DecisionEngine, ExternalEngine, GatewayAction, GatewayEvent, InProcess};
+use crate::decision_engine::{
+    DecisionEngine, ExternalEngine, GatewayAction, GatewayEvent, InProcess,
+};
 use crate::experiment::{Experiment, Variant};
 use crate::measure::Results;
 use crate::record::Recorded;
@@ -51,17 +53,49 @@
 enum Event {
     Arrives(usize, AskId),
     ClientLeft(usize, AskId),
-    Heard { ask: AskId, verdict: Verdict, advice: Option<Duration> },
-    TryArrives { key: TryKey, server: ServerNo, fresh: bool },
+    Heard {
+        ask: AskId,
+        verdict: Verdict,
+        advice: Option<Duration>,
+    },
+    TryArrives {
+        key: TryKey,
+        server: ServerNo,
+        fresh: bool,
+    },
     TryLeft(TryId),
-    Replied { key: TryKey, says: Says },
+    Replied {
+        key: TryKey,
+        says: Says,
+    },
     Refused(TryKey),
     TryTimeUp(TryKey),
-    CountArrives { at: usize, life: u32, number: u64 },
-    CountAnswered { at: usize, life: u32, number: u64, says: CounterSays },
-    CountTimeUp { at: usize, life: u32, number: u64 },
-    Woken { at: usize, life: u32, token: WakeToken },
-    Listed { at: usize, life: u32, upto: usize },
+    CountArrives {
+        at: usize,
+        life: u32,
+        number: u64,
+    },
+    CountAnswered {
+        at: usize,
+        life: u32,
+        number: u64,
+        says: CounterSays,
+    },
+    CountTimeUp {
+        at: usize,
+        life: u32,
+        number: u64,
+    },
+    Woken {
+        at: usize,
+        life: u32,
+        token: WakeToken,
+    },
+    Listed {
+        at: usize,
+        life: u32,
+        upto: usize,
+    },
     Ready(usize, u32),
     Sweep,
 }
@@ -127,15 +161,24 @@
 }
 
 /// Plays one day of an experiment, as a variant has it.
-pub fn play(experiment: &Experiment, variant: &Variant, seed: u64, terms: &Terms) -> Result<Results, String> {
-    let changed = experiment.with(variant).map_err(|wrongs| format!("{wrongs:?}"))?;
+pub fn play(
+    experiment: &Experiment,
+    variant: &Variant,
+    seed: u64,
+    terms: &Terms,
+) -> Result<Results, String> {
+    let changed = experiment
+        .with(variant)
+        .map_err(|wrongs| format!("{wrongs:?}"))?;
     let world = World::new(&changed, seed, false, SLACK, terms.replay.clone());
     let engine: Box<dyn DecisionEngine> = match &variant.simulator {
         Some(program) => Box::new(ExternalEngine::start(program)?),
         None => Box::new(InProcess::default()),
     };
     let mut day = Day {
-        gateways: (0..changed.fleet.gateways).map(|_| Gateway::default()).collect(),
+        gateways: (0..changed.fleet.gateways)
+            .map(|_| Gateway::default())
+            .collect(),
         world,
         engine,
         events: BinaryHeap::new(),
@@ -152,7 +195,9 @@
         twice: BTreeSet::new(),
     };
     day.play()?;
-    Ok(day.world.results("simulated", &experiment.title, &variant.name, seed))
+    Ok(day
+        .world
+        .results("simulated", &experiment.title, &variant.name, seed))
 }
 
 fn call_id(ask: AskId) -> CallId {
@@ -180,7 +225,14 @@
         loop {
             let next = self.events.peek().map(|Reverse((when, _))| *when);
             let due = self.world.next_due();
-            let Some(now) = [next, due].into_iter().flatten().min().filter(|now| *now <= end) else { break };
+            let Some(now) = [next, due]
+                .into_iter()
+                .flatten()
+                .min()
+                .filter(|now| *now <= end)
+            else {
+                break;
+            };
             self.now = now;
             if due == Some(now) {
                 let mut acts = Vec::new();
@@ -191,7 +243,9 @@
                 if *when > now {
                     break;
                 }
-                let Some(Reverse((_, number))) = self.events.pop() else { break };
+                let Some(Reverse((_, number))) = self.events.pop() else {
+                    break;
+                };
                 if let Some(event) = self.what.remove(&number) {
                     self.event(event)?;
                 }
@@ -220,14 +274,21 @@
     fn start(&mut self, gateway: usize) -> Result<(), String> {
         let settings = told::settings(&self.world.terms, gateway, &self.told)?;
         let it = &mut self.gateways[gateway];
-        *it = Gateway { life: it.life + 1, up: true, ..Gateway::default() };
+        *it = Gateway {
+            life: it.life + 1,
+            up: true,
+            ..Gateway::default()
+        };
         let (life, seed) = (it.life, self.seeds.generate());
         self.deliver(gateway, GatewayEvent::Start { settings, seed })?;
         let upto = self.world.upto(gateway);
         let list = self.world.list(upto);
         self.gateways[gateway].told = upto;
         self.listed(gateway, true, &list)?;
-        self.at(self.now + Duration::from_millis(20), Event::Ready(gateway, life));
+        self.at(
+            self.now + Duration::from_millis(20),
+            Event::Ready(gateway, life),
+        );
         Ok(())
     }
 
@@ -250,7 +311,9 @@
                 kind: server.kind.clone(),
                 weight: 1.0,
             });
-            self.gateways[gateway].ready.insert(change.server, change.listing == Listing::Active);
+            self.gateways[gateway]
+                .ready
+                .insert(change.server, change.listing == Listing::Active);
         }
         self.world.told(self.now, gateway, changes);
         if self.fault == Some(Fault::HearsNoChanges) && !whole {
@@ -277,19 +340,36 @@
                 }
                 Act::Reply(of, says) => {
                     if let Some(key) = self.trying.remove(&of) {
-                        let way = self.world.way(key.0, self.world.tries[of.0 as usize].server);
+                        let way = self
+                            .world
+                            .way(key.0, self.world.tries[of.0 as usize].server);
                         self.at(now + way, Event::Replied { key, says });
                     }
                 }
                 Act::Counted(count, says) => {
                     if let Some((at, life, number)) = self.counting.remove(&count) {
                         let when = now + self.world.near();
-                        self.at(when, Event::CountAnswered { at, life, number, says });
+                        self.at(
+                            when,
+                            Event::CountAnswered {
+                                at,
+                                life,
+                                number,
+                                says,
+                            },
+                        );
                     }
                 }
                 Act::Told { gateway, upto } => {
                     let life = self.gateways[gateway].life;
-                    self.at(now, Event::Listed { at: gateway, life, upto });
+                    self.at(
+                        now,
+                        Event::Listed {
+                            at: gateway,
+                            life,
+                            upto,
+                        },
+                    );
                 }
                 Act::Born(_) | Act::Up(_) => (),
                 Act::Down(server) => self.reset(server),
@@ -302,7 +382,15 @@
                     let open: Vec<_> = std::mem::take(&mut self.counting).into_values().collect();
                     for (at, life, number) in open {
                         let says = CounterSays::Reset;
-                        self.at(now + self.world.near(), Event::CountAnswered { at, life, number, says });
+                        self.at(
+                            now + self.world.near(),
+                            Event::CountAnswered {
+                                at,
+                                life,
+                                number,
+                                says,
+                            },
+                        );
                     }
                 }
             }
@@ -318,8 +406,13 @@
             it.connections -= idle.min(it.connections);
             (0..idle).for_each(|_| self.world.disconnected(server));
             let life = it.life;
-            let out = it.tries.iter().filter(|(_, out)| out.server == server && out.there.is_some());
-            let keys: Vec<TryKey> = out.map(|((ask, number), _)| (at, life, *ask, *number)).collect();
+            let out = it
+                .tries
+                .iter()
+                .filter(|(_, out)| out.server == server && out.there.is_some());
+            let keys: Vec<TryKey> = out
+                .map(|((ask, number), _)| (at, life, *ask, *number))
+                .collect();
             for key in keys {
                 if let Some(there) = self.gateways[at].tries[&(key.2, key.3)].there {
                     self.trying.remove(&there);
@@ -342,7 +435,10 @@
             self.world.disconnected(out.server);
             if let Some(there) = out.there {
                 self.trying.remove(&there);
-                self.at(self.now + self.world.way(gateway, out.server), Event::TryLeft(there));
+                self.at(
+                    self.now + self.world.way(gateway, out.server),
+                    Event::TryLeft(there),
+                );
             }
         }
         for (server, idle) in idle {
@@ -363,18 +459,30 @@
                     self.deliver(gateway, GatewayEvent::Gone(call_id(ask)))?;
                 }
             }
-            Event::Heard { ask, verdict, advice } => self.world.answered(now, ask, verdict, advice),
+            Event::Heard {
+                ask,
+                verdict,
+                advice,
+            } => self.world.answered(now, ask, verdict, advice),
             Event::TryArrives { key, server, fresh } => self.try_arrives(key, server, fresh)?,
             Event::TryLeft(there) => self.world.left(now, there),
             Event::Replied { key, says } => self.replied(key, says)?,
             Event::Refused(key) => {
                 let there = self.out(key).and_then(|out| out.there);
-                let how = if there.is_some() { Outcome::Broken } else { Outcome::NoConnection };
+                let how = if there.is_some() {
+                    Outcome::Broken
+                } else {
+                    Outcome::NoConnection
+                };
                 self.ended(key, how, None, BTreeMap::new(), false)?;
             }
             Event::TryTimeUp(key) => {
                 if let Some(out) = self.out(key) {
-                    let how = if out.there.is_some() { Outcome::TimedOut } else { Outcome::NoConnection };
+                    let how = if out.there.is_some() {
+                        Outcome::TimedOut
+                    } else {
+                        Outcome::NoConnection
+                    };
                     self.give_up(key);
                     self.ended(key, how, None, BTreeMap::new(), false)?;
                 }
@@ -389,9 +497,17 @@
                     self.carry(acts)?;
                 }
             }
-            Event::CountAnswered { at, life, number, says } => {
+            Event::CountAnswered {
+                at,
+                life,
+                number,
+                says,
+            } => {
                 let it = &mut self.gateways[at];
-                if let Some(call) = (it.life == life).then(|| it.counts.remove(&number)).flatten() {
+                if let Some(call) = (it.life == life)
+                    .then(|| it.counts.remove(&number))
+                    .flatten()
+                {
                     let counted = match says {
                         CounterSays::Total(total) => Counted::Total(total),
                         CounterSays::Busy => Counted::NotAdded,
@@ -402,7 +518,10 @@
             }
             Event::CountTimeUp { at, life, number } => {
                 let it = &mut self.gateways[at];
-                if let Some(call) = (it.life == life).then(|| it.counts.remove(&number)).flatten() {
+                if let Some(call) = (it.life == life)
+                    .then(|| it.counts.remove(&number))
+                    .flatten()
+                {
                     self.deliver(at, GatewayEvent::Counted(call.name, Counted::Unsure))?;
                 }
             }
@@ -434,7 +553,10 @@
         let keep = Duration::from_secs_f64((fleet.idle_close - fleet.connect_timeout).max(0.0));
         for it in &mut self.gateways {
             for (server, idle) in &mut it.idle {
-                let old = idle.iter().take_while(|used| **used + keep <= self.now).count();
+                let old = idle
+                    .iter()
+                    .take_while(|used| **used + keep <= self.now)
+                    .count();
                 idle.drain(..old);
                 it.connections -= old;
                 (0..old).for_each(|_| self.world.disconnected(*server));
@@ -455,7 +577,11 @@
         let account = &self.world.clients.accounts[origin.account as usize];
         // The client tells a span, and the gateway counts it from when the call has come.
         let until = now + it.until.saturating_sub(it.born);
-        let units = if self.fault == Some(Fault::ForgetsUnits) { 0.001 } else { origin.units };
+        let units = if self.fault == Some(Fault::ForgetsUnits) {
+            0.001
+        } else {
+            origin.units
+        };
         let arrival = Arrival {
             call: call_id(ask),
             customer: format!("{:016x}", account.name).as_str().into(),
@@ -466,7 +592,12 @@
             first: account.first as u32,
             spread: account.spread as u32,
         };
-        let call = OpenCall { until, tries: 0, answered: false, ended: 0 };
+        let call = OpenCall {
+            until,
+            tries: 0,
+            answered: false,
+            ended: 0,
+        };
         self.gateways[gateway].calls.insert(ask, call);
         self.deliver(gateway, GatewayEvent::Arrived(arrival))
     }
@@ -479,21 +610,27 @@
         let life = self.gateways[gateway].life;
         match action {
             GatewayAction::Send(call, server, timeout) => {
-                let Some(ask) = ask_id(&call) else { return Ok(()) };
+                let Some(ask) = ask_id(&call) else {
+                    return Ok(());
+                };
                 self.send(gateway, ask, &server, timeout)?;
                 if self.fault == Some(Fault::SendsTwice) && self.twice.insert(ask) {
                     self.send(gateway, ask, &server, timeout)?;
                 }
             }
             GatewayAction::Cancel(call, number) => {
-                let Some(ask) = ask_id(&call) else { return Ok(()) };
+                let Some(ask) = ask_id(&call) else {
+                    return Ok(());
+                };
                 let key = (gateway, life, ask, number.0);
                 if self.out(key).is_some() {
                     self.give_up(key);
                     self.ended(key, Outcome::Cancelled, None, BTreeMap::new(), false)?;
                 }
             }
-            GatewayAction::Limit(call, after) => self.answer(gateway, &call, Verdict::Limited, Some(after)),
+            GatewayAction::Limit(call, after) => {
+                self.answer(gateway, &call, Verdict::Limited, Some(after))
+            }
             GatewayAction::Error(call) => self.answer(gateway, &call, Verdict::Errored, None),
             GatewayAction::Count(name, add, keep) => {
                 let it = &mut self.gateways[gateway];
@@ -501,11 +638,32 @@
                 let number = it.next_count;
                 it.counts.insert(number, CountOut { name, add, keep });
                 let limit = Duration::from_secs_f64(self.world.terms.counter.timeout_ms / 1e3);
-                self.at(now + self.world.near(), Event::CountArrives { at: gateway, life, number });
-                self.at(now + limit, Event::CountTimeUp { at: gateway, life, number });
+                self.at(
+                    now + self.world.near(),
+                    Event::CountArrives {
+                        at: gateway,
+                        life,
+                        number,
+                    },
+                );
+                self.at(
+                    now + limit,
+                    Event::CountTimeUp {
+                        at: gateway,
+                        life,
+                        number,
+                    },
+                );
             }
             GatewayAction::Wake(token, at) => {
-                self.at(at.saturating_sub(ORIGIN), Event::Woken { at: gateway, life, token });
+                self.at(
+                    at.saturating_sub(ORIGIN),
+                    Event::Woken {
+                        at: gateway,
+                        life,
+                        token,
+                    },
+                );
             }
             GatewayAction::Tell(peer, body) => {
                 let all = 0..self.gateways.len();
@@ -524,9 +682,17 @@
     }
 
     /// The one final answer goes to the client.
-    fn answer(&mut self, gateway: usize, call: &CallId, verdict: Verdict, advice: Option<Duration>) {
+    fn answer(
+        &mut self,
+        gateway: usize,
+        call: &CallId,
+        verdict: Verdict,
+        advice: Option<Duration>,
+    ) {
         let Some(ask) = ask_id(call) else { return };
-        let Some(open) = self.gateways[gateway].calls.get_mut(&ask) else { return };
+        let Some(open) = self.gateways[gateway].calls.get_mut(&ask) else {
+            return;
+        };
         if std::mem::replace(&mut open.answered, true) {
             return;
         }
@@ -534,10 +700,18 @@
             self.gateways[gateway].calls.remove(&ask);
         }
         self.answers += 1;
-        if matches!(self.fault, Some(Fault::LosesAnswers(each)) if self.answers.is_multiple_of(each)) {
+        if matches!(self.fault, Some(Fault::LosesAnswers(each)) if self.answers.is_multiple_of(each))
+        {
             return;
         }
-        self.at(self.now + self.world.near(), Event::Heard { ask, verdict, advice });
+        self.at(
+            self.now + self.world.near(),
+            Event::Heard {
+                ask,
+                verdict,
+                advice,
+            },
+        );
     }
 
     fn out(&self, key: TryKey) -> Option<&Out> {
@@ -559,16 +733,27 @@
         if self.fault == Some(Fault::LikesTheCold) {
             let all = self.world.servers.iter().enumerate();
             let all = all.filter(|(_, it)| it.listing == Listing::Active && it.started.is_some());
-            let youngest = all.max_by_key(|(_, it)| it.started).map(|(at, _)| ServerNo(at as u32));
+            let youngest = all
+                .max_by_key(|(_, it)| it.started)
+                .map(|(at, _)| ServerNo(at as u32));
             server = youngest.or(server);
         }
-        let (most, sockets) = (self.world.terms.fleet.max_tries, self.world.terms.fleet.sockets);
+        let (most, sockets) = (
+            self.world.terms.fleet.max_tries,
+            self.world.terms.fleet.sockets,
+        );
         let it = &mut self.gateways[gateway];
-        let Some(open) = it.calls.get_mut(&ask) else { return Ok(()) };
+        let Some(open) = it.calls.get_mut(&ask) else {
+            return Ok(());
+        };
         let number = open.tries;
         open.tries += 1;
         let key = (gateway, it.life, ask, number);
-        let until = if timeout.is_zero() { open.until } else { open.until.min(now + timeout) };
+        let until = if timeout.is_zero() {
+            open.until
+        } else {
+            open.until.min(now + timeout)
+        };
         let ready = server.filter(|server| it.ready.get(server).copied().unwrap_or(false));
         let (server, how) = match (server, ready) {
             (Some(server), Some(_)) => (server, None),
@@ -581,9 +766,17 @@
             Some(_) => false,
         };
         let full = !warm && it.connections >= sockets.div_ceil(3);
-        let how =
-            if full && how.is_none() && !self.make_room(gateway) { Some(Outcome::NotSent) } else { how };
-        let out = Out { server, sent: now, there: None, fresh: !warm };
+        let how = if full && how.is_none() && !self.make_room(gateway) {
+            Some(Outcome::NotSent)
+        } else {
+            how
+        };
+        let out = Out {
+            server,
+            sent: now,
+            there: None,
+            fresh: !warm,
+        };
         self.gateways[gateway].tries.insert((ask, number), out);
         if let Some(how) = how {
             return self.ended(key, how, None, BTreeMap::new(), false);
@@ -595,7 +788,14 @@
         }
         // A new connection takes a round trip before the command can go out.
         let arrives = now + if warm { way } else { way * 3 };
-        self.at(arrives, Event::TryArrives { key, server, fresh: !warm });
+        self.at(
+            arrives,
+            Event::TryArrives {
+                key,
+                server,
+                fresh: !warm,
+            },
+        );
         self.at(until, Event::TryTimeUp(key));
         Ok(())
     }
@@ -603,8 +803,14 @@
     /// The longest idle connection makes room for a new one.
     fn make_room(&mut self, gateway: usize) -> bool {
         let it = &mut self.gateways[gateway];
-        let oldest = it.idle.iter().filter_map(|(server, idle)| Some((*idle.first()?, *server))).min();
-        let Some((_, server)) = oldest else { return false };
+        let oldest = it
+            .idle
+            .iter()
+            .filter_map(|(server, idle)| Some((*idle.first()?, *server)))
+            .min();
+        let Some((_, server)) = oldest else {
+            return false;
+        };
         it.idle.get_mut(&server).map(|idle| idle.remove(0));
         it.connections -= 1;
         self.world.disconnected(server);
@@ -621,7 +827,9 @@
             return Ok(());
         }
         let mut acts = Vec::new();
-        let there = self.world.came(self.now, key.0, server, (key.2, fresh), &mut acts);
+        let there = self
+            .world
+            .came(self.now, key.0, server, (key.2, fresh), &mut acts);
         self.trying.insert(there, key);
         if let Some(out) = self.gateways[key.0].tries.get_mut(&(key.2, key.3)) {
             out.there = Some(there);
@@ -635,7 +843,10 @@
         let (server, there) = (out.server, out.there);
         if let Some(there) = there {
             self.trying.remove(&there);
-            self.at(self.now + self.world.way(key.0, server), Event::TryLeft(there));
+            self.at(
+                self.now + self.world.way(key.0, server),
+                Event::TryLeft(there),
+            );
         }
     }
 
@@ -646,9 +857,13 @@
         match says {
             Says::Value { units, load } => {
                 let load = load.map_or_else(BTreeMap::new, |load| {
-                    [("inflight", load.inflight as f64), ("queue", load.queue as f64), ("util", load.util)]
-                        .map(|(name, value)| (name.to_string(), value))
-                        .into()
+                    [
+                        ("inflight", load.inflight as f64),
+                        ("queue", load.queue as f64),
+                        ("util", load.util),
+                    ]
+                    .map(|(name, value)| (name.to_string(), value))
+                    .into()
                 });
                 let call = call_id(key.2);
                 self.answer(key.0, &call, Verdict::Served { right: true }, None);
@@ -658,7 +873,12 @@
             Says::Failed => self.ended(key, Outcome::ServerError, None, BTreeMap::new(), true),
             // A good answer with more behind it serves, and ends the connection.
             Says::Spoilt(4..) => {
-                self.answer(key.0, &call_id(key.2), Verdict::Served { right: true }, None);
+                self.answer(
+                    key.0,
+                    &call_id(key.2),
+                    Verdict::Served { right: true },
+                    None,
+                );
                 self.ended(key, Outcome::Proxied, None, BTreeMap::new(), false)
             }
             // What can't be read ends the connection, and the server may have run it.
@@ -681,7 +901,9 @@
             return Ok(());
         }
         let it = &mut self.gateways[gateway];
-        let Some(out) = it.tries.remove(&(ask, number)) else { return Ok(()) };
+        let Some(out) = it.tries.remove(&(ask, number)) else {
+            return Ok(());
+        };
         let ready = it.ready.get(&out.server).copied().unwrap_or(false);
         let connected = !matches!(outcome, Outcome::NotSent) && (out.there.is_some() || !out.fresh);
         if keep && ready {
@@ -700,13 +922,29 @@
             }
         }
         let again = self.fault == Some(Fault::SendsAgain) && !closed;
-        let again = again && matches!(outcome, Outcome::Broken | Outcome::TimedOut | Outcome::ServerError);
+        let again = again
+            && matches!(
+                outcome,
+                Outcome::Broken | Outcome::TimedOut | Outcome::ServerError
+            );
         if again {
-            let at = self.world.servers[out.server.0 as usize].uid.as_str().into();
+            let at = self.world.servers[out.server.0 as usize]
+                .uid
+                .as_str()
+                .into();
             self.send(gateway, ask, &at, Duration::ZERO)?;
         }
         let latency = now.saturating_sub(out.sent);
-        let end = Ended { outcome, latency, closed, settled, load };
-        self.deliver(gateway, GatewayEvent::Ended(call_id(ask), TryNumber(number), end))
+        let end = Ended {
+            outcome,
+            latency,
+            closed,
+            settled,
+            load,
+        };
+        self.deliver(
+            gateway,
+            GatewayEvent::Ended(call_id(ask), TryNumber(number), end),
+        )
     }
 }
--- a/lab/src/stats.rs
+++ b/lab/src/stats.rs
@@ -18,11 +18,15 @@
         if values.len() < 2 {
             return Interval { mean, off: None };
         }
-        Interval { mean, off: Some(half_width(values, 1.0 / count)) }
+        Interval {
+            mean,
+            off: Some(half_width(values, 1.0 / count)),
+        }
     }
 
     pub fn holds(&self, value: f64) -> bool {
-        self.off.is_some_and(|off| (value - self.mean).abs() <= off + 1e-12)
+        self.off
+            .is_some_and(|off| (value - self.mean).abs() <= off + 1e-12)
     }
 }
 
@@ -31,16 +35,26 @@
 pub fn half_width(values: &[f64], share: f64) -> f64 {
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count;
-    let spread = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (count - 1.0);
+    let spread = values
+        .iter()
+        .map(|value| (value - mean).powi(2))
+        .sum::<f64>()
+        / (count - 1.0);
     let reach = StudentsT::new(0.0, 1.0, count - 1.0).map_or(f64::NAN, |it| it.inverse_cdf(0.975));
     reach * (spread * share).sqrt()
 }
 
 /// The runs of two variants, seed by seed.
-pub fn pairs<'a>(results: &[&'a Results], base: &str, other: &str) -> Vec<(&'a Results, &'a Results)> {
+pub fn pairs<'a>(
+    results: &[&'a Results],
+    base: &str,
+    other: &str,
+) -> Vec<(&'a Results, &'a Results)> {
     let ones = results.iter().filter(|it| it.variant == base);
     let pair = |one: &&'a Results| {
-        let two = results.iter().find(|it| it.variant == other && it.seed == one.seed)?;
+        let two = results
+            .iter()
+            .find(|it| it.variant == other && it.seed == one.seed)?;
         Some((*one, *two))
     };
     ones.filter_map(pair).collect()
@@ -106,14 +120,22 @@
         for other in &names[1..] {
             let found = pairs(&of, base, other);
             let late = found.iter().filter(|pair| !in_time(pair)).count();
-            let pairs: Vec<(Figures, Figures)> =
-                found.into_iter().filter(in_time).map(|(one, two)| (one.figures(), two.figures())).collect();
+            let pairs: Vec<(Figures, Figures)> = found
+                .into_iter()
+                .filter(in_time)
+                .map(|(one, two)| (one.figures(), two.figures()))
+                .collect();
             let count = pairs.first().map_or(0, |pair| pair.0.len());
             let rows = (0..count).map(|place| {
-                let column =
-                    |pick: &dyn Fn(&(Figures, Figures)) -> f64| pairs.iter().map(pick).collect::<Vec<f64>>();
-                let (ones, twos) = (column(&|pair| pair.0[place].1), column(&|pair| pair.1[place].1));
-                let differences: Vec<f64> = ones.iter().zip(&twos).map(|(one, two)| two - one).collect();
+                let column = |pick: &dyn Fn(&(Figures, Figures)) -> f64| {
+                    pairs.iter().map(pick).collect::<Vec<f64>>()
+                };
+                let (ones, twos) = (
+                    column(&|pair| pair.0[place].1),
+                    column(&|pair| pair.1[place].1),
+                );
+                let differences: Vec<f64> =
+                    ones.iter().zip(&twos).map(|(one, two)| two - one).collect();
                 let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len().max(1) as f64;
                 Row {
                     figure: pairs[0].0[place].0.to_string(),
@@ -124,7 +146,13 @@
                 }
             });
             let (rows, engine) = (rows.collect(), engine.to_string());
-            all.push(Comparison { engine, base: base.clone(), other: other.clone(), rows, late });
+            all.push(Comparison {
+                engine,
+                base: base.clone(),
+                other: other.clone(),
+                rows,
+                late,
+            });
         }
     }
     all
--- a/lab/src/stats/tests.rs
+++ b/lab/src/stats/tests.rs
@@ -14,16 +14,29 @@
 #[test]
 fn pairs_go_by_seed_and_late_runs_are_left_out() {
     let run = |variant: &str, seed, in_time| {
-        let mut it =
-            Results { variant: variant.into(), seed, engine: "simulated".into(), ..Results::default() };
+        let mut it = Results {
+            variant: variant.into(),
+            seed,
+            engine: "simulated".into(),
+            ..Results::default()
+        };
         (it.all.value_asked, it.all.value_in_time) = (10.0, in_time);
         it
     };
-    let mut results = vec![run("a", 1, 5.0), run("a", 2, 6.0), run("b", 2, 7.0), run("b", 1, 6.0)];
+    let mut results = vec![
+        run("a", 1, 5.0),
+        run("a", 2, 6.0),
+        run("b", 2, 7.0),
+        run("b", 1, 6.0),
+    ];
     results.extend([run("a", 3, 9.0), run("b", 3, 1.0)]);
     results[5].lateness.spoilt = true;
     let found = &compare(&results)[0];
     assert_eq!((found.late, found.rows[0].pairs), (1, 2));
-    assert!((found.rows[0].difference.mean - 0.1).abs() < 1e-12, "{:?}", found.rows[0]);
+    assert!(
+        (found.rows[0].difference.mean - 0.1).abs() < 1e-12,
+        "{:?}",
+        found.rows[0]
+    );
     assert!(found.rows[0].difference.off.unwrap() < 1e-9);
 }
--- a/lab/src/told.rs
+++ b/lab/src/told.rs
@@ -9,7 +9,11 @@
 }
 
 /// The settings of one gateway.
-pub fn settings(experiment: &Experiment, gateway: usize, told: &toml::Table) -> Result<Value, String> {
+pub fn settings(
+    experiment: &Experiment,
+    gateway: usize,
+    told: &toml::Table,
+) -> Result<Value, String> {
     let (fleet, load) = (&experiment.fleet, &experiment.load);
     let routes = experiment.routes.iter().map(|route| {
         json!({
@@ -83,9 +87,9 @@
     for (name, value) in over {
         let old: Option<&mut Value> = match under {
             Value::Object(fields) => fields.get_mut(name),
-            Value::Array(items) => {
-                items.iter_mut().find(|item| item.get("name").and_then(Value::as_str) == Some(name))
-            }
+            Value::Array(items) => items
+                .iter_mut()
+                .find(|item| item.get("name").and_then(Value::as_str) == Some(name)),
             _ => None,
         };
         let old = old.ok_or_else(|| format!("told: the configuration has no '{name}' there"))?;
--- a/lab/src/world/agenda.rs
+++ b/lab/src/world/agenda.rs
@@ -59,7 +59,10 @@
 
     /// What is due by now, and when it was.
     pub fn pop(&mut self, now: Duration) -> Option<(Duration, Due)> {
-        let first = self.due.first_entry().filter(|entry| entry.key().0 <= now)?;
+        let first = self
+            .due
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)?;
         let when = first.key().0;
         Some((when, first.remove()))
     }
--- a/lab/src/world/clients.rs
+++ b/lab/src/world/clients.rs
@@ -100,7 +100,9 @@
 fn pick(weights: &[f64], rng: &mut WyRand) -> usize {
     let all = weights.last().copied().unwrap_or(0.0);
     let at = rng.generate::<f64>() * all;
-    weights.partition_point(|sum| *sum <= at).min(weights.len().saturating_sub(1))
+    weights
+        .partition_point(|sum| *sum <= at)
+        .min(weights.len().saturating_sub(1))
 }
 
 impl Clients {
@@ -113,15 +115,26 @@
         for (place, plan) in terms.plans.iter().enumerate() {
             let wanted = load.calls * plan.share / all.max(1e-9);
             // Without a rate an account asks about twice a second.
-            let usual = if plan.rate > 0.0 { plan.rate * load.use_usual / units } else { 2.0 };
-            let count = (wanted / usual).ceil().max(if wanted > 0.0 { 1.0 } else { 0.0 });
-            let mut drawn: Vec<f64> =
-                (0..count as usize).map(|_| 0.3 + 1.4 * rng.generate::<f64>()).collect();
+            let usual = if plan.rate > 0.0 {
+                plan.rate * load.use_usual / units
+            } else {
+                2.0
+            };
+            let count = (wanted / usual)
+                .ceil()
+                .max(if wanted > 0.0 { 1.0 } else { 0.0 });
+            let mut drawn: Vec<f64> = (0..count as usize)
+                .map(|_| 0.3 + 1.4 * rng.generate::<f64>())
+                .collect();
             let sum: f64 = drawn.iter().sum();
             drawn.iter_mut().for_each(|share| *share *= wanted / sum);
             for calls in drawn {
                 let greedy = plan.rate > 0.0 && rng.generate::<f64>() < load.greedy_share;
-                let calls = if greedy { plan.rate * load.greedy_factor / units } else { calls };
+                let calls = if greedy {
+                    plan.rate * load.greedy_factor / units
+                } else {
+                    calls
+                };
                 accounts.push(Clients::account(terms, place, calls, &mut rng));
             }
         }
@@ -130,7 +143,11 @@
             weights,
             accounts,
             origins: Vec::new(),
-            pressure: Pressure { surges: Vec::new(), patience: 1.0, heedless: 0.0 },
+            pressure: Pressure {
+                surges: Vec::new(),
+                patience: 1.0,
+                heedless: 0.0,
+            },
             routes: cumulative(terms.routes.iter().map(|route| route.share)),
             peak: 1.0,
             arrivals: WyRand::new_seed(seed ^ 0xa1),
@@ -162,7 +179,8 @@
     /// An account that comes once.
     pub fn stranger(&mut self, terms: &Experiment, plan: usize) -> usize {
         let mut rng = WyRand::new_seed(self.arrivals.generate());
-        self.accounts.push(Clients::account(terms, plan, 0.0, &mut rng));
+        self.accounts
+            .push(Clients::account(terms, plan, 0.0, &mut rng));
         self.accounts.len() - 1
     }
 
@@ -183,7 +201,12 @@
     pub fn arrives(&mut self, now: Duration) -> Option<usize> {
         let account = pick(&self.weights, &mut self.arrivals);
         let plan = self.accounts[account].plan;
-        let factor: f64 = self.pressure.surges.iter().map(|surge| surge.at(plan, now)).product();
+        let factor: f64 = self
+            .pressure
+            .surges
+            .iter()
+            .map(|surge| surge.at(plan, now))
+            .product();
         (self.arrivals.generate::<f64>() * self.peak < factor).then_some(account)
     }
 
@@ -205,9 +228,15 @@
         let (size, off) = (self.work.generate::<f64>(), self.work.generate::<f64>());
         let mean = f64::from(1 + self.units_top) / 2.0;
         let work = terms.routes[route].work_ms / 1e3 * (0.4 + 1.2 * size) * units / mean;
-        let true_units = if self.settles { (units * (0.6 + 0.8 * off)).round().max(1.0) } else { units };
+        let true_units = if self.settles {
+            (units * (0.6 + 0.8 * off)).round().max(1.0)
+        } else {
+            units
+        };
         let top = f64::from(self.units_top);
-        let inside = self.accounts[account].entitled.pay(now, true_units.min(top));
+        let inside = self.accounts[account]
+            .entitled
+            .pay(now, true_units.min(top));
         self.origins.push(Origin {
             account: account as u32,
             route,
@@ -228,12 +257,18 @@
     /// calls go to the busiest, half of the rest to the next, and so on.
     pub fn order(&mut self, account: usize, now: Duration) -> Vec<usize> {
         let it = &self.accounts[account];
-        let turns = if self.shift_every > 0.0 { now.as_secs_f64() / self.shift_every } else { 0.0 };
+        let turns = if self.shift_every > 0.0 {
+            now.as_secs_f64() / self.shift_every
+        } else {
+            0.0
+        };
         let busiest = it.moved + turns as usize;
         let mut start = 0;
         while start + 1 < it.spread && self.arrivals.generate::<f64>() < 0.5 {
             start += 1;
         }
-        (0..it.spread).map(|step| (it.first + (busiest + start + step) % it.spread) % self.gateways).collect()
+        (0..it.spread)
+            .map(|step| (it.first + (busiest + start + step) % it.spread) % self.gateways)
+            .collect()
     }
 }
--- a/lab/src/world/counter.rs
+++ b/lab/src/world/counter.rs
@@ -62,7 +62,10 @@
 
 impl Counter {
     pub fn new(terms: &Terms) -> Counter {
-        Counter { mode: Mode::Answers, parts: (0..terms.parts).map(|_| Part::default()).collect() }
+        Counter {
+            mode: Mode::Answers,
+            parts: (0..terms.parts).map(|_| Part::default()).collect(),
+        }
     }
 
     fn part(&mut self, name: u64) -> &mut Part {
@@ -96,7 +99,10 @@
         if part.calls.is_multiple_of(20_000) {
             part.counts.retain(|_, (_, until)| *until > now);
         }
-        let entry = part.counts.entry(call.name).or_insert((0.0, now + call.keep));
+        let entry = part
+            .counts
+            .entry(call.name)
+            .or_insert((0.0, now + call.keep));
         if entry.1 <= now {
             *entry = (0.0, now + call.keep);
         }
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -188,7 +188,13 @@
 impl World {
     /// `lag`: the engine carries messages at once, so the way there and back is added to answers here.
     /// `slack`: what the referee allows for what is under way.
-    pub fn new(terms: &Experiment, seed: u64, lag: bool, slack: Duration, replay: Vec<Recorded>) -> World {
+    pub fn new(
+        terms: &Experiment,
+        seed: u64,
+        lag: bool,
+        slack: Duration,
+        replay: Vec<Recorded>,
+    ) -> World {
         let length = secs(terms.seconds);
         let mut world = World {
             servers: Vec::new(),
@@ -222,7 +228,10 @@
             next_busy: 1,
             terms: terms.clone(),
         };
-        world.counters = vec![Counter::new(&world.counter_terms()), Counter::new(&world.counter_terms())];
+        world.counters = vec![
+            Counter::new(&world.counter_terms()),
+            Counter::new(&world.counter_terms()),
+        ];
         for _ in 0..terms.fleet.gateways {
             world.gateways.push(Gateway {
                 state: GatewayState::Starting,
@@ -248,7 +257,9 @@
             world.build(place % terms.fleet.zones, found.unwrap_or(0));
         }
         for account in 0..world.clients.accounts.len() {
-            world.referee.account(account as u32, world.clients.accounts[account].plan);
+            world
+                .referee
+                .account(account as u32, world.clients.accounts[account].plan);
         }
         world
     }
@@ -268,12 +279,17 @@
             overload_for: secs(fleet.overload_for),
         };
         let (cell, uid) = (place as u64 % fleet.cells, format!("box-{place:04}"));
-        self.servers.push(Server::new(uid, zone, cell, it.name.clone(), build));
+        self.servers
+            .push(Server::new(uid, zone, cell, it.name.clone(), build));
         self.last_busy.push(0.0);
         let server = ServerNo(place as u32);
         self.referee.server(server, cell, zone);
         let started = self.servers[place].started;
-        self.changes.push(Change { server, listing: Listing::Active, started });
+        self.changes.push(Change {
+            server,
+            listing: Listing::Active,
+            started,
+        });
         server
     }
 
@@ -313,7 +329,12 @@
         results.broken = std::mem::take(&mut self.referee.broken);
         results.broken_count = self.referee.count;
         let named = |at: &u32| self.servers[*at as usize].uid.clone();
-        results.server_load = self.measure.busy.iter().map(|(at, load)| (named(at), load.clone())).collect();
+        results.server_load = self
+            .measure
+            .busy
+            .iter()
+            .map(|(at, load)| (named(at), load.clone()))
+            .collect();
         results
     }
 
@@ -323,13 +344,22 @@
 
     fn counter_terms(&self) -> counter::Terms {
         let it = &self.terms.counter;
-        counter::Terms { parts: it.parts, bears: it.bears, latency: ms(it.latency_ms), queue: it.queue }
+        counter::Terms {
+            parts: it.parts,
+            bears: it.bears,
+            latency: ms(it.latency_ms),
+            queue: it.queue,
+        }
     }
 
     /// One way between a gateway and a server.
     pub fn way(&self, gateway: usize, server: ServerNo) -> Duration {
         let near = gateway % self.terms.fleet.zones == self.servers[server.0 as usize].zone;
-        ms(if near { self.terms.network.near_ms } else { self.terms.network.far_ms })
+        ms(if near {
+            self.terms.network.near_ms
+        } else {
+            self.terms.network.far_ms
+        })
     }
 
     pub fn near(&self) -> Duration {
@@ -380,10 +410,16 @@
                 load.push((spent / server.build.cores as f64) as f32);
                 self.last_busy[place] = server.busy;
             }
-            let memory = self.terms.routes.iter().map(|route| route.memory).fold(0.0, f64::max);
+            let memory = self
+                .terms
+                .routes
+                .iter()
+                .map(|route| route.memory)
+                .fold(0.0, f64::max);
             self.tokens.retain(|_, begun| *begun + secs(memory) >= now);
             let long = Duration::from_secs(30);
-            self.referee.forget(Duration::from_secs(self.next_busy).saturating_sub(long));
+            self.referee
+                .forget(Duration::from_secs(self.next_busy).saturating_sub(long));
             self.next_busy += 1;
         }
     }
@@ -398,10 +434,17 @@
 
     fn arrival(&mut self, now: Duration, acts: &mut Vec<Act>) {
         if let Some(mut account) = self.clients.arrives(now) {
-            let strange = self.scan.iter().find(|(from, to, _)| (*from..*to).contains(&now)).map(|it| it.2);
+            let strange = self
+                .scan
+                .iter()
+                .find(|(from, to, _)| (*from..*to).contains(&now))
+                .map(|it| it.2);
             if strange.is_some_and(|share| self.chance.generate::<f64>() < share) {
-                account = self.clients.stranger(&self.terms, self.clients.accounts[account].plan);
-                self.referee.account(account as u32, self.clients.accounts[account].plan);
+                account = self
+                    .clients
+                    .stranger(&self.terms, self.clients.accounts[account].plan);
+                self.referee
+                    .account(account as u32, self.clients.accounts[account].plan);
             }
             let origin = self.clients.want(now, account, &self.terms);
             self.wanted(now, origin, acts);
@@ -411,8 +454,12 @@
 
     fn replayed(&mut self, now: Duration, place: usize, acts: &mut Vec<Act>) {
         let recorded = self.replay[place].clone();
-        let Some(route) = self.terms.route(&recorded.route) else { return };
-        let Some(plan) = self.terms.plan(&recorded.plan) else { return };
+        let Some(route) = self.terms.route(&recorded.route) else {
+            return;
+        };
+        let Some(plan) = self.terms.plan(&recorded.plan) else {
+            return;
+        };
         let account = match self.replay_accounts.get(&recorded.account) {
             Some(account) => *account,
             None => {
@@ -423,7 +470,9 @@
                 account
             }
         };
-        let units = recorded.units.clamp(1.0, f64::from(self.terms.load.units_top));
+        let units = recorded
+            .units
+            .clamp(1.0, f64::from(self.terms.load.units_top));
         let origin = self.clients.wants(now, account, route, units, &self.terms);
         self.wanted(now, origin, acts);
     }
@@ -471,11 +520,19 @@
         };
         let timeout = secs(self.terms.routes[route].client_timeout);
         let (until, ask) = (now + timeout, AskId(self.asks.len() as u32));
-        self.asks.push(Ask { origin: id, gateway, born: now, until, over: false, sent_on: false });
+        self.asks.push(Ask {
+            origin: id,
+            gateway,
+            born: now,
+            until,
+            over: false,
+            sent_on: false,
+        });
         let patience = self.terms.load.patience * self.clients.pressure.patience;
         let patience = patience + (1.0 - patience) * self.chance.generate::<f64>();
         if patience < 1.0 {
-            self.agenda.at(now + timeout.mul_f64(patience), Due::Leaves(ask));
+            self.agenda
+                .at(now + timeout.mul_f64(patience), Due::Leaves(ask));
         }
         self.agenda.at(until + self.slack, Due::TimeUp(ask));
         acts.push(Act::Ask(ask));
@@ -486,7 +543,14 @@
         let it = &self.asks[ask.0 as usize];
         let origin = &self.clients.origins[it.origin.0 as usize];
         let times = (now, it.until);
-        self.referee.asked(ask, it.gateway, origin.route, origin.account, origin.units, times);
+        self.referee.asked(
+            ask,
+            it.gateway,
+            origin.route,
+            origin.account,
+            origin.units,
+            times,
+        );
     }
 
     /// Whether new connections still come to a gateway.
@@ -548,7 +612,13 @@
     }
 
     /// A client has heard: the value's key if it was served, or how long to wait if it was told.
-    pub fn answered(&mut self, now: Duration, ask: AskId, verdict: Verdict, advice: Option<Duration>) {
+    pub fn answered(
+        &mut self,
+        now: Duration,
+        ask: AskId,
+        verdict: Verdict,
+        advice: Option<Duration>,
+    ) {
         self.referee.answered(now, ask, verdict);
         let it = &mut self.asks[ask.0 as usize];
         if it.over {
@@ -562,7 +632,11 @@
             Verdict::Served { .. } => {
                 self.measure.proxied(now, took);
                 let route = &self.terms.routes[origin.route];
-                let worth = if took <= secs(route.latency_target) { 1.0 } else { route.late_worth };
+                let worth = if took <= secs(route.latency_target) {
+                    1.0
+                } else {
+                    route.late_worth
+                };
                 let (born, first) = (it.born, !origin.earned && origin.within);
                 if first {
                     let value = self.value(id.0 as usize);
@@ -576,8 +650,8 @@
                 let cap = self.terms.plans[self.clients.accounts[account].plan].cap;
                 let it = &mut self.clients.accounts[account];
                 let room = it.sent.holds(now, units) && (cap <= 0.0 || it.out < cap);
-                let half =
-                    it.sent.holds(now, units.max(it.sent.depth / 2.0)) && (cap <= 0.0 || it.out < cap / 2.0);
+                let half = it.sent.holds(now, units.max(it.sent.depth / 2.0))
+                    && (cap <= 0.0 || it.out < cap / 2.0);
                 let second = self.measure.at(now);
                 second.limited_with_room += u64::from(room);
                 second.limited_half_unused += u64::from(half);
@@ -595,7 +669,11 @@
     /// Whether a gateway and a server can hear each other.
     fn apart(&self, now: Duration, gateway: usize, zone: usize) -> bool {
         let at = gateway % self.terms.fleet.zones;
-        at != zone && self.cut.iter().any(|(cut, until)| now < *until && (at == *cut || zone == *cut))
+        at != zone
+            && self
+                .cut
+                .iter()
+                .any(|(cut, until)| now < *until && (at == *cut || zone == *cut))
     }
 
     /// Whether a new connection is refused; one that is not may still be met by silence.
@@ -625,14 +703,26 @@
     ) -> TryId {
         let id = TryId(self.tries.len() as u32);
         let life = self.servers[server.0 as usize].life;
-        self.tries.push(Try { ask, server, gateway, life, ended: false, says: None });
+        self.tries.push(Try {
+            ask,
+            server,
+            gateway,
+            life,
+            ended: false,
+            says: None,
+        });
         self.measure.at(now).tries += 1;
         self.referee.came(now, id, ask, gateway, server);
         let it = &mut self.asks[ask.0 as usize];
         let (first, born) = (!std::mem::replace(&mut it.sent_on, true), it.born);
         let origin = &self.clients.origins[it.origin.0 as usize];
-        let (account, units, work, key, route) =
-            (origin.account as usize, origin.units, origin.work, origin.key, origin.route);
+        let (account, units, work, key, route) = (
+            origin.account as usize,
+            origin.units,
+            origin.work,
+            origin.key,
+            origin.route,
+        );
         self.clients.accounts[account].out += 1.0;
         if first {
             let origin = it.origin;
@@ -659,16 +749,31 @@
                 Group::Cell => 1 + it.cell,
                 Group::Zone => 1 + it.zone as u64,
             };
-            if self.tokens.get(&(group, key)).is_some_and(|begun| *begun + memory >= now) {
+            if self
+                .tokens
+                .get(&(group, key))
+                .is_some_and(|begun| *begun + memory >= now)
+            {
                 // A repeat: dropped, and answered with what was made before.
-                self.will_say(now, id, Says::Value { units: None, load: None });
+                self.will_say(
+                    now,
+                    id,
+                    Says::Value {
+                        units: None,
+                        load: None,
+                    },
+                );
                 return id;
             }
             self.tokens.insert((group, key), now);
         }
         let handshake = if fresh { fleet.handshake_ms / 1e3 } else { 0.0 };
         let told = it.start_told.0 == it.started && self.gateways[gateway].upto > it.start_told.1;
-        let task = Task { of: id, work: work + handshake, told };
+        let task = Task {
+            of: id,
+            work: work + handshake,
+            told,
+        };
         let fallen = it.health;
         match it.take(now, task) {
             Taken::Begun(done) => self.agenda.at(done, Due::Served(server, id)),
@@ -745,19 +850,28 @@
         if silent || self.tries[of.0 as usize].ended {
             return;
         }
-        let origin =
-            &self.clients.origins[self.asks[self.tries[of.0 as usize].ask.0 as usize].origin.0 as usize];
+        let origin = &self.clients.origins
+            [self.asks[self.tries[of.0 as usize].ask.0 as usize].origin.0 as usize];
         let (units, account) = (origin.true_units, origin.account as usize);
         let asked = origin.units;
         let drawn = self.chance.generate::<f64>();
-        let spoilt = if now < self.spoilt.0 { self.spoilt.1 } else { 0.0 };
+        let spoilt = if now < self.spoilt.0 {
+            self.spoilt.1
+        } else {
+            0.0
+        };
         let says = if drawn < failing {
             Says::Failed
         } else if self.chance.generate::<f64>() < spoilt {
             Says::Spoilt(self.chance.generate::<u32>() % 6)
         } else {
-            self.clients.accounts[account].sent.settle(now, units - asked);
-            Says::Value { units: self.terms.load.settles.then_some(units), load: report }
+            self.clients.accounts[account]
+                .sent
+                .settle(now, units - asked);
+            Says::Value {
+                units: self.terms.load.settles.then_some(units),
+                load: report,
+            }
         };
         self.will_say(now, of, says);
     }
@@ -773,7 +887,9 @@
 
     fn said(&mut self, now: Duration, of: TryId, acts: &mut Vec<Act>) {
         let it = &self.tries[of.0 as usize];
-        let (Some(says), false) = (it.says, it.ended) else { return };
+        let (Some(says), false) = (it.says, it.ended) else {
+            return;
+        };
         if self.apart(now, it.gateway, self.servers[it.server.0 as usize].zone) {
             return;
         }
@@ -809,12 +925,19 @@
         let id = CountId(self.next_count);
         self.measure.at(now).counter_calls += 1;
         let counter = self.gateways[gateway].counter;
-        let call = Call { gateway, counter, name, add, keep: keep.min(Duration::from_secs(60)) };
+        let call = Call {
+            gateway,
+            counter,
+            name,
+            add,
+            keep: keep.min(Duration::from_secs(60)),
+        };
         let terms = self.counter_terms();
         match self.counters[counter].take(now, &call, &terms) {
             Turn::At(when) => {
                 self.counts.insert(id, call);
-                self.agenda.at(when + self.lag(self.near()), Due::Counted(id));
+                self.agenda
+                    .at(when + self.lag(self.near()), Due::Counted(id));
             }
             Turn::Now(says) => acts.push(Act::Counted(id, says)),
             Turn::Never => (),
@@ -823,7 +946,9 @@
     }
 
     fn counted(&mut self, now: Duration, id: CountId, acts: &mut Vec<Act>) {
-        let Some(call) = self.counts.remove(&id) else { return };
+        let Some(call) = self.counts.remove(&id) else {
+            return;
+        };
         let counter = &mut self.counters[call.counter];
         if counter.mode == counter::Mode::Silent {
             return;
@@ -838,12 +963,20 @@
     fn change(&mut self, now: Duration, server: ServerNo, listing: Listing) {
         let started = self.servers[server.0 as usize].started;
         let change = self.changes.len();
-        self.changes.push(Change { server, listing, started });
+        self.changes.push(Change {
+            server,
+            listing,
+            started,
+        });
         let it = &mut self.servers[server.0 as usize];
         if it.start_told.0 != started {
             it.start_told = (started, change);
         }
-        let more = if now < self.late_list.0 { self.late_list.1 } else { 0.0 };
+        let more = if now < self.late_list.0 {
+            self.late_list.1
+        } else {
+            0.0
+        };
         for gateway in 0..self.gateways.len() {
             let late = self.terms.discovery.late * self.chance.generate::<f64>() + more;
             let when = (now + secs(late)).max(self.gateways[gateway].told);
@@ -854,7 +987,9 @@
 
     fn tell(&mut self, now: Duration, gateway: usize, change: usize, acts: &mut Vec<Act>) {
         if now < self.silent_list {
-            return self.agenda.at(self.silent_list, Due::Told { gateway, change });
+            return self
+                .agenda
+                .at(self.silent_list, Due::Told { gateway, change });
         }
         let it = &mut self.gateways[gateway];
         if it.upto > change {
@@ -862,7 +997,10 @@
         }
         it.upto = change + 1;
         if it.state != GatewayState::Down {
-            acts.push(Act::Told { gateway, upto: change + 1 });
+            acts.push(Act::Told {
+                gateway,
+                upto: change + 1,
+            });
         }
     }
 
@@ -877,13 +1015,21 @@
         for change in &self.changes[..upto] {
             list.insert(change.server, change);
         }
-        list.into_values().filter(|it| it.listing != Listing::Left).cloned().collect()
+        list.into_values()
+            .filter(|it| it.listing != Listing::Left)
+            .cloned()
+            .collect()
     }
 
     /// Changes were written to a gateway.
     pub fn told(&mut self, now: Duration, gateway: usize, changes: &[Change]) {
         for change in changes {
-            self.referee.told(now, gateway, change.server, change.listing == Listing::Active);
+            self.referee.told(
+                now,
+                gateway,
+                change.server,
+                change.listing == Listing::Active,
+            );
         }
     }
 
--- a/lab/src/world/server.rs
+++ b/lab/src/world/server.rs
@@ -48,7 +48,11 @@
 
 /// What falls on a server that may get so many API calls of mean work, with what is put down to chance.
 fn with_chance(budget: f64) -> f64 {
-    let (times, more) = if budget < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
+    let (times, more) = if budget < 30.0 {
+        (3.0, 3.0)
+    } else {
+        (2.0, 2.0)
+    };
     budget + times * budget.sqrt() + more
 }
 
@@ -92,7 +96,11 @@
 /// As it stands on the wire.
 impl std::fmt::Display for Report {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(out, "inflight={},queue={},util={:.2}", self.inflight, self.queue, self.util)
+        write!(
+            out,
+            "inflight={},queue={},util={:.2}",
+            self.inflight, self.queue, self.util
+        )
     }
 }
 
@@ -132,7 +140,9 @@
 
     /// How much of its full power it has by now.
     pub fn warmth(&self, now: Duration) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
+        let Some(started) = self.started else {
+            return 1.0;
+        };
         let age = now.saturating_sub(started).as_secs_f64();
         let (from, span) = (self.build.cold_from, self.build.cold.max(1e-9));
         (from + (1.0 - from) * age / span).min(1.0)
@@ -172,11 +182,16 @@
     fn push(&mut self, now: Duration, task: &Task) {
         let window = self.build.overload_for;
         self.pushed.push_back((now, task.work, task.told));
-        while self.pushed.front().is_some_and(|(at, ..)| *at + window < now) {
+        while self
+            .pushed
+            .front()
+            .is_some_and(|(at, ..)| *at + window < now)
+        {
             self.pushed.pop_front();
         }
         let sum: f64 = self.pushed.iter().map(|(_, work, _)| work).sum();
-        let able = self.build.cores as f64 * self.build.speed * self.warmth(now) * window.as_secs_f64();
+        let able =
+            self.build.cores as f64 * self.build.speed * self.warmth(now) * window.as_secs_f64();
         let mean = self.build.mean_work.max(1e-9);
         if sum / mean > with_chance(able * self.build.fall_multiple / mean) {
             self.health = Health::Fallen;
@@ -186,14 +201,21 @@
     /// Whether what pushed it over came mostly from gateways that had been told of its start: over two thirds.
     pub fn pushed_knowingly(&self) -> bool {
         let sum: f64 = self.pushed.iter().map(|(_, work, _)| work).sum();
-        let told: f64 = self.pushed.iter().filter(|(.., told)| *told).map(|(_, work, _)| work).sum();
+        let told: f64 = self
+            .pushed
+            .iter()
+            .filter(|(.., told)| *told)
+            .map(|(_, work, _)| work)
+            .sum();
         told * 3.0 > sum * 2.0
     }
 
     /// A try's work is done or given up: the next one that waits begins. Says which, and when it will be done.
     pub fn over(&mut self, now: Duration, of: TryId) -> Option<(TryId, Duration)> {
         self.running.retain(|running| *running != of);
-        let next = (self.running.len() < self.build.cores).then(|| self.waiting.pop_front()).flatten()?;
+        let next = (self.running.len() < self.build.cores)
+            .then(|| self.waiting.pop_front())
+            .flatten()?;
         Some((next.of, self.begin(now, &next)))
     }
 
@@ -224,7 +246,12 @@
         if now >= self.report.at + every || self.report == Report::default() {
             let (busy, queue) = (self.running.len(), self.waiting.len());
             let util = busy as f64 / self.build.cores as f64;
-            self.report = Report { at: now, inflight: busy + queue, queue, util };
+            self.report = Report {
+                at: now,
+                inflight: busy + queue,
+                queue,
+                util,
+            };
         }
         self.report
     }
--- a/lab/src/world/server/tests.rs
+++ b/lab/src/world/server/tests.rs
@@ -16,18 +16,28 @@
 }
 
 fn task(of: u32, work: f64) -> Task {
-    Task { of: TryId(of), work, told: true }
+    Task {
+        of: TryId(of),
+        work,
+        told: true,
+    }
 }
 
 #[test]
 fn work_takes_its_time_and_waits_in_line() {
     let (mut server, now) = (server(1), Duration::from_secs(5));
-    assert_eq!(server.take(now, task(1, 1.0)), Taken::Begun(now + Duration::from_millis(500)));
+    assert_eq!(
+        server.take(now, task(1, 1.0)),
+        Taken::Begun(now + Duration::from_millis(500))
+    );
     assert_eq!(server.take(now, task(2, 1.0)), Taken::Waits);
     assert_eq!(server.take(now, task(3, 1.0)), Taken::TurnedAway);
     server.slow = 4.0;
     let later = now + Duration::from_millis(500);
-    assert_eq!(server.over(later, TryId(1)), Some((TryId(2), later + Duration::from_secs(2))));
+    assert_eq!(
+        server.over(later, TryId(1)),
+        Some((TryId(2), later + Duration::from_secs(2)))
+    );
 }
 
 #[test]
@@ -40,7 +50,10 @@
     }
     assert_eq!(cold.health, Health::Up);
     for of in 12..30 {
-        cold.take(Duration::from_millis(960 + (of - 12) * 10), task(of as u32, 0.24));
+        cold.take(
+            Duration::from_millis(960 + (of - 12) * 10),
+            task(of as u32, 0.24),
+        );
     }
     assert_eq!(cold.health, Health::Fallen);
     assert!(cold.pushed_knowingly());
--- a/lab/src/world/token_bucket.rs
+++ b/lab/src/world/token_bucket.rs
@@ -13,7 +13,12 @@
 impl TokenBucket {
     /// No rate and no depth: it never ends.
     pub fn full(rate: f64, depth: f64) -> TokenBucket {
-        TokenBucket { rate, depth, left: depth, at: Duration::ZERO }
+        TokenBucket {
+            rate,
+            depth,
+            left: depth,
+            at: Duration::ZERO,
+        }
     }
 
     pub fn bounded(&self) -> bool {
--- a/lab/src/world/troubles.rs
+++ b/lab/src/world/troubles.rs
@@ -25,7 +25,13 @@
         match it.kind {
             TroubleKind::Surge | TroubleKind::DeadlineSurge | TroubleKind::PlanBurst => {
                 let grows = it.kind == TroubleKind::DeadlineSurge;
-                self.clients.expect(Surge { plan, from, to, factor: it.factor, grows });
+                self.clients.expect(Surge {
+                    plan,
+                    from,
+                    to,
+                    factor: it.factor,
+                    grows,
+                });
             }
             TroubleKind::Scan => self.scan.push((from, to, it.share)),
             _ => (),
@@ -94,7 +100,13 @@
         self.change(now, server, Listing::Active);
     }
 
-    pub(super) fn trouble(&mut self, now: Duration, place: usize, step: usize, acts: &mut Vec<Act>) {
+    pub(super) fn trouble(
+        &mut self,
+        now: Duration,
+        place: usize,
+        step: usize,
+        acts: &mut Vec<Act>,
+    ) {
         let it = self.terms.troubles[place].clone();
         let until = now + secs(it.lasts);
         match it.kind {
@@ -108,13 +120,19 @@
             TroubleKind::CounterEmpty => self.counters[0].empty(),
             TroubleKind::CounterSplit | TroubleKind::CounterSwap => {
                 self.counters[1] = Counter::new(&self.counter_terms());
-                let share = if it.kind == TroubleKind::CounterSplit { it.share } else { 1.0 };
+                let share = if it.kind == TroubleKind::CounterSplit {
+                    it.share
+                } else {
+                    1.0
+                };
                 for gateway in self.some_gateways(share) {
                     self.gateways[gateway].counter = 1;
                     acts.push(Act::Move(gateway));
                 }
             }
-            TroubleKind::ServersSlow | TroubleKind::ServersFailing | TroubleKind::RouteUnanswered => {
+            TroubleKind::ServersSlow
+            | TroubleKind::ServersFailing
+            | TroubleKind::RouteUnanswered => {
                 let servers = self.some_servers(it.share);
                 let route = it.route.as_ref().and_then(|name| self.terms.route(name));
                 for server in &servers {
@@ -138,7 +156,10 @@
             TroubleKind::ZoneLost => {
                 for server in (0..self.servers.len() as u32).map(ServerNo) {
                     let at = self.at_server(server);
-                    if at.zone == it.zone && at.listing == Listing::Active && at.health == Health::Up {
+                    if at.zone == it.zone
+                        && at.listing == Listing::Active
+                        && at.health == Health::Up
+                    {
                         self.fell_down(server, Health::Silent, acts);
                         self.agenda.at(until, Due::Returns(server));
                     }
@@ -155,7 +176,10 @@
                 }
                 self.taken_servers.insert(place, servers);
             }
-            TroubleKind::Surge | TroubleKind::DeadlineSurge | TroubleKind::PlanBurst | TroubleKind::Scan => {}
+            TroubleKind::Surge
+            | TroubleKind::DeadlineSurge
+            | TroubleKind::PlanBurst
+            | TroubleKind::Scan => {}
             TroubleKind::Shift => {
                 for account in &mut self.clients.accounts {
                     if self.chance.generate::<f64>() < it.share {
@@ -187,20 +211,38 @@
     fn steps(&mut self, now: Duration, place: usize, lasts: f64, count: usize) {
         let each = secs(lasts / count.max(1) as f64);
         for later in 1..count {
-            self.agenda.at(now + each * later as u32, Due::Trouble { place, step: later });
+            self.agenda.at(
+                now + each * later as u32,
+                Due::Trouble { place, step: later },
+            );
         }
     }
 
     /// Servers are replaced one after another, each by a new one that starts cold.
-    fn replace(&mut self, now: Duration, place: usize, step: usize, it: &Trouble, acts: &mut Vec<Act>) {
+    fn replace(
+        &mut self,
+        now: Duration,
+        place: usize,
+        step: usize,
+        it: &Trouble,
+        acts: &mut Vec<Act>,
+    ) {
         if step == 0 {
             let servers = self.some_servers(it.share);
             self.steps(now, place, it.lasts, servers.len());
             self.taken_servers.insert(place, servers);
         }
-        let Some(old) = self.taken_servers[&place].get(step).copied() else { return };
+        let Some(old) = self.taken_servers[&place].get(step).copied() else {
+            return;
+        };
         let (zone, kind) = (self.at_server(old).zone, self.at_server(old).kind.clone());
-        let kind = self.terms.fleet.kinds.iter().position(|known| known.name == kind).unwrap_or(0);
+        let kind = self
+            .terms
+            .fleet
+            .kinds
+            .iter()
+            .position(|known| known.name == kind)
+            .unwrap_or(0);
         self.at_server(old).listing = Listing::Leaving;
         self.change(now, old, Listing::Leaving);
         let fresh = self.build(zone, kind);
@@ -213,13 +255,22 @@
     }
 
     /// Gateways are told to stop one after another, and killed when all that they had must be answered.
-    fn restart(&mut self, now: Duration, place: usize, step: usize, it: &Trouble, acts: &mut Vec<Act>) {
+    fn restart(
+        &mut self,
+        now: Duration,
+        place: usize,
+        step: usize,
+        it: &Trouble,
+        acts: &mut Vec<Act>,
+    ) {
         if step == 0 {
             let gateways = self.some_gateways(it.share);
             self.steps(now, place, it.lasts, gateways.len());
             self.taken_gateways.insert(place, gateways);
         }
-        let Some(gateway) = self.taken_gateways[&place].get(step).copied() else { return };
+        let Some(gateway) = self.taken_gateways[&place].get(step).copied() else {
+            return;
+        };
         if self.gateways[gateway].state != GatewayState::Ready {
             return;
         }
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -35,7 +35,9 @@
 
 /// A table that holds one value at a path.
 fn at(path: &str, value: &str) -> toml::Table {
-    let text = if value.parse::<f64>().is_ok() || ["true", "false"].contains(&value) || value.starts_with('[')
+    let text = if value.parse::<f64>().is_ok()
+        || ["true", "false"].contains(&value)
+        || value.starts_with('[')
     {
         value.to_string()
     } else {
@@ -68,7 +70,10 @@
     }
 
     fn play(&mut self, seed: &str, altered: Option<&str>) -> Results {
-        let terms = simulated::Terms { fault: altered.map(fault), ..Default::default() };
+        let terms = simulated::Terms {
+            fault: altered.map(fault),
+            ..Default::default()
+        };
         let (seed, variant) = (seed.parse().expect("a seed"), self.variant.clone());
         simulated::play(self.experiment(), &variant, seed, &terms).expect("a day")
     }
@@ -85,7 +90,10 @@
                 self.experiment = Some(Experiment::load(&path).expect("an experiment"));
             }
             ["set", path, ref value @ ..] => {
-                let change = Variant { change: at(path, &value.join(" ")), ..Variant::default() };
+                let change = Variant {
+                    change: at(path, &value.join(" ")),
+                    ..Variant::default()
+                };
                 *self.experiment() = self.experiment().with(&change).expect("it fits");
             }
             ["trouble", kind, ref terms @ ..] => {
@@ -115,7 +123,12 @@
             }
             ["sound"] => {
                 let it = self.results();
-                assert!(it.sound(), "{:?} {:?}", &it.broken[..it.broken.len().min(5)], it.crashes);
+                assert!(
+                    it.sound(),
+                    "{:?} {:?}",
+                    &it.broken[..it.broken.len().min(5)],
+                    it.crashes
+                );
             }
             ["breaks", name] => {
                 let it = self.results();
@@ -123,19 +136,36 @@
                 let other = it.broken.iter().find(|broken| broken.rule != rule(name));
                 assert!(other.is_none(), "{}", other.expect("found"));
                 let named = it.broken.iter().all(|broken| broken.at > 0.0);
-                let called = it.broken.iter().all(|it| it.call.is_some() || it.rule == Rule::ColdServers);
+                let called = it
+                    .broken
+                    .iter()
+                    .all(|it| it.call.is_some() || it.rule == Rule::ColdServers);
                 assert!(named && called, "a broken rule names its time and API call");
             }
             ["figure", ref name @ .., how @ ("above" | "below"), bound] => {
                 let (name, bound) = (name.join(" "), bound.parse::<f64>().expect("a number"));
                 let it = self.results();
                 let counts = serde_json::to_value(&it.all).expect("counts");
-                let found = it.figures().into_iter().find(|(known, _)| *known == name).map(|it| it.1);
+                let found = it
+                    .figures()
+                    .into_iter()
+                    .find(|(known, _)| *known == name)
+                    .map(|it| it.1);
                 let value = found.or(counts[&name].as_f64()).expect("a figure");
-                assert!(if how == "above" { value > bound } else { value < bound }, "it is {value}");
+                assert!(
+                    if how == "above" {
+                        value > bound
+                    } else {
+                        value < bound
+                    },
+                    "it is {value}"
+                );
             }
             ["read", ..] => {
-                let text = line.strip_prefix("read ").unwrap_or_default().replace("\\n", "\n");
+                let text = line
+                    .strip_prefix("read ")
+                    .unwrap_or_default()
+                    .replace("\\n", "\n");
                 let complaint = Experiment::read("file", &text).expect_err("it is wrong");
                 self.complaint = complaint.to_string();
             }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -26,9 +26,11 @@
 
 /// The settings in the platform's JSON.
 pub fn decode(json: &Value) -> Result<Settings, SettingsError> {
-    let stated: wire::Settings = serde_path_to_error::deserialize(without_nulls(json)).map_err(|error| {
-        SettingsError { place: error.path().to_string(), reason: error.inner().to_string() }
-    })?;
+    let stated: wire::Settings =
+        serde_path_to_error::deserialize(without_nulls(json)).map_err(|error| SettingsError {
+            place: error.path().to_string(),
+            reason: error.inner().to_string(),
+        })?;
     stated.check()
 }
 
@@ -37,7 +39,11 @@
     match json {
         Value::Object(fields) => {
             let stated = fields.iter().filter(|(_, value)| !value.is_null());
-            Value::Object(stated.map(|(name, value)| (name.clone(), without_nulls(value))).collect())
+            Value::Object(
+                stated
+                    .map(|(name, value)| (name.clone(), without_nulls(value)))
+                    .collect(),
+            )
         }
         Value::Array(items) => Value::Array(items.iter().map(without_nulls).collect()),
         other => other.clone(),
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -4,7 +4,9 @@
 use wellcrank::settings::{DiscoveryMode, Group, Limits, Repeat};
 
 fn complaint(json: Value) -> String {
-    decode(&json).expect_err("these settings can't be used").to_string()
+    decode(&json)
+        .expect_err("these settings can't be used")
+        .to_string()
 }
 
 #[test]
@@ -25,29 +27,46 @@
     let idle_close = Duration::from_secs(15);
     assert_eq!(
         settings.limits,
-        Limits { max_attempts: 4, idle_close, cancelling: true, ..Limits::default() }
+        Limits {
+            max_attempts: 4,
+            idle_close,
+            cancelling: true,
+            ..Limits::default()
+        }
     );
     assert_eq!(settings.rules.fall_multiple, 2.5);
     assert_eq!(settings.counter.timeout, Duration::from_millis(50));
-    let (small, event) = (settings.plan(&"small".into()), settings.plan(&"event".into()));
+    let (small, event) = (
+        settings.plan(&"small".into()),
+        settings.plan(&"event".into()),
+    );
     assert_eq!((small.rate, small.burst, small.cap), (1.5, 8.0, 0.0));
     assert_eq!((event.rate, event.cap), (0.0, 3.0));
-    let (read, post) = (settings.route(&"read".into()), settings.route(&"post".into()));
+    let (read, post) = (
+        settings.route(&"read".into()),
+        settings.route(&"post".into()),
+    );
     assert_eq!((read.repeat, read.group), (Repeat::Idempotent, Group::All));
-    assert_eq!((post.repeat, post.billed_value), (Repeat::NonIdempotent, 5.0));
+    assert_eq!(
+        (post.repeat, post.billed_value),
+        (Repeat::NonIdempotent, 5.0)
+    );
     assert_eq!(settings.longest_timeout(), Duration::from_millis(1200));
 }
 
 #[test]
 fn what_is_missing_asks_nothing() {
     assert_eq!(decode(&json!({})), Ok(Settings::default()));
-    assert_eq!(decode(&json!({"rules": null, "contracts": []})), Ok(Settings::default()));
+    assert_eq!(
+        decode(&json!({"rules": null, "contracts": []})),
+        Ok(Settings::default())
+    );
 }
 
 #[test]
 fn an_effect_that_is_not_known_is_the_strictest() {
-    let settings =
-        decode(&json!({"classes": [{"name": "odd", "repeat": "sometimes"}]})).expect("good settings");
+    let settings = decode(&json!({"classes": [{"name": "odd", "repeat": "sometimes"}]}))
+        .expect("good settings");
     assert_eq!(settings.route(&"odd".into()).repeat, Repeat::NonIdempotent);
 }
 
@@ -71,7 +90,13 @@
         "settings: rules.cold_from: 21 is no share; expected 0 to 1"
     );
     let text = complaint(json!({"classes": [{"name": "read", "target_ns": "fast"}]}));
-    assert!(text.starts_with("settings: classes[0].target_ns: invalid type: string \"fast\""), "{text}");
+    assert!(
+        text.starts_with("settings: classes[0].target_ns: invalid type: string \"fast\""),
+        "{text}"
+    );
     let text = complaint(json!({"ceilings": 7}));
-    assert!(text.starts_with("settings: ceilings: invalid type"), "{text}");
+    assert!(
+        text.starts_with("settings: ceilings: invalid type"),
+        "{text}"
+    );
 }
--- a/settings/src/wire.rs
+++ b/settings/src/wire.rs
@@ -85,25 +85,36 @@
 impl Part<'_> {
     fn wrong<T>(&self, field: &str, reason: String) -> Result<T, SettingsError> {
         let dot = if self.0.is_empty() { "" } else { "." };
-        Err(SettingsError { place: format!("{}{dot}{field}", self.0), reason })
+        Err(SettingsError {
+            place: format!("{}{dot}{field}", self.0),
+            reason,
+        })
     }
 
     fn amount(&self, field: &str, value: f64) -> Result<f64, SettingsError> {
         match value.is_finite() && value >= 0.0 {
             true => Ok(value),
-            false => self.wrong(field, format!("{value} is below nothing; expected 0 or more")),
+            false => self.wrong(
+                field,
+                format!("{value} is below nothing; expected 0 or more"),
+            ),
         }
     }
 
     fn whole(&self, field: &str, value: f64) -> Result<u32, SettingsError> {
         match value.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&value) {
             true => Ok(value as u32),
-            false => self.wrong(field, format!("{value} is no count; expected a whole number, 0 or more")),
+            false => self.wrong(
+                field,
+                format!("{value} is no count; expected a whole number, 0 or more"),
+            ),
         }
     }
 
     fn span(&self, field: &str, nanoseconds: f64) -> Result<Duration, SettingsError> {
-        Ok(Duration::from_nanos(self.amount(field, nanoseconds)?.min(LONGEST_NS) as u64))
+        Ok(Duration::from_nanos(
+            self.amount(field, nanoseconds)?.min(LONGEST_NS) as u64,
+        ))
     }
 
     fn share(&self, field: &str, value: f64) -> Result<f64, SettingsError> {
@@ -129,8 +140,18 @@
             limits: self.ceilings.check()?,
             rules: self.rules.check()?,
             counter: self.family_info.check()?,
-            plans: named("contracts", self.contracts, |plan| plan.name.clone(), Contract::check)?,
-            routes: named("classes", self.classes, |route| route.name.clone(), Class::check)?,
+            plans: named(
+                "contracts",
+                self.contracts,
+                |plan| plan.name.clone(),
+                Contract::check,
+            )?,
+            routes: named(
+                "classes",
+                self.classes,
+                |route| route.name.clone(),
+                Class::check,
+            )?,
         })
     }
 }
@@ -147,7 +168,10 @@
         let (place, name) = (format!("{list}[{number}]"), name(&entry));
         let checked = check(entry, &place)?;
         if typed.insert(Name::from(name.as_str()), checked).is_some() {
-            return Part(&place).wrong("name", format!("'{name}' stands twice; expected a name of its own"));
+            return Part(&place).wrong(
+                "name",
+                format!("'{name}' stands twice; expected a name of its own"),
+            );
         }
     }
     Ok(typed)
@@ -176,7 +200,8 @@
             cold: part.span("cold_ns", self.cold_ns)?,
             fall_multiple: part.amount("fall_multiple", self.fall_multiple)?,
             overload_for: part.span("overload_for_ns", self.overload_for_ns)?,
-            stop_sending_within: part.span("stop_sending_within_ns", self.stop_sending_within_ns)?,
+            stop_sending_within: part
+                .span("stop_sending_within_ns", self.stop_sending_within_ns)?,
             ask_within: part.span("ask_within_ns", self.ask_within_ns)?,
         })
     }
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -18,7 +18,9 @@
         self.0.get(name).filter(|value| !value.is_null())
     }
     fn need<T>(&self, name: &str, read: impl Fn(&'a Value) -> Option<T>) -> Result<T, String> {
-        let value = self.maybe(name).ok_or_else(|| format!("field '{name}' is missing"))?;
+        let value = self
+            .maybe(name)
+            .ok_or_else(|| format!("field '{name}' is missing"))?;
         read(value).ok_or_else(|| format!("field '{name}' has a wrong value: {value}"))
     }
     fn text(&self, name: &str) -> Result<&'a str, String> {
@@ -53,16 +55,27 @@
             "S" => self.number("total").map(Counted::Total),
             "F" | "C" => Ok(Counted::NotAdded),
             "T" => Ok(Counted::Unsure),
-            other => Err(format!("field 'disposition' has a wrong value: \"{other}\"")),
+            other => Err(format!(
+                "field 'disposition' has a wrong value: \"{other}\""
+            )),
         }
     }
     fn load(&self) -> BTreeMap<String, f64> {
-        let pairs = self.maybe("pressure").and_then(Value::as_object).into_iter().flatten();
-        pairs.filter_map(|(name, value)| Some((name.clone(), value.as_f64()?))).collect()
+        let pairs = self
+            .maybe("pressure")
+            .and_then(Value::as_object)
+            .into_iter()
+            .flatten();
+        pairs
+            .filter_map(|(name, value)| Some((name.clone(), value.as_f64()?)))
+            .collect()
     }
     fn lines(&self) -> Result<Vec<Listed>, String> {
         let entries = self.need("lines", Value::as_array)?;
-        entries.iter().map(|entry| line(&Fields(entry.as_object().ok_or("an entry is no object")?))).collect()
+        entries
+            .iter()
+            .map(|entry| line(&Fields(entry.as_object().ok_or("an entry is no object")?)))
+            .collect()
     }
 }
 
@@ -75,7 +88,11 @@
             "OUT" => Phase::Gone,
             other => return Err(format!("field 'phase' has a wrong value: \"{other}\"")),
         },
-        started: entry.time("since_ns").ok().filter(|since| !since.is_zero()).map(UnixTime),
+        started: entry
+            .time("since_ns")
+            .ok()
+            .filter(|since| !since.is_zero())
+            .map(UnixTime),
         cell: entry.whole("pod").unwrap_or(0),
         zone: entry.text("region_part").unwrap_or("").to_string(),
         kind: entry.text("hw").unwrap_or("").to_string(),
@@ -105,19 +122,28 @@
 
 impl Port for Reply {
     fn send(&mut self, call: &CallId, server: &ServerId, timeout: Duration, _: Duration) {
-        self.act("transmit", json!({"txn": &*call.0, "server": &*server.0, "timeout_ns": nanos(timeout)}));
+        self.act(
+            "transmit",
+            json!({"txn": &*call.0, "server": &*server.0, "timeout_ns": nanos(timeout)}),
+        );
     }
     fn cancel(&mut self, call: &CallId, number: TryNumber) {
         self.act("undo_send", json!({"txn": &*call.0, "attempt": number.0}));
     }
     fn rate_limit(&mut self, call: &CallId, retry_after: Duration) {
-        self.act("turn_away", json!({"txn": &*call.0, "backoff_ns": nanos(retry_after)}));
+        self.act(
+            "turn_away",
+            json!({"txn": &*call.0, "backoff_ns": nanos(retry_after)}),
+        );
     }
     fn error(&mut self, call: &CallId) {
         self.act("give_up", json!({"txn": &*call.0}));
     }
     fn count(&mut self, name: CounterName, add: f64, keep: Duration) {
-        self.act("bump", json!({"name": name.0, "step": add, "expire_in_ns": nanos(keep)}));
+        self.act(
+            "bump",
+            json!({"name": name.0, "step": add, "expire_in_ns": nanos(keep)}),
+        );
     }
     fn wake(&mut self, token: WakeToken, at: Duration) {
         self.act("defer", json!({"token": token.0, "due_at_ns": nanos(at)}));
@@ -160,10 +186,18 @@
         "open_instance" => {
             let config = fields.need("config", |it| it.is_object().then_some(it))?;
             let settings = wellcrank_settings::decode(config).map_err(|error| error.to_string())?;
-            let port = Reply { instance, out: out.clone() };
+            let port = Reply {
+                instance,
+                out: out.clone(),
+            };
             hosted.insert(
                 instance,
-                Control::new(Rc::new(settings), fields.whole("salt")?, now, Box::new(port)),
+                Control::new(
+                    Rc::new(settings),
+                    fields.whole("salt")?,
+                    now,
+                    Box::new(port),
+                ),
             );
             return Ok(());
         }
@@ -173,13 +207,18 @@
         }
         _ => (),
     }
-    let Some(control) = hosted.get_mut(&instance) else { return Ok(()) };
+    let Some(control) = hosted.get_mut(&instance) else {
+        return Ok(());
+    };
     control.tell_time(now);
     match kind {
         "fleet" => match fields.text("scope")? {
             "X" => control.list_failed(),
             scope @ ("D" | "F" | "C") => {
-                let time = ListTime { unix_now: UnixTime(now), since_last: None };
+                let time = ListTime {
+                    unix_now: UnixTime(now),
+                    since_last: None,
+                };
                 control.listed(scope != "D", time, fields.lines()?)
             }
             other => return Err(format!("field 'scope' has a wrong value: \"{other}\"")),
@@ -228,13 +267,22 @@
     for (place, text) in std::io::stdin().lock().lines().enumerate() {
         let complain = |what: String| format!("line {}: {what}", place + 1);
         let text = text.map_err(|error| complain(error.to_string()))?;
-        let value: Value = serde_json::from_str(&text).map_err(|error| complain(error.to_string()))?;
-        let fields = Fields(value.as_object().ok_or_else(|| complain("not an object".into()))?);
+        let value: Value =
+            serde_json::from_str(&text).map_err(|error| complain(error.to_string()))?;
+        let fields = Fields(
+            value
+                .as_object()
+                .ok_or_else(|| complain("not an object".into()))?,
+        );
         match fields.text("event_type").map_err(complain)? {
             "frame" => now = fields.time("wall_ns").map_err(complain)?,
             "eob" => {
-                reply.borrow_mut().push_str("{\"event_type\":\"finished\"}\n");
-                let sent = output.write_all(reply.borrow().as_bytes()).and_then(|()| output.flush());
+                reply
+                    .borrow_mut()
+                    .push_str("{\"event_type\":\"finished\"}\n");
+                let sent = output
+                    .write_all(reply.borrow().as_bytes())
+                    .and_then(|()| output.flush());
                 sent.map_err(|error| format!("cannot write a reply: {error}"))?;
                 reply.borrow_mut().clear();
             }
--- a/src/control.rs
+++ b/src/control.rs
@@ -61,7 +61,11 @@
 impl Control {
     pub fn new(settings: Rc<Settings>, seed: u64, now: Duration, port: Box<dyn Port>) -> Self {
         let mut control = Control {
-            skip_until: if settings.counter.present { Duration::ZERO } else { Duration::MAX },
+            skip_until: if settings.counter.present {
+                Duration::ZERO
+            } else {
+                Duration::MAX
+            },
             bears: counter_pacing::at_start(&settings, now),
             fleet: server_health::at_start(),
             settings,
@@ -95,7 +99,11 @@
     pub fn reconfigure(&mut self, settings: Rc<Settings>) {
         let old = std::mem::replace(&mut self.settings, settings);
         if old.counter.present != self.settings.counter.present {
-            self.skip_until = if old.counter.present { Duration::MAX } else { Duration::ZERO };
+            self.skip_until = if old.counter.present {
+                Duration::MAX
+            } else {
+                Duration::ZERO
+            };
         }
         if old.discovery != self.settings.discovery {
             self.port.subscribe(true);
@@ -112,8 +120,12 @@
     }
 
     pub fn counted(&mut self, name: CounterName, counted: Counted) {
-        let Some(line) = self.counts.get_mut(&name) else { return };
-        let Some((asked, next)) = line.pop_front() else { return };
+        let Some(line) = self.counts.get_mut(&name) else {
+            return;
+        };
+        let Some((asked, next)) = line.pop_front() else {
+            return;
+        };
         if line.is_empty() {
             self.counts.remove(&name);
         }
@@ -140,7 +152,11 @@
         if token == TICK_TOKEN {
             self.tick();
         }
-        while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= self.now) {
+        while let Some(entry) = self
+            .due
+            .first_entry()
+            .filter(|entry| entry.key().0 <= self.now)
+        {
             entry.remove()(self, ());
         }
     }
@@ -158,6 +174,9 @@
         let length = length.as_nanos() as u64;
         let shift = fixed_hash(&customer.0, 0, 0) % length;
         let number = (at.as_nanos() as u64 + shift) / length;
-        (number + 2, Duration::from_nanos((number * length).saturating_sub(shift)))
+        (
+            number + 2,
+            Duration::from_nanos((number * length).saturating_sub(shift)),
+        )
     }
 }
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -13,7 +13,8 @@
     pub fn arrived(&mut self, arrival: Arrival) {
         let now = self.now;
         let (rate, burst, window) = self.terms(&arrival.plan);
-        let rank = (f64::from(self.settings.index) - f64::from(arrival.first)).rem_euclid(self.gateways());
+        let rank =
+            (f64::from(self.settings.index) - f64::from(arrival.first)).rem_euclid(self.gateways());
         let account = self.accounts.entry(arrival.customer.clone()).or_default();
         let spread = f64::from(arrival.spread.max(1));
         (account.spread, account.rank) = (spread, rank);
@@ -26,10 +27,17 @@
         self.bears.thin += (f64::from(u8::from(part < arrival.units)) - self.bears.thin) * 0.02;
         self.bears.value += (self.value(&arrival) - self.bears.value) * 0.05;
         self.fleet.further = (self.fleet.further + TRY_SHARE).min(10.0);
-        let (call, timed, customer) = (arrival.call.clone(), arrival.call.clone(), arrival.customer.clone());
+        let (call, timed, customer) = (
+            arrival.call.clone(),
+            arrival.call.clone(),
+            arrival.customer.clone(),
+        );
         let last = arrival.until.saturating_sub(self.leeway()).max(now);
         let route = self.settings.route(&arrival.route).clone();
-        self.calls.insert(call.clone(), Call::new(arrival, route, now, self.skipping()));
+        self.calls.insert(
+            call.clone(),
+            Call::new(arrival, route, now, self.skipping()),
+        );
         if spent {
             return self.answer(&call, self.until_refill(&customer));
         }
@@ -38,7 +46,10 @@
         }
         // Its last moment. What is refused at once needs none, and would wake a gateway in vain.
         self.at(last, Box::new(move |c, ()| c.answer(&timed, RETRY_AFTER)));
-        self.hold(&call.clone(), Box::new(move |c, hold| c.held(call, customer, hold)));
+        self.hold(
+            &call.clone(),
+            Box::new(move |c, hold| c.held(call, customer, hold)),
+        );
     }
 
     /// The first try's hold was taken or refused: only now units are charged.
@@ -63,7 +74,8 @@
     /// is less than a try: one a gateway would jam servers that hundreds of gateways share.
     pub(super) fn crowded(&mut self, call: &CallId) -> bool {
         let arrival = &self.calls[call].arrival;
-        let value = self.value(arrival) / self.usual_latency(&arrival.route).unwrap_or(1.0).max(0.001);
+        let value =
+            self.value(arrival) / self.usual_latency(&arrival.route).unwrap_or(1.0).max(0.001);
         let used = (self.fleet.open + self.rng.generate::<f64>()) / self.fleet.room;
         let bar = (used - SHED_FROM) / (1.0 - SHED_FROM) * self.fleet.worth;
         self.fleet.worth += (value - self.fleet.worth) * 0.02;
@@ -77,8 +89,19 @@
 
     /// A plan's rate and burst, and the length of its windows in seconds.
     pub(super) fn terms(&self, plan: &PlanName) -> (f64, f64, f64) {
-        let (rate, burst) = (self.settings.plan(plan).rate, self.settings.plan(plan).burst);
-        (rate, burst, if rate > 0.0 { (burst / rate).clamp(SHORTEST, LONGEST) } else { 1.0 })
+        let (rate, burst) = (
+            self.settings.plan(plan).rate,
+            self.settings.plan(plan).burst,
+        );
+        (
+            rate,
+            burst,
+            if rate > 0.0 {
+                (burst / rate).clamp(SHORTEST, LONGEST)
+            } else {
+                1.0
+            },
+        )
     }
 
     pub(super) fn set_tick(&mut self) {
@@ -94,9 +117,14 @@
             return;
         }
         let (sends, pace) = (std::mem::take(&mut self.fleet.sends), self.fleet.pace);
-        self.fleet.pace = if pace.is_finite() { pace + (sends - pace) * 0.1 } else { sends };
+        self.fleet.pace = if pace.is_finite() {
+            pace + (sends - pace) * 0.1
+        } else {
+            sends
+        };
         self.choose();
         self.forget_departed();
-        self.accounts.retain(|_, known| !known.holds.is_empty() || now < known.asked + FORGET);
+        self.accounts
+            .retain(|_, known| !known.holds.is_empty() || now < known.asked + FORGET);
     }
 }
--- a/src/control/attempts.rs
+++ b/src/control/attempts.rs
@@ -11,16 +11,19 @@
     /// The one place every upstream try passes: the rules on answers, effects, drains and cold servers.
     pub(super) fn send(&mut self, call: CallId, customer: CustomerId, hold: u64) {
         let mut rng = self.rng.clone();
-        let Some(asked) = self.calls.get(&call) else { return self.release(&customer, hold) };
+        let Some(asked) = self.calls.get(&call) else {
+            return self.release(&customer, hold);
+        };
         let (route, units) = (asked.arrival.route.clone(), asked.arrival.units);
         let left = self.patience(asked);
         let terms = &asked.route;
         // A repeat has to reach a server that knows the first by its token while that is remembered.
         let (whole_by, first) = match (&asked.ran, terms.repeat) {
             (None, _) | (_, Repeat::Idempotent) => (Duration::MAX, None),
-            (Some(ran), Repeat::Tokened) => {
-                ((ran.at + terms.memory_span).saturating_sub(self.leeway() + HELD_UP), Some(ran))
-            }
+            (Some(ran), Repeat::Tokened) => (
+                (ran.at + terms.memory_span).saturating_sub(self.leeway() + HELD_UP),
+                Some(ran),
+            ),
             (Some(_), Repeat::NonIdempotent) => (Duration::ZERO, None),
         };
         let harmless = |server: &Server| match (first, terms.group) {
@@ -29,7 +32,8 @@
             (Some(ran), Group::Zone) => ran.zone == server.listed.zone,
             (Some(ran), Group::Cell) => ran.cell == server.listed.cell,
         };
-        let able = |at: &Server| at.listed.phase == Phase::Ready && harmless(at) && self.has_room(at);
+        let able =
+            |at: &Server| at.listed.phase == Phase::Ready && harmless(at) && self.has_room(at);
         let drawn = self.draw(&mut rng, &able, asked.last.as_ref(), &route);
         let (first, unsure, plan) = (asked.tries == 0, asked.unsure, asked.arrival.plan.clone());
         let barred = drawn.is_none() || left.is_zero() || asked.out.is_some();
@@ -45,10 +49,16 @@
         let whole_by = whole_by.min(soon);
         let server = self.servers.get_mut(&at).expect("chosen from the list");
         self.rng = rng;
-        let sent = Sent { at: now, zone: server.listed.zone.clone(), cell: server.listed.cell };
+        let sent = Sent {
+            at: now,
+            zone: server.listed.zone.clone(),
+            cell: server.listed.cell,
+        };
         (server.open, self.fleet.open) = (server.open + 1, self.fleet.open + 1.0);
         self.fleet.sends += 1.0;
-        share.into_iter().for_each(|share| server.ramp.sent(now, share));
+        share
+            .into_iter()
+            .for_each(|share| server.ramp.sent(now, share));
         let asked = self.calls.get_mut(&call).expect("looked up above");
         let (number, taken) = (TryNumber(asked.tries), asked.taken);
         (asked.tries, asked.out, asked.last) = (asked.tries + 1, Some(number), Some(at.clone()));
@@ -58,7 +68,11 @@
             c.note_loss(&at, &route, &end);
             c.judge(&at, &route, &end);
             c.release(&customer, hold);
-            c.settle(&customer, end.settled.map_or(0.0, |settled| settled - units), unsure);
+            c.settle(
+                &customer,
+                end.settled.map_or(0.0, |settled| settled - units),
+                unsure,
+            );
             let came = !matches!(end.outcome, Outcome::NoConnection | Outcome::NotSent);
             match c.calls.get_mut(&call) {
                 Some(asked) => asked.taken |= came,
@@ -75,18 +89,27 @@
         let target = asked.route.latency_target;
         // A target that is not stated is none.
         let late = asked.route.late_worth > 0.0 || target.is_zero();
-        let until = asked.arrival.until.min(if late { Duration::MAX } else { asked.born + target });
+        let until = asked.arrival.until.min(if late {
+            Duration::MAX
+        } else {
+            asked.born + target
+        });
         until.saturating_sub(self.now)
     }
 
     /// A try is over: the API call is answered, or a further try is made as far as its route permits.
     pub(super) fn over(&mut self, call: &CallId, sent: Sent, end: Ended) {
-        let Some(asked) = self.calls.get_mut(call) else { return };
+        let Some(asked) = self.calls.get_mut(call) else {
+            return;
+        };
         asked.out = None;
         if end.closed {
             return drop(self.finish(call));
         }
-        if !matches!(end.outcome, Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent) {
+        if !matches!(
+            end.outcome,
+            Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent
+        ) {
             asked.ran.get_or_insert(sent);
         }
         let (tries, once) = (asked.tries, asked.ran.is_some());
@@ -128,13 +151,18 @@
     /// as the design has it.
     pub(super) fn until_free(&self, call: &CallId, ahead: f64) -> Duration {
         let route = self.calls.get(call).map(|asked| &asked.arrival.route);
-        let usual = route.and_then(|route| self.usual_latency(route)).map(seconds);
+        let usual = route
+            .and_then(|route| self.usual_latency(route))
+            .map(seconds);
         usual.unwrap_or(RETRY_AFTER).mul_f64(ahead.clamp(1.0, 99.0))
     }
 
     /// Advice to a customer whose store can't hold the units yet: when it will, as far as the totals tell.
     pub(super) fn until_refill(&self, customer: &CustomerId) -> Duration {
-        let until = self.accounts.get(customer).map_or(Duration::ZERO, |account| account.refused_until);
+        let until = self
+            .accounts
+            .get(customer)
+            .map_or(Duration::ZERO, |account| account.refused_until);
         if until > self.now {
             until - self.now
         } else {
@@ -154,14 +182,19 @@
 
     /// The one final answer. Rate-limited where it is harmless to come again, else errored.
     pub(super) fn answer(&mut self, call: &CallId, retry_after: Duration) {
-        let Some(asked) = self.finish(call) else { return };
+        let Some(asked) = self.finish(call) else {
+            return;
+        };
         let harmless = match asked.route.repeat {
             Repeat::Idempotent => true,
             Repeat::Tokened if asked.route.group == Group::All => true,
             _ => asked.out.is_none() && asked.ran.is_none(),
         };
         match harmless {
-            true => self.port.rate_limit(call, retry_after.clamp(LEAST_RETRY_AFTER, LONGEST_RETRY_AFTER)),
+            true => self.port.rate_limit(
+                call,
+                retry_after.clamp(LEAST_RETRY_AFTER, LONGEST_RETRY_AFTER),
+            ),
             false => self.port.error(call),
         }
     }
--- a/src/control/counter_pacing.rs
+++ b/src/control/counter_pacing.rs
@@ -14,7 +14,13 @@
 
 pub(super) fn at_start(settings: &Settings, now: Duration) -> Bears {
     let pace = START_PACE / settings.gateway_count();
-    Bears { quick_to: f64::INFINITY, thin: THIN, filled: now, pace, ..Bears::default() }
+    Bears {
+        quick_to: f64::INFINITY,
+        thin: THIN,
+        filled: now,
+        pace,
+        ..Bears::default()
+    }
 }
 
 impl Control {
@@ -33,16 +39,26 @@
         let crowded = bears.thin >= THIN || bears.calling * limit.as_secs_f64() > 0.5;
         bears.errors = if good { 0 } else { bears.errors };
         if good && took < limit.mul_f64(PROMPT) {
-            bears.pace += if bears.pace < bears.quick_to { 1.0 } else { SPEED_UP.max(bears.pace * 0.01) };
+            bears.pace += if bears.pace < bears.quick_to {
+                1.0
+            } else {
+                SPEED_UP.max(bears.pace * 0.01)
+            };
             bears.pace = bears.pace.min(bears.calling * 2.0 + 4.0);
         } else if !good && crowded && now >= bears.slowed + limit * 4 {
             let made = bears.pace.min(bears.calling);
             (bears.errors, bears.in_hand) = (bears.errors + 1, bears.in_hand.min(0.0));
-            (bears.pace, bears.quick_to, bears.slowed) = ((made * 0.6).max(LEAST_PACE), made * 0.5, now);
+            (bears.pace, bears.quick_to, bears.slowed) =
+                ((made * 0.6).max(LEAST_PACE), made * 0.5, now);
         }
         if !good && now >= self.skip_until && (bears.errors >= ERRORS || !crowded) {
-            let skip = if counted == Counted::NotAdded { CROWDED_SKIP } else { SKIP };
-            self.port.log(&format!("counter skipped for {skip:?}: {counted:?}"));
+            let skip = if counted == Counted::NotAdded {
+                CROWDED_SKIP
+            } else {
+                SKIP
+            };
+            self.port
+                .log(&format!("counter skipped for {skip:?}: {counted:?}"));
             self.skip_until = now + skip;
         }
     }
@@ -69,8 +85,12 @@
 
     pub(super) fn add(&mut self, name: CounterName, add: f64, keep: Duration, next: Next<Counted>) {
         self.fill();
-        (self.bears.in_hand, self.bears.calling) = (self.bears.in_hand - 1.0, self.bears.calling + 1.0);
-        self.counts.entry(name).or_default().push_back((self.now, next));
+        (self.bears.in_hand, self.bears.calling) =
+            (self.bears.in_hand - 1.0, self.bears.calling + 1.0);
+        self.counts
+            .entry(name)
+            .or_default()
+            .push_back((self.now, next));
         self.port.count(name, add, keep);
     }
 }
--- a/src/control/holds.rs
+++ b/src/control/holds.rs
@@ -13,8 +13,19 @@
         Some(self.settings.plan(plan).cap).filter(|cap| *cap > 0.0)
     }
 
-    pub(super) fn add_hold(&mut self, customer: &CustomerId, period: u64, by: f64, next: Next<Counted>) {
-        self.add(CounterName(fixed_hash(&customer.0, 1, period)), by, PERIOD * 2, next);
+    pub(super) fn add_hold(
+        &mut self,
+        customer: &CustomerId,
+        period: u64,
+        by: f64,
+        next: Next<Counted>,
+    ) {
+        self.add(
+            CounterName(fixed_hash(&customer.0, 1, period)),
+            by,
+            PERIOD * 2,
+            next,
+        );
     }
 
     /// Step 2: adds one and waits for the total. The hold is kept by the account until it is released;
@@ -23,21 +34,28 @@
     /// refused at its busy gateway. A plan without a cap has nothing to hold its customers under.
     pub(super) fn hold(&mut self, call: &CallId, next: Next<Result<u64, f64>>) {
         let arrival = &self.calls[call].arrival;
-        let Some(cap) = self.cap(&arrival.plan) else { return next(self, Ok(NO_HOLD)) };
+        let Some(cap) = self.cap(&arrival.plan) else {
+            return next(self, Ok(NO_HOLD));
+        };
         let customer = arrival.customer.clone();
         let (rate, _, window) = self.terms(&arrival.plan);
         let units = arrival.units;
         // How long a unit of demand is out: the route's usual latency.
         let each = self.usual_latency(&arrival.route).unwrap_or(0.0) / units.max(1.0);
         let cheap = self.cheap(arrival, 1.0);
-        let (owner, period) = (customer.clone(), self.stretch(&customer, PERIOD, self.now).0);
+        let (owner, period) = (
+            customer.clone(),
+            self.stretch(&customer, PERIOD, self.now).0,
+        );
         self.next_id += 1;
         let id = self.next_id;
         // Calls being scarce in a thin fleet, a cap goes uncounted until the units seen in this window could
         // fill it: two calls for a hold leave none to ask for the units. Harm: others' tries under a cap are
         // seen late.
         let fills = |known: &Account| {
-            let this = self.stretch(&customer, Duration::from_secs_f64(window), self.now).0;
+            let this = self
+                .stretch(&customer, Duration::from_secs_f64(window), self.now)
+                .0;
             known.window == this && known.total >= cap
         };
         let asks = self.bears.thin < THIN || self.accounts.get(&customer).is_some_and(fills);
@@ -96,9 +114,16 @@
 
     /// Step 4: before the period's edge the open holds go into the next name, once, uncounted ones too.
     pub(super) fn renew(&mut self) {
-        let holders = self.accounts.iter().filter(|(_, account)| !account.holds.is_empty());
+        let holders = self
+            .accounts
+            .iter()
+            .filter(|(_, account)| !account.holds.is_empty());
         let holders: Vec<CustomerId> = holders.map(|(customer, _)| customer.clone()).collect();
-        for customer in if self.may_call(SPARE) { holders } else { Vec::new() } {
+        for customer in if self.may_call(SPARE) {
+            holders
+        } else {
+            Vec::new()
+        } {
             let next = self.stretch(&customer, PERIOD, self.now + RENEW_AHEAD).0;
             let account = self.accounts.get_mut(&customer).expect("listed above");
             let missing = account.holds.iter().filter(|hold| !hold.1.contains(&next));
@@ -115,7 +140,10 @@
         let (now, silent) = (self.stretch(customer, PERIOD, self.now).0, self.skipping());
         let account = self.accounts.entry(customer.clone()).or_default();
         let periods = account.holds.remove(&hold).unwrap_or_default();
-        for period in periods.into_iter().filter(|period| *period >= now && !silent) {
+        for period in periods
+            .into_iter()
+            .filter(|period| *period >= now && !silent)
+        {
             self.add_hold(customer, period, -1.0, Box::new(|_, _| ()));
         }
     }
--- a/src/control/quota.rs
+++ b/src/control/quota.rs
@@ -7,10 +7,19 @@
 impl Control {
     /// Takes the call's units from the block in hand, from a new block, or in silence from the even split.
     pub(super) fn charge(&mut self, call: &CallId, next: Next<bool>) {
-        let Some(Call { arrival, .. }) = self.calls.get(call) else { return next(self, false) };
-        let (customer, plan, units) = (arrival.customer.clone(), arrival.plan.clone(), arrival.units);
+        let Some(Call { arrival, .. }) = self.calls.get(call) else {
+            return next(self, false);
+        };
+        let (customer, plan, units) = (
+            arrival.customer.clone(),
+            arrival.plan.clone(),
+            arrival.units,
+        );
         let (rate, burst, window) = self.terms(&plan);
-        let recent = self.accounts.get(&customer).map_or(0.0, |account| account.demand);
+        let recent = self
+            .accounts
+            .get(&customer)
+            .map_or(0.0, |account| account.demand);
         let cheap = self.cheap(arrival, (recent * window * AHEAD / units).max(1.0));
         let (now, scarce, silent) = (self.now, !self.may_call(SPARE), !self.may_call(cheap));
         // Never to be passed: such a customer's share starts empty and no calm one passes beyond it.
@@ -20,7 +29,10 @@
             return next(self, true);
         }
         let full = burst / account.spread;
-        let share = account.share.get_or_insert(TokenBucket { left: if hard { 0.0 } else { full }, at: now });
+        let share = account.share.get_or_insert(TokenBucket {
+            left: if hard { 0.0 } else { full },
+            at: now,
+        });
         let enough = share.pay(now, rate / account.spread, full.max(units), units);
         if account.block >= units {
             share.left = if enough { share.left } else { 0.0 };
@@ -60,7 +72,10 @@
         let known = account.window > 0;
         // A store that was not followed is taken to be full, or empty under a hard ceiling.
         account.enter_window(window, length, if hard { 0.0 } else { burst }, self.now);
-        let (split, recent) = (burst / account.spread, account.demand * length.as_secs_f64());
+        let (split, recent) = (
+            burst / account.spread,
+            account.demand * length.as_secs_f64(),
+        );
         let usual = if known { split.min(recent) } else { split };
         let wanted = if plenty { usual } else { recent * AHEAD };
         let size = (wanted.max(units) - account.block).ceil();
@@ -86,8 +101,13 @@
                     // What a refused add leaves there stands for units that were sent without a word.
                     c.bears.unsaid = (c.bears.unsaid - (size + extra - back)).max(0.0);
                     let short = (units - account.block - account.store) / rate;
-                    let wait = Duration::from_secs_f64(short.clamp(0.01, length.as_secs_f64() * 0.5));
-                    account.refused_until = if plenty || !thin { now + wait } else { start + length };
+                    let wait =
+                        Duration::from_secs_f64(short.clamp(0.01, length.as_secs_f64() * 0.5));
+                    account.refused_until = if plenty || !thin {
+                        now + wait
+                    } else {
+                        start + length
+                    };
                 }
             }
             if back > 0.0 {
@@ -100,7 +120,8 @@
 
     /// Those that waited for a block are told whether it was given; silent, they turn to the even split.
     pub(super) fn go_on(&mut self, customer: &CustomerId, more: bool) {
-        for next in std::mem::take(&mut self.accounts.entry(customer.clone()).or_default().waiting) {
+        for next in std::mem::take(&mut self.accounts.entry(customer.clone()).or_default().waiting)
+        {
             next(self, more);
         }
     }
@@ -123,10 +144,28 @@
         units: f64,
         unsure: bool,
     ) -> bool {
-        let Plan { ceiling_rate: rate, ceiling_burst: depth, .. } = *self.settings.plan(plan);
-        let (now, start) = (self.now, TokenBucket { left: 0.0, at: self.started });
+        let Plan {
+            ceiling_rate: rate,
+            ceiling_burst: depth,
+            ..
+        } = *self.settings.plan(plan);
+        let (now, start) = (
+            self.now,
+            TokenBucket {
+                left: 0.0,
+                at: self.started,
+            },
+        );
         let account = self.accounts.entry(customer.clone()).or_default();
-        let price = if unsure { units * account.spread } else { units };
-        rate <= 0.0 || account.ceiling.get_or_insert(start).pay(now, rate, depth, price)
+        let price = if unsure {
+            units * account.spread
+        } else {
+            units
+        };
+        rate <= 0.0
+            || account
+                .ceiling
+                .get_or_insert(start)
+                .pay(now, rate, depth, price)
     }
 }
--- a/src/control/server_choice.rs
+++ b/src/control/server_choice.rs
@@ -14,7 +14,9 @@
 
 /// A span in seconds; one second where none is stated.
 fn seconds_or_one(span: Duration) -> f64 {
-    Some(span.as_secs_f64()).filter(|span| *span > 0.0).unwrap_or(1.0)
+    Some(span.as_secs_f64())
+        .filter(|span| *span > 0.0)
+        .unwrap_or(1.0)
 }
 
 impl Control {
@@ -24,13 +26,22 @@
     pub fn listed(&mut self, whole: bool, time: ListTime, lines: Vec<Listed>) {
         if whole {
             let told: BTreeSet<&ServerId> = lines.iter().map(|line| &line.server).collect();
-            let left_out = self.servers.keys().filter(|id| !told.contains(id)).cloned().collect::<Vec<_>>();
+            let left_out = self
+                .servers
+                .keys()
+                .filter(|id| !told.contains(id))
+                .cloned()
+                .collect::<Vec<_>>();
             left_out.into_iter().for_each(|id| self.depart(id));
         }
         for listed in lines {
             let id = listed.server.clone();
             if !whole {
-                self.place_on_ring(&id, self.servers.contains_key(&id), listed.phase != Phase::Gone);
+                self.place_on_ring(
+                    &id,
+                    self.servers.contains_key(&id),
+                    listed.phase != Phase::Gone,
+                );
             }
             if listed.phase == Phase::Gone {
                 self.depart(id);
@@ -39,13 +50,21 @@
             let server = match self.servers.remove(&id) {
                 Some(known) if known.listed.started == listed.started => Server { listed, ..known },
                 known => {
-                    let salt = subset::place(&id.0) ^ listed.started.map_or(0, |at| at.0.as_millis() as u64);
+                    let salt = subset::place(&id.0)
+                        ^ listed.started.map_or(0, |at| at.0.as_millis() as u64);
                     let ramp = Ramp::new(self.settings.index, salt, self.now);
                     // Its age is asked of the wall clock once; from then on it is a span.
-                    let most = time.since_last.map_or(Duration::MAX, |since| since + LISTED_LATE);
-                    let age = listed.started.map(|at| time.unix_now.0.saturating_sub(at.0).min(most));
+                    let most = time
+                        .since_last
+                        .map_or(Duration::MAX, |since| since + LISTED_LATE);
+                    let age = listed
+                        .started
+                        .map(|at| time.unix_now.0.saturating_sub(at.0).min(most));
                     let born = age.map(|age| self.now.saturating_sub(age));
-                    let before = self.departed.remove(&id).filter(|before| before.started == listed.started);
+                    let before = self
+                        .departed
+                        .remove(&id)
+                        .filter(|before| before.started == listed.started);
                     let born = before.map_or(born, |before| before.born);
                     Server::fresh(listed, born, known.map_or(0, |known| known.open), ramp)
                 }
@@ -61,14 +80,21 @@
 
     /// A server is no longer listed.
     fn depart(&mut self, id: ServerId) {
-        let Some(server) = self.servers.remove(&id) else { return };
-        let gone = Departed { started: server.listed.started, born: server.born, at: self.now };
+        let Some(server) = self.servers.remove(&id) else {
+            return;
+        };
+        let gone = Departed {
+            started: server.listed.started,
+            born: server.born,
+            at: self.now,
+        };
         self.departed.insert(id, gone);
     }
 
     /// What has departed for so long that it will have started anew is forgotten.
     pub(super) fn forget_departed(&mut self) {
-        self.departed.retain(|_, departed| self.now < departed.at + DEPARTED_FOR);
+        self.departed
+            .retain(|_, departed| self.now < departed.at + DEPARTED_FOR);
     }
 
     /// A change of one server on the ring: thousands are not sorted anew for it.
@@ -86,14 +112,27 @@
     /// The servers that this gateway uses: all that it can keep connections to warm and learn of, or a part.
     /// Harm: what befalls many servers of one gateway's part befalls it more; the others are then drawn too.
     pub(super) fn choose(&mut self) {
-        let (idle, open) = (self.settings.limits.idle_close.as_secs_f64(), self.fleet.open);
+        let (idle, open) = (
+            self.settings.limits.idle_close.as_secs_f64(),
+            self.fleet.open,
+        );
         let each = (self.fleet.room / self.own.len().max(1) as f64).min(ROOM);
-        let width = subset::Width { tries: self.fleet.pace, idle, open, each }.of(self.ids.len());
+        let width = subset::Width {
+            tries: self.fleet.pace,
+            idle,
+            open,
+            each,
+        }
+        .of(self.ids.len());
         let width = if idle > 0.0 { width } else { self.ids.len() };
         let (index, all) = (self.settings.index, self.gateways() as u32);
         let window = subset::window(self.ids.len(), index, all, width);
         self.own = window.map(|place| self.ids[place].clone()).collect();
-        let warm = self.own.iter().filter(|id| self.warmth(&self.servers[*id]) >= 1.0).count();
+        let warm = self
+            .own
+            .iter()
+            .filter(|id| self.warmth(&self.servers[*id]) >= 1.0)
+            .count();
         self.fleet.warm = warm as f64;
     }
 
@@ -105,7 +144,10 @@
     /// How much of its full work a server can do by now, by its age.
     pub(super) fn warmth(&self, server: &Server) -> f64 {
         let Some(start) = server.born else { return 1.0 };
-        let (from, span) = (self.settings.rules.cold_from, self.settings.rules.cold.as_secs_f64().max(1e-9));
+        let (from, span) = (
+            self.settings.rules.cold_from,
+            self.settings.rules.cold.as_secs_f64().max(1e-9),
+        );
         (from + (1.0 - from) * self.now.saturating_sub(start).as_secs_f64() / span).min(1.0)
     }
 
@@ -121,23 +163,34 @@
         let users = self.gateways() * self.own.len() as f64 / self.ids.len().max(1) as f64;
         // A few answers say little: the latency targets stand beside them, each as one more answer.
         let target = |route| seconds_or_one(self.settings.route(route).latency_target);
-        let each = self.usual.iter().map(|(route, usual)| usual.with_prior(target(route)));
+        let each = self
+            .usual
+            .iter()
+            .map(|(route, usual)| usual.with_prior(target(route)));
         let usual = each.sum::<f64>() / self.usual.len() as f64;
         let seen = self.fleet.done.0 / self.fleet.warm.max(1.0) * users;
         let bears = seen.max(1.0 / if usual > 0.0 { usual } else { 1.0 });
-        Some(Share::of(bears * warmth * multiple * COLD_SHARE, users, over))
+        Some(Share::of(
+            bears * warmth * multiple * COLD_SHARE,
+            users,
+            over,
+        ))
     }
 
     /// Room for one more: the gateway's own limit, and for a cold server its share of the rule's budget.
     pub(super) fn has_room(&self, server: &Server) -> bool {
         let fair = self.fleet.room / self.own.len().max(1) as f64 * self.warmth(server);
-        let permitted = self.share(server).is_none_or(|share| server.ramp.permits_one(self.now, share));
+        let permitted = self
+            .share(server)
+            .is_none_or(|share| server.ramp.permits_one(self.now, share));
         permitted && f64::from(server.open) < fair.max(1.0)
     }
 
     /// The share of a route's tries that is lost anywhere.
     pub(super) fn route_loss(&self, route: &RouteName) -> f64 {
-        self.losses.get(route).map_or(0.0, |known| known.estimate(self.now, 0.0, ROUTE_PRIOR))
+        self.losses
+            .get(route)
+            .map_or(0.0, |known| known.estimate(self.now, 0.0, ROUTE_PRIOR))
     }
 
     /// The share of the route's tries that this server is likely to lose. It is kept by route, as a server
@@ -145,7 +198,9 @@
     /// servers are struck, one that is not known yet is less trusted than one that answers.
     pub(super) fn loss(&self, server: &Server, route: &RouteName, anywhere: f64) -> f64 {
         let known = server.losses.get(route);
-        known.map_or(anywhere, |known| known.estimate(self.now, anywhere, SERVER_PRIOR))
+        known.map_or(anywhere, |known| {
+            known.estimate(self.now, anywhere, SERVER_PRIOR)
+        })
     }
 
     /// Load against ability; a loss costs all that a queue can cost and more.
@@ -166,9 +221,12 @@
         last: Option<&ServerId>,
         route: &RouteName,
     ) -> Option<ServerId> {
-        let (some, fits) =
-            (!self.own.is_empty(), |id: &&ServerId| Some(*id) != last && able(&self.servers[*id]));
-        let drawn = (0..DRAWS).filter(|_| some).map(|_| &self.own[rng.generate_range(0..self.own.len())]);
+        let (some, fits) = (!self.own.is_empty(), |id: &&ServerId| {
+            Some(*id) != last && able(&self.servers[*id])
+        });
+        let drawn = (0..DRAWS)
+            .filter(|_| some)
+            .map(|_| &self.own[rng.generate_range(0..self.own.len())]);
         let mut found: Vec<&ServerId> = drawn.filter(fits).collect();
         found.dedup();
         if found.len() < 2 {
@@ -177,10 +235,15 @@
             let others = |id: &&ServerId| self.warmth(&self.servers[*id]) >= 1.0 && fits(id);
             if found.is_empty() && self.ids.len() > LOOKED_THROUGH {
                 // Of thousands a few hundred by chance are as good as all.
-                let drawn = (0..LOOKED_THROUGH).map(|_| &self.ids[rng.generate_range(0..self.ids.len())]);
+                let drawn =
+                    (0..LOOKED_THROUGH).map(|_| &self.ids[rng.generate_range(0..self.ids.len())]);
                 found = drawn.filter(others).collect();
             }
-            found = if found.is_empty() { self.ids.iter().filter(others).collect() } else { found };
+            found = if found.is_empty() {
+                self.ids.iter().filter(others).collect()
+            } else {
+                found
+            };
             rng.shuffle(&mut found);
         }
         let anywhere = self.route_loss(route);
@@ -188,11 +251,20 @@
         found.sort_by_cached_key(|id| (loss(id) / (anywhere + LEAST_LOSS) * LOSS_STEPS) as u32);
         found.truncate(2);
         let again = || last.filter(|id| self.servers.get(*id).is_some_and(able));
-        let [one, two] = found[..] else { return found.pop().or_else(again).cloned() };
+        let [one, two] = found[..] else {
+            return found.pop().or_else(again).cloned();
+        };
         let cost = |id: &ServerId| self.cost(&self.servers[id], loss(id));
         let (first, second) = (cost(one), cost(two));
         let alike = self.servers[one].open + self.servers[two].open == 0;
         let chance = if alike { rng.generate::<f64>() } else { 0.5 };
-        Some(if first * chance <= second * (1.0 - chance) { one } else { two }.clone())
+        Some(
+            if first * chance <= second * (1.0 - chance) {
+                one
+            } else {
+                two
+            }
+            .clone(),
+        )
     }
 }
--- a/src/control/server_health.rs
+++ b/src/control/server_health.rs
@@ -9,7 +9,12 @@
 const ROUND: f64 = 5.0; // so many answers are a round, in a smaller room all of it
 
 pub(super) fn at_start() -> Fleet {
-    Fleet { further: 3.0, room: f64::INFINITY, pace: f64::INFINITY, ..Fleet::default() }
+    Fleet {
+        further: 3.0,
+        room: f64::INFINITY,
+        pace: f64::INFINITY,
+        ..Fleet::default()
+    }
 }
 
 impl Control {
@@ -25,24 +30,37 @@
         let grow = 1.0 / self.gateways();
         let all = self.servers.len() as f64;
         let fleet = &mut self.fleet;
-        fleet.room = if fleet.room.is_finite() { fleet.room } else { ROOM * all * grow };
+        fleet.room = if fleet.room.is_finite() {
+            fleet.room
+        } else {
+            ROOM * all * grow
+        };
         // As in a window of tries: one round of answers moves the room by one whole step.
         let step = (ROUND / fleet.room).min(1.0);
         match end.outcome {
-            Outcome::Proxied if quick && fleet.open > fleet.room * 0.6 => fleet.room += all * grow * step,
+            Outcome::Proxied if quick && fleet.open > fleet.room * 0.6 => {
+                fleet.room += all * grow * step
+            }
             Outcome::Proxied if quick => (),
             Outcome::ServerError | Outcome::Cancelled | Outcome::NotSent => (),
             _ => fleet.room *= 1.0 - 0.15 * step,
         }
         (fleet.open, fleet.room) = (fleet.open - 1.0, fleet.room.max(all * grow));
-        let warm = self.servers.get(server).is_some_and(|server| self.warmth(server) >= 1.0);
+        let warm = self
+            .servers
+            .get(server)
+            .is_some_and(|server| self.warmth(server) >= 1.0);
         let first = UsualLatency::taken_to_be(took.max(0.001));
         let usual = self.usual.entry(route.clone()).or_insert(first);
-        let Some(server) = self.servers.get_mut(server) else { return };
+        let Some(server) = self.servers.get_mut(server) else {
+            return;
+        };
         server.open = server.open.saturating_sub(1);
         if matches!(end.outcome, Outcome::Proxied | Outcome::TimedOut) {
-            let (kind, pace) =
-                (self.kinds.entry(server.listed.kind.clone()).or_insert(1.0), took / usual.seconds);
+            let (kind, pace) = (
+                self.kinds.entry(server.listed.kind.clone()).or_insert(1.0),
+                took / usual.seconds,
+            );
             server.pace += ((pace / *kind).clamp(0.2, 10.0) - server.pace) * 0.1;
             *kind += (pace.clamp(0.2, 10.0) - *kind) * 0.05;
         }
@@ -68,11 +86,23 @@
             Outcome::Proxied | Outcome::TurnedAway => 0.0,
         };
         let now = self.now;
-        self.losses.entry(route.clone()).or_insert_with(|| LossRate::new(LOSS_HALF)).add(now, lost);
-        let Some(server) = self.servers.get_mut(server) else { return };
-        server.losses.entry(route.clone()).or_insert_with(|| LossRate::new(LOSS_HALF)).add(now, lost);
+        self.losses
+            .entry(route.clone())
+            .or_insert_with(|| LossRate::new(LOSS_HALF))
+            .add(now, lost);
+        let Some(server) = self.servers.get_mut(server) else {
+            return;
+        };
+        server
+            .losses
+            .entry(route.clone())
+            .or_insert_with(|| LossRate::new(LOSS_HALF))
+            .add(now, lost);
         if matches!(end.outcome, Outcome::NoConnection | Outcome::Broken) {
-            server.losses.values_mut().for_each(|known| known.add(now, lost));
+            server
+                .losses
+                .values_mut()
+                .for_each(|known| known.add(now, lost));
         }
     }
 }
--- a/src/port.rs
+++ b/src/port.rs
@@ -114,7 +114,15 @@
     /// A server that is no longer there.
     pub fn gone(server: ServerId) -> Self {
         let (zone, kind) = (String::new(), String::new());
-        Listed { server, phase: Phase::Gone, started: None, cell: 0, zone, kind, weight: 1.0 }
+        Listed {
+            server,
+            phase: Phase::Gone,
+            started: None,
+            cell: 0,
+            zone,
+            kind,
+            weight: 1.0,
+        }
     }
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -129,8 +129,14 @@
     Cell,
 }
 
-const NO_PLAN: Plan =
-    Plan { rate: 0.0, burst: 0.0, cap: 0.0, price: 0.0, ceiling_rate: 0.0, ceiling_burst: 0.0 };
+const NO_PLAN: Plan = Plan {
+    rate: 0.0,
+    burst: 0.0,
+    cap: 0.0,
+    price: 0.0,
+    ceiling_rate: 0.0,
+    ceiling_burst: 0.0,
+};
 
 const NO_ROUTE: Route = Route {
     repeat: Repeat::NonIdempotent,
@@ -172,6 +178,10 @@
 
     /// The longest that a client of any route waits.
     pub fn longest_timeout(&self) -> Duration {
-        self.routes.values().map(|route| route.client_timeout).max().unwrap_or_default()
+        self.routes
+            .values()
+            .map(|route| route.client_timeout)
+            .max()
+            .unwrap_or_default()
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -41,7 +41,17 @@
 
 impl Call {
     pub fn new(arrival: Arrival, route: Route, born: Duration, unsure: bool) -> Self {
-        Call { arrival, route, born, tries: 0, unsure, out: None, last: None, ran: None, taken: false }
+        Call {
+            arrival,
+            route,
+            born,
+            tries: 0,
+            unsure,
+            out: None,
+            last: None,
+            ran: None,
+            taken: false,
+        }
     }
 }
 
@@ -68,7 +78,14 @@
 impl Server {
     /// As nothing is known of it yet.
     pub fn fresh(listed: Listed, born: Option<Duration>, open: u32, ramp: Ramp) -> Self {
-        Server { listed, born, open, pace: 1.0, losses: BTreeMap::new(), ramp }
+        Server {
+            listed,
+            born,
+            open,
+            pace: 1.0,
+            losses: BTreeMap::new(),
+            ramp,
+        }
     }
 }
 
@@ -83,7 +100,12 @@
 impl LossRate {
     /// Tries count half after so many seconds.
     pub fn new(half_life: f64) -> LossRate {
-        LossRate { half_life, tries: 0.0, lost: 0.0, at: Duration::ZERO }
+        LossRate {
+            half_life,
+            tries: 0.0,
+            lost: 0.0,
+            at: Duration::ZERO,
+        }
     }
 
     fn faded(&self, now: Duration) -> f64 {
@@ -92,7 +114,8 @@
 
     pub fn add(&mut self, now: Duration, lost: f64) {
         let faded = self.faded(now);
-        (self.tries, self.lost, self.at) = (self.tries * faded + 1.0, self.lost * faded + lost, now);
+        (self.tries, self.lost, self.at) =
+            (self.tries * faded + 1.0, self.lost * faded + lost, now);
     }
 
     /// The share lost, as though `weight` tries more had lost the share `prior`.
@@ -118,7 +141,11 @@
 
     /// Nothing was answered yet; it is taken to be this.
     pub fn taken_to_be(seconds: f64) -> UsualLatency {
-        UsualLatency { seconds, mean: 0.0, answers: 0 }
+        UsualLatency {
+            seconds,
+            mean: 0.0,
+            answers: 0,
+        }
     }
 
     /// An answer came after `took`; what it moves is moved by the shares `longer` or `shorter`.
--- a/tests/plays/mod.rs
+++ b/tests/plays/mod.rs
@@ -36,8 +36,12 @@
     failed.sort();
     let known = known_red();
     failed.retain(|complaint| {
-        let cause = known.iter().find(|line| line.starts_with(complaint.split(':').next().unwrap_or("")));
-        cause.inspect(|cause| println!("known red: {complaint}\n    {cause}")).is_none()
+        let cause = known
+            .iter()
+            .find(|line| line.starts_with(complaint.split(':').next().unwrap_or("")));
+        cause
+            .inspect(|cause| println!("known red: {complaint}\n    {cause}"))
+            .is_none()
     });
     assert!(failed.is_empty(), "\n{}", failed.join("\n"));
 }
@@ -45,20 +49,37 @@
 /// The lines of the list of known failures that are about this package, from the path within it on.
 fn known_red() -> Vec<String> {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let root = package.ancestors().find(|folder| folder.join("Cargo.lock").exists()).expect("the workspace");
-    let within = package.strip_prefix(root).expect("the workspace holds the package").join("");
+    let root = package
+        .ancestors()
+        .find(|folder| folder.join("Cargo.lock").exists())
+        .expect("the workspace");
+    let within = package
+        .strip_prefix(root)
+        .expect("the workspace holds the package")
+        .join("");
     let list = std::fs::read_to_string(root.join("KNOWN-RED.txt")).unwrap_or_default();
-    let about = list.lines().filter_map(|line| line.strip_prefix(within.to_str()?));
-    about.filter(|line| line.starts_with("tests/")).map(str::to_string).collect()
+    let about = list
+        .lines()
+        .filter_map(|line| line.strip_prefix(within.to_str()?));
+    about
+        .filter(|line| line.starts_with("tests/"))
+        .map(str::to_string)
+        .collect()
 }
 
 /// Plays one file; says where it failed.
 fn play<Stage: Default>(path: &Path, step: &impl Fn(&mut Stage, &Path, &str)) -> Option<String> {
     let mut stage = Stage::default();
     let text = std::fs::read_to_string(path).expect("a scenario");
-    let lines = text.lines().map(|line| line.split('#').next().unwrap_or("").trim());
-    let mut lines = lines.chain(["end"]).enumerate().filter(|(_, line)| !line.is_empty());
-    let (place, line) =
-        lines.find(|(_, line)| catch_unwind(AssertUnwindSafe(|| step(&mut stage, path, line))).is_err())?;
+    let lines = text
+        .lines()
+        .map(|line| line.split('#').next().unwrap_or("").trim());
+    let mut lines = lines
+        .chain(["end"])
+        .enumerate()
+        .filter(|(_, line)| !line.is_empty());
+    let (place, line) = lines.find(|(_, line)| {
+        catch_unwind(AssertUnwindSafe(|| step(&mut stage, path, line))).is_err()
+    })?;
     Some(format!("{}:{}: {line}", path.display(), place + 1))
 }
