--- a/tests/plays/named_settings.rs
+++ b/tests/plays/named_settings.rs
@@ -4,7 +4,9 @@
 use wellcrank::settings::*;
 
 fn number(value: &str) -> f64 {
-    value.parse().unwrap_or_else(|_| panic!("'{value}' is no number"))
+    value
+        .parse()
+        .unwrap_or_else(|_| panic!("'{value}' is no number"))
 }
 
 fn plan(plan: &mut Plan, field: &str, value: f64) {
@@ -44,7 +46,9 @@
         (["resolution"], value) => settings.resolution = seconds(number(value)),
         (["registry_mode"], "subscribe") => settings.discovery = DiscoveryMode::Subscribe,
         (["limits", "max_attempts"], value) => settings.limits.max_attempts = number(value) as u32,
-        (["limits", "connect_timeout"], value) => settings.limits.connect_timeout = seconds(number(value)),
+        (["limits", "connect_timeout"], value) => {
+            settings.limits.connect_timeout = seconds(number(value))
+        }
         (["limits", "idle_close"], value) => settings.limits.idle_close = seconds(number(value)),
         (["limits", "cancelling"], value) => settings.limits.cancelling = value == "true",
         (["rules", "cold_from"], value) => settings.rules.cold_from = number(value),
@@ -55,13 +59,23 @@
             settings.rules.stop_sending_within = seconds(number(value));
         }
         (["counter", "present"], value) => settings.counter.present = value == "true",
-        (["counter", "counter_timeout"], value) => settings.counter.timeout = seconds(number(value)),
+        (["counter", "counter_timeout"], value) => {
+            settings.counter.timeout = seconds(number(value))
+        }
         (["counter", "units_top"], value) => settings.counter.most_units = number(value),
         (["plans", name, field], value) => {
-            plan(settings.plans.entry((*name).into()).or_default(), field, number(value));
+            plan(
+                settings.plans.entry((*name).into()).or_default(),
+                field,
+                number(value),
+            );
         }
         (["routes", name, field], value) => {
-            route(settings.routes.entry((*name).into()).or_default(), field, value);
+            route(
+                settings.routes.entry((*name).into()).or_default(),
+                field,
+                value,
+            );
         }
         _ => panic!("no such setting: {name} {value}"),
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -69,7 +69,12 @@
     }
     fn count(&mut self, name: CounterName, add: f64, _: Duration) {
         self.note(format!("count {} {add:+}", name.0));
-        self.0.borrow_mut().asked.entry(name.0).or_default().push_back(add);
+        self.0
+            .borrow_mut()
+            .asked
+            .entry(name.0)
+            .or_default()
+            .push_back(add);
     }
     fn wake(&mut self, token: WakeToken, at: Duration) {
         self.0.borrow_mut().wakes.push((at, token.0));
@@ -95,12 +100,15 @@
 }
 
 fn number(word: &str) -> f64 {
-    word.parse().unwrap_or_else(|_| panic!("'{word}' is no number"))
+    word.parse()
+        .unwrap_or_else(|_| panic!("'{word}' is no number"))
 }
 
 fn server(word: &str) -> Listed {
     let name = word.trim_end_matches(['!', '-']);
-    let (name, since) = name.split_once('@').map_or((name, None), |(name, at)| (name, Some(number(at))));
+    let (name, since) = name
+        .split_once('@')
+        .map_or((name, None), |(name, at)| (name, Some(number(at))));
     let (name, kind) = name.split_once('~').unwrap_or((name, ""));
     let (name, cell) = name.split_once('/').unwrap_or((name, "0"));
     let phase = match word.chars().last() {
@@ -122,18 +130,38 @@
 
 /// In the scenarios all clocks are one.
 fn list_time(now: Duration) -> ListTime {
-    ListTime { unix_now: UnixTime(now), since_last: None }
+    ListTime {
+        unix_now: UnixTime(now),
+        since_last: None,
+    }
 }
 
 impl Stage {
     fn go_to(&mut self, at: Duration) {
         let control = self.control.get_or_insert_with(|| {
-            Control::new(Rc::new(self.settings.clone()), 7, at, Box::new(self.seen.clone()))
+            Control::new(
+                Rc::new(self.settings.clone()),
+                7,
+                at,
+                Box::new(self.seen.clone()),
+            )
         });
         loop {
-            let next = self.seen.0.borrow().wakes.iter().filter(|wake| wake.0 <= at).min().copied();
+            let next = self
+                .seen
+                .0
+                .borrow()
+                .wakes
+                .iter()
+                .filter(|wake| wake.0 <= at)
+                .min()
+                .copied();
             let Some(wake) = next else { break };
-            self.seen.0.borrow_mut().wakes.retain(|other| *other != wake);
+            self.seen
+                .0
+                .borrow_mut()
+                .wakes
+                .retain(|other| *other != wake);
             control.tell_time(wake.0);
             control.woken(WakeToken(wake.1));
         }
@@ -142,7 +170,12 @@
     }
 
     fn name(&mut self, label: &str) -> CounterName {
-        CounterName(*self.labels.get(label).unwrap_or_else(|| panic!("label {label} was not seen yet")))
+        CounterName(
+            *self
+                .labels
+                .get(label)
+                .unwrap_or_else(|| panic!("label {label} was not seen yet")),
+        )
     }
 
     /// Compares an expected action with the next one seen; a new label takes the name it meets.
@@ -158,19 +191,30 @@
             if !self.labels.values().any(|known| *known == name) {
                 self.labels.entry(label.to_string()).or_insert(name);
             }
-            assert_eq!(self.labels.get(*label), Some(&name), "another name than {label}: {got}");
+            assert_eq!(
+                self.labels.get(*label),
+                Some(&name),
+                "another name than {label}: {got}"
+            );
         }
         let alike = |(wanted, got): (&&str, &&str)| {
             wanted == got || *wanted == "*" || self.labels.contains_key(*wanted)
         };
-        assert!(wanted.len() == words.len() && wanted.iter().zip(&words).all(alike), "got: {got}");
+        assert!(
+            wanted.len() == words.len() && wanted.iter().zip(&words).all(alike),
+            "got: {got}"
+        );
     }
 
     fn step(&mut self, words: &[&str]) {
         if let [">", wanted @ ..] = words {
             return self.expect(wanted);
         }
-        assert!(self.seen.0.borrow().actions.is_empty(), "not expected: {:?}", self.seen.0.borrow().actions);
+        assert!(
+            self.seen.0.borrow().actions.is_empty(),
+            "not expected: {:?}",
+            self.seen.0.borrow().actions
+        );
         match words {
             ["use", file] => {
                 let path = format!("tests/scenarios/{file}.set");
@@ -188,7 +232,13 @@
                 return control.reconfigure(Rc::new(settings));
             }
             ["asleep"] => {
-                let woken = self.seen.0.borrow().wakes.iter().any(|wake| wake.1 == DUE_TOKEN.0);
+                let woken = self
+                    .seen
+                    .0
+                    .borrow()
+                    .wakes
+                    .iter()
+                    .any(|wake| wake.1 == DUE_TOKEN.0);
                 return assert!(!woken, "a wake is set");
             }
             ["wait"] => {
@@ -206,24 +256,36 @@
         };
         let control = self.control.as_mut().expect("'at' comes first");
         match (words, counter) {
-            (["list", servers @ ..], _) => {
-                control.listed(true, list_time(self.now), servers.iter().map(|word| server(word)).collect())
-            }
-            (["change", servers @ ..], _) => {
-                control.listed(false, list_time(self.now), servers.iter().map(|word| server(word)).collect())
+            (["list", servers @ ..], _) => control.listed(
+                true,
+                list_time(self.now),
+                servers.iter().map(|word| server(word)).collect(),
+            ),
+            (["change", servers @ ..], _) => control.listed(
+                false,
+                list_time(self.now),
+                servers.iter().map(|word| server(word)).collect(),
+            ),
+            (["call", call, customer, plan, route, timeout, units @ ..], _) => {
+                control.arrived(Arrival {
+                    call: (*call).into(),
+                    customer: (*customer).into(),
+                    plan: (*plan).into(),
+                    route: (*route).into(),
+                    units: units.first().map_or(1.0, |units| number(units)),
+                    until: self.now + Duration::from_secs_f64(number(timeout)),
+                    first: 0,
+                    spread: 2,
+                })
             }
-            (["call", call, customer, plan, route, timeout, units @ ..], _) => control.arrived(Arrival {
-                call: (*call).into(),
-                customer: (*customer).into(),
-                plan: (*plan).into(),
-                route: (*route).into(),
-                units: units.first().map_or(1.0, |units| number(units)),
-                until: self.now + Duration::from_secs_f64(number(timeout)),
-                first: 0,
-                spread: 2,
-            }),
             ([how, _, total @ ..], Some(name)) => loop {
-                let add = self.seen.0.borrow_mut().asked.get_mut(&name.0).and_then(VecDeque::pop_front);
+                let add = self
+                    .seen
+                    .0
+                    .borrow_mut()
+                    .asked
+                    .get_mut(&name.0)
+                    .and_then(VecDeque::pop_front);
                 match add.expect("an open call on this name") {
                     given if given < 0.0 => control.counted(name, Counted::Total(0.0)),
                     _ if *how == "refused" => break control.counted(name, Counted::NotAdded),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -47,7 +47,10 @@
 
     /// The final answer.
     fn answered(&mut self, call: &CallId, harmless: bool) {
-        let open = self.open.remove(call).expect("one answer, to an open API call");
+        let open = self
+            .open
+            .remove(call)
+            .expect("one answer, to an open API call");
         assert!(self.now <= open.until, "answered in time");
         let may_have_run = open.ran.is_some() || open.out.is_some();
         let all = self.settings.route(&open.route).group == Group::All;
@@ -56,7 +59,10 @@
             Repeat::Tokened => !may_have_run || all,
             Repeat::NonIdempotent => !may_have_run,
         };
-        assert!(permitted || !harmless, "told that it is harmless to come again");
+        assert!(
+            permitted || !harmless,
+            "told that it is harmless to come again"
+        );
     }
 }
 
@@ -64,18 +70,28 @@
     fn send(&mut self, call: &CallId, server: &ServerId, timeout: Duration, whole_by: Duration) {
         let seen = &mut *self.0.borrow_mut();
         let now = seen.now;
-        let open = seen.open.get(call).expect("nothing is sent for an API call that is over").clone();
+        let open = seen
+            .open
+            .get(call)
+            .expect("nothing is sent for an API call that is over")
+            .clone();
         assert!(open.out.is_none(), "one try out at a time");
         let (ready, cell) = *seen.servers.get(server).expect("a server of the list");
         assert!(ready, "a server that drains gets nothing new");
-        assert!(now + timeout <= open.until && whole_by > now, "there is time left");
+        assert!(
+            now + timeout <= open.until && whole_by > now,
+            "there is time left"
+        );
         let memory = seen.settings.route(&open.route).memory_span;
         if let Some((at, first)) = open.ran {
             let lapses = at + memory;
             match seen.effect(&open) {
                 Repeat::Idempotent => (),
                 Repeat::Tokened => {
-                    assert!(now < lapses && whole_by <= lapses, "a repeat that is remembered");
+                    assert!(
+                        now < lapses && whole_by <= lapses,
+                        "a repeat that is remembered"
+                    );
                     let all = seen.settings.route(&open.route).group == Group::All;
                     assert!(all || first == cell, "a repeat where it is remembered");
                 }
@@ -173,7 +189,8 @@
         }
     }
     for route in ROUTES {
-        let repeat = ["idempotent", "tokened", "non-idempotent", "other"][rng.generate_range(0..4usize)];
+        let repeat =
+            ["idempotent", "tokened", "non-idempotent", "other"][rng.generate_range(0..4usize)];
         let group = ["all", "cell", "zone", ""][rng.generate_range(0..4usize)];
         named_settings::set(&mut settings, &format!("routes.{route}.repeat"), repeat);
         named_settings::set(&mut settings, &format!("routes.{route}.group"), group);
@@ -199,7 +216,12 @@
         let (seen, start) = (Referee::default(), Duration::from_secs(1_700_000_000));
         (seen.0.borrow_mut().now, seen.0.borrow_mut().settings) = (start, settings.clone());
         let control = Control::new(Rc::new(settings), seed, start, Box::new(seen.clone()));
-        Day { seen, control, rng, calls: 0 }
+        Day {
+            seen,
+            control,
+            rng,
+            calls: 0,
+        }
     }
 
     /// Moves the clock, waking the gateway on the way.
@@ -213,7 +235,8 @@
                     .enumerate()
                     .filter(|(_, wake)| wake.0 <= until)
                     .min_by_key(|(_, wake)| **wake);
-                due.map(|(place, _)| place).map(|place| wakes.swap_remove(place))
+                due.map(|(place, _)| place)
+                    .map(|place| wakes.swap_remove(place))
             };
             let Some((at, token)) = next else { break };
             self.tell_time(at);
@@ -229,13 +252,25 @@
     }
 
     fn list(&mut self) {
-        let (whole, now) = (self.rng.generate_range(0..2u32) == 0, self.seen.0.borrow().now);
+        let (whole, now) = (
+            self.rng.generate_range(0..2u32) == 0,
+            self.seen.0.borrow().now,
+        );
         let mut lines = Vec::new();
         for number in 0..self.rng.generate_range(1..6u32) {
-            let phase = [Phase::Ready, Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone]
-                [self.rng.generate_range(0..5usize)];
-            let started =
-                [None, Some(now), Some(now - Duration::from_secs(5)), Some(now + Duration::from_secs(9))];
+            let phase = [
+                Phase::Ready,
+                Phase::Ready,
+                Phase::Ready,
+                Phase::Draining,
+                Phase::Gone,
+            ][self.rng.generate_range(0..5usize)];
+            let started = [
+                None,
+                Some(now),
+                Some(now - Duration::from_secs(5)),
+                Some(now + Duration::from_secs(9)),
+            ];
             // Zones are as cells here, so that a route's group is either.
             let cell = self.rng.generate_range(0..3u64);
             lines.push(Listed {
@@ -257,7 +292,10 @@
                 servers.insert(line.server.clone(), (line.phase == Phase::Ready, line.cell));
             }
         }
-        let time = ListTime { unix_now: UnixTime(now), since_last: None };
+        let time = ListTime {
+            unix_now: UnixTime(now),
+            since_last: None,
+        };
         self.control.listed(whole, time, lines);
     }
 
@@ -268,7 +306,14 @@
         let route: RouteName = ROUTES[rng.generate_range(0..4usize)].into();
         let now = self.seen.0.borrow().now;
         let until = now + Duration::from_millis([1, 50, 600, 3000][rng.generate_range(0..4usize)]);
-        let open = Open { route: route.clone(), until, out: None, tries: 0, ran: None, sent: (now, 0) };
+        let open = Open {
+            route: route.clone(),
+            until,
+            out: None,
+            tries: 0,
+            ran: None,
+            sent: (now, 0),
+        };
         self.seen.0.borrow_mut().open.insert(call.clone(), open);
         let arrival = Arrival {
             call,
@@ -289,7 +334,8 @@
             (!counts.is_empty()).then(|| counts.remove(0))
         };
         let Some(name) = next else { return };
-        let total = [0.0, 1.0, 3.0, 5.0, -1e9, 1e18, 1e308, f64::MIN][self.rng.generate_range(0..8usize)];
+        let total =
+            [0.0, 1.0, 3.0, 5.0, -1e9, 1e18, 1e308, f64::MIN][self.rng.generate_range(0..8usize)];
         let counted = match self.rng.generate_range(0..8u32) {
             0 => Counted::Added,
             1 => Counted::NotAdded,
@@ -300,13 +346,24 @@
     }
 
     fn ended(&mut self) {
-        let place = self.rng.generate_range(0..self.seen.0.borrow().out.len().max(1));
+        let place = self
+            .rng
+            .generate_range(0..self.seen.0.borrow().out.len().max(1));
         if place >= self.seen.0.borrow().out.len() {
             return;
         }
         let (call, number) = self.seen.0.borrow_mut().out.swap_remove(place);
         use Outcome::*;
-        let all = [Proxied, ServerError, TurnedAway, TimedOut, NoConnection, Broken, Cancelled, NotSent];
+        let all = [
+            Proxied,
+            ServerError,
+            TurnedAway,
+            TimedOut,
+            NoConnection,
+            Broken,
+            Cancelled,
+            NotSent,
+        ];
         let outcome = all[self.rng.generate_range(0..all.len())];
         let mut closed = true;
         if let Some(open) = self.seen.0.borrow_mut().open.get_mut(&call) {
@@ -323,7 +380,17 @@
         let settled = [None, Some(1.0), Some(1e6)][self.rng.generate_range(0..3usize)];
         let latency = Duration::from_millis(self.rng.generate_range(0..900u64));
         let load = BTreeMap::new();
-        self.control.ended(&call, number, Ended { outcome, latency, closed, settled, load });
+        self.control.ended(
+            &call,
+            number,
+            Ended {
+                outcome,
+                latency,
+                closed,
+                settled,
+                load,
+            },
+        );
     }
 
     fn gone(&mut self) {
@@ -359,6 +426,10 @@
         }
         day.go_on(Duration::from_secs(4));
         let open = &day.seen.0.borrow().open;
-        assert!(open.is_empty(), "day {seed}: never answered: {:?}", open.keys().collect::<Vec<_>>());
+        assert!(
+            open.is_empty(),
+            "day {seed}: never answered: {:?}",
+            open.keys().collect::<Vec<_>>()
+        );
     }
 }
--- a/tool/src/lab.rs
+++ b/tool/src/lab.rs
@@ -206,19 +206,30 @@
 }
 
 fn read(path: &Path) -> Result<Experiment, Short> {
-    Experiment::load(&path.to_string_lossy()).map_err(|complaint| Short::Input(complaint.to_string()))
+    Experiment::load(&path.to_string_lossy())
+        .map_err(|complaint| Short::Input(complaint.to_string()))
 }
 
 /// The edge node that is played: a program of its own, or the one built into this command.
 fn edge(named: Option<PathBuf>) -> Result<Program, Short> {
     if let Some(named) = named {
         if !named.is_file() {
-            return Err(Short::Input(format!("{}: no such program", named.display())));
+            return Err(Short::Input(format!(
+                "{}: no such program",
+                named.display()
+            )));
         }
-        return Ok(Program { path: named, ..Program::default() });
+        return Ok(Program {
+            path: named,
+            ..Program::default()
+        });
     }
     let path = std::env::current_exe().map_err(|error| Short::Input(error.to_string()))?;
-    Ok(Program { path, arguments: vec!["edge".into()], ..Program::default() })
+    Ok(Program {
+        path,
+        arguments: vec!["edge".into()],
+        ..Program::default()
+    })
 }
 
 fn beside(file: &Path) -> PathBuf {
@@ -321,7 +332,12 @@
     let results = loopback::play(&experiment, &variant, it.seed, terms)?;
     summary(&results);
     if let Some(file) = it.report {
-        write_page(&file, &experiment.title, &experiment.about, std::slice::from_ref(&results))?;
+        write_page(
+            &file,
+            &experiment.title,
+            &experiment.about,
+            std::slice::from_ref(&results),
+        )?;
         slog::info!(log, "report written"; "file" => %file.display());
     }
     verdict(&[results])
@@ -330,14 +346,20 @@
 fn bar(length: usize) -> ProgressBar {
     // Hidden by itself where standard error is no terminal.
     let bar = ProgressBar::new(length as u64);
-    let style = ProgressStyle::with_template("{bar:30} {pos}/{len} days, {elapsed} gone, {eta} to go {msg}");
+    let style = ProgressStyle::with_template(
+        "{bar:30} {pos}/{len} days, {elapsed} gone, {eta} to go {msg}",
+    );
     bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
 fn jobs(asked: Option<usize>, engine: Engine) -> usize {
     let cores = std::thread::available_parallelism().map_or(2, |cores| cores.get());
     // Loopback keeps a core for the stand-ins and one for the gateways.
-    asked.unwrap_or(if engine == Engine::Loopback { (cores / 3).max(1) } else { cores })
+    asked.unwrap_or(if engine == Engine::Loopback {
+        (cores / 3).max(1)
+    } else {
+        cores
+    })
 }
 
 fn play(it: Run, log: &Logger) -> Result<(), Short> {
@@ -352,7 +374,8 @@
         again: it.again,
         beside: beside(&it.file),
     };
-    let count = experiment.sides().len() * ways.seeds.as_ref().map_or(experiment.seeds.len(), Vec::len);
+    let count =
+        experiment.sides().len() * ways.seeds.as_ref().map_or(experiment.seeds.len(), Vec::len);
     let bar = bar(count);
     let told = |_: &Result<Results, String>| bar.inc(1);
     let results = runs::all(&experiment, &ways, &told)?;
@@ -360,7 +383,11 @@
     println!(
         "{} ({})",
         experiment.title,
-        if engine == Engine::Loopback { "loopback" } else { "simulated time" }
+        if engine == Engine::Loopback {
+            "loopback"
+        } else {
+            "simulated time"
+        }
     );
     match results.as_slice() {
         [one] => summary(one),
@@ -383,17 +410,32 @@
         let rows = results[0].figures();
         for (place, (figure, _)) in rows.iter().enumerate() {
             let values: Vec<f64> = results.iter().map(|it| it.figures()[place].1).collect();
-            println!("{figure:>22}  {}  ({})", stats::Interval::of(&values), names.join(", "));
+            println!(
+                "{figure:>22}  {}  ({})",
+                stats::Interval::of(&values),
+                names.join(", ")
+            );
         }
     }
     for it in comparisons {
         println!("\n{}: {} against {}", it.engine, it.other, it.base);
-        println!("{:>22}  {:>10} {:>10}  difference, 95%", "", cut(&it.base), cut(&it.other));
+        println!(
+            "{:>22}  {:>10} {:>10}  difference, 95%",
+            "",
+            cut(&it.base),
+            cut(&it.other)
+        );
         for row in &it.rows {
-            println!("{:>22}  {:>10.4} {:>10.4}  {}", row.figure, row.base, row.other, row.difference);
+            println!(
+                "{:>22}  {:>10.4} {:>10.4}  {}",
+                row.figure, row.base, row.other, row.difference
+            );
         }
         if it.late > 0 {
-            println!("{} pairs were left out: the laboratory itself ran late", it.late);
+            println!(
+                "{} pairs were left out: the laboratory itself ran late",
+                it.late
+            );
         }
     }
 }
@@ -414,13 +456,20 @@
     let results = gathered(&it.results)?;
     table(&results);
     verdict(&results)?;
-    let Some(most) = it.most_drop else { return Ok(()) };
+    let Some(most) = it.most_drop else {
+        return Ok(());
+    };
     for found in stats::compare(&results) {
         let net = found.rows.iter().find(|row| row.figure == "net");
-        let Some(net) = net else { return Err(Short::Fell("nothing is left to compare".into())) };
+        let Some(net) = net else {
+            return Err(Short::Fell("nothing is left to compare".into()));
+        };
         let best = net.difference.mean + net.difference.off.unwrap_or(0.0);
         if best < -most {
-            let why = format!("{}: net {} against {}", found.other, net.difference, found.base);
+            let why = format!(
+                "{}: net {} against {}",
+                found.other, net.difference, found.base
+            );
             return Err(Short::Fell(why));
         }
     }
@@ -472,7 +521,9 @@
         set.map_err(|error| Short::Input(error.to_string()))?;
     }
     slog::info!(log, "recording until Ctrl-C"; "listen" => %it.listen, "to" => %it.to);
-    let most = it.seconds.map(|seconds| Duration::from_secs_f64(seconds.clamp(0.0, 1e9)));
+    let most = it
+        .seconds
+        .map(|seconds| Duration::from_secs_f64(seconds.clamp(0.0, 1e9)));
     loopback::tap(it.listen, it.to, &it.out, most, &stop)?;
     slog::info!(log, "recorded"; "file" => %it.out.display());
     Ok(())
@@ -484,7 +535,10 @@
     for file in &it.files {
         let experiment = read(file)?;
         if experiment.sides().len() < 2 {
-            return Err(Short::Input(format!("{}: expected two variants or more", file.display())));
+            return Err(Short::Input(format!(
+                "{}: expected two variants or more",
+                file.display()
+            )));
         }
         let ways = Ways {
             jobs: jobs(it.jobs, Engine::Loopback),
@@ -495,7 +549,13 @@
         };
         let bar = bar(experiment.sides().len() * (it.model_seeds + it.seeds));
         let told = |_: &Result<Results, String>| bar.inc(1);
-        all.extend(agree::trials(&experiment, &ways, (it.model_seeds, it.seeds), &it.figure, &told)?);
+        all.extend(agree::trials(
+            &experiment,
+            &ways,
+            (it.model_seeds, it.seeds),
+            &it.figure,
+            &told,
+        )?);
         bar.finish_and_clear();
     }
     let held = all.iter().filter(|trial| trial.holds()).count();
@@ -507,7 +567,10 @@
         "holds"
     );
     for trial in &all {
-        let name: String = format!("{}: {}", trial.experiment, trial.other).chars().take(44).collect();
+        let name: String = format!("{}: {}", trial.experiment, trial.other)
+            .chars()
+            .take(44)
+            .collect();
         let model = format!("{:+.3} ± {:.3}", trial.model, trial.off);
         let holds = if trial.holds() { "yes" } else { "no" };
         println!("{name:<44} {model:>18} {:>+9.3} {holds:>6}", trial.measured);
@@ -515,28 +578,48 @@
     println!("{held} of {} hold", all.len());
     if let Some(out) = &it.out {
         let lines: Result<Vec<String>, _> = all.iter().map(serde_json::to_string).collect();
-        let text = lines.map_err(|error| Short::Input(error.to_string()))?.join("\n") + "\n";
-        std::fs::write(out, text).map_err(|error| Short::Input(format!("{}: {error}", out.display())))?;
+        let text = lines
+            .map_err(|error| Short::Input(error.to_string()))?
+            .join("\n")
+            + "\n";
+        std::fs::write(out, text)
+            .map_err(|error| Short::Input(format!("{}: {error}", out.display())))?;
     }
     match held as f64 >= it.wanted * all.len() as f64 {
         true => Ok(()),
-        false => {
-            Err(Short::Fell(format!("{held} of {} trials hold, {:.0}% wanted", all.len(), it.wanted * 100.0)))
-        }
+        false => Err(Short::Fell(format!(
+            "{held} of {} trials hold, {:.0}% wanted",
+            all.len(),
+            it.wanted * 100.0
+        ))),
     }
 }
 
 fn load(it: &Bears) -> Result<(), Short> {
-    let ways = Ways { edge: edge(it.edge.clone())?, jobs: 1, ..Ways::default() };
+    let ways = Ways {
+        edge: edge(it.edge.clone())?,
+        jobs: 1,
+        ..Ways::default()
+    };
     println!(
         "{:>9} {:>8} {:>9} {:>9} {:>9} {:>10} {:>8}",
         "calls/s", "proxied", "p50 ms", "p99 ms", "cpu/call", "lab late", "borne"
     );
-    let rest = runs::one(&bears::day(0.0, it.seconds, !it.no_counter), &Variant::default(), 1, &ways)?;
+    let rest = runs::one(
+        &bears::day(0.0, it.seconds, !it.no_counter),
+        &Variant::default(),
+        1,
+        &ways,
+    )?;
     let mut told = |step: &bears::Step| {
         let all = &step.results;
-        let each =
-            all.gateway_cpu / (all.by_second.iter().map(|second| second.asked).sum::<u64>().max(1) as f64);
+        let each = all.gateway_cpu
+            / (all
+                .by_second
+                .iter()
+                .map(|second| second.asked)
+                .sum::<u64>()
+                .max(1) as f64);
         println!(
             "{:>9.0} {:>8} {:>9.2} {:>9.2} {:>6.0} us {:>7.1} ms {:>8}",
             step.calls,
@@ -549,7 +632,10 @@
         );
     };
     let borne = bears::search(&ways, it.p99_ms, !it.no_counter, it.seconds, &mut told)?;
-    println!("borne at p99 under {} ms: {borne:.0} API calls a second", it.p99_ms);
+    println!(
+        "borne at p99 under {} ms: {borne:.0} API calls a second",
+        it.p99_ms
+    );
     println!(
         "at rest: {:.2}% of a core, {:.1} MB",
         100.0 * rest.gateway_cpu / rest.took.max(1.0),
@@ -565,7 +651,8 @@
     );
     for gateways in &it.gateways {
         let text = format!("title = \"Growing\"\nseconds = {:?}", it.seconds);
-        let mut day = Experiment::read("growing", &text).map_err(|wrong| Short::Input(wrong.to_string()))?;
+        let mut day =
+            Experiment::read("growing", &text).map_err(|wrong| Short::Input(wrong.to_string()))?;
         day.fleet.gateways = *gateways;
         day.fleet.servers = (gateways * 2 / 3).max(1);
         day.load.calls = it.calls * *gateways as f64 * 0.5;
--- a/tool/src/main.rs
+++ b/tool/src/main.rs
@@ -10,7 +10,12 @@
 
 /// A front door that meters many customers' use of one shared service.
 #[derive(Parser)]
-#[command(name = "wellcrank", version, propagate_version = true, max_term_width = 100)]
+#[command(
+    name = "wellcrank",
+    version,
+    propagate_version = true,
+    max_term_width = 100
+)]
 #[command(
     after_help = "Exit codes: 0 done; 1 fell short: a rule broken, a crash, a figure below what was wanted; \
                         2 bad input."
@@ -56,7 +61,12 @@
     let drain: Box<dyn Drain<Ok = (), Err = slog::Never> + Send> = match format {
         LogFormat::Text => {
             let plain = slog_term::PlainSyncDecorator::new(std::io::stderr());
-            Box::new(slog_term::FullFormat::new(plain).use_utc_timestamp().build().ignore_res())
+            Box::new(
+                slog_term::FullFormat::new(plain)
+                    .use_utc_timestamp()
+                    .build()
+                    .ignore_res(),
+            )
         }
         LogFormat::Json => Box::new(slog_json::Json::default(std::io::stderr()).ignore_res()),
     };
--- a/tool/tests/scenarios.rs
+++ b/tool/tests/scenarios.rs
@@ -50,11 +50,17 @@
 /// Processes whose parent is the given one, by number.
 fn children(of: u32) -> Vec<String> {
     let all = fs::read_dir("/proc").expect("processes").flatten();
-    let numbers =
-        all.filter_map(|it| it.file_name().into_string().ok()).filter(|it| it.parse::<u32>().is_ok());
+    let numbers = all
+        .filter_map(|it| it.file_name().into_string().ok())
+        .filter(|it| it.parse::<u32>().is_ok());
     let parent = |it: &String| {
         let stat = fs::read_to_string(format!("/proc/{it}/stat")).ok()?;
-        stat.rsplit(')').next()?.split_whitespace().nth(1)?.parse::<u32>().ok()
+        stat.rsplit(')')
+            .next()?
+            .split_whitespace()
+            .nth(1)?
+            .parse::<u32>()
+            .ok()
     };
     numbers.filter(|it| parent(it) == Some(of)).collect()
 }
@@ -64,8 +70,8 @@
         self.folder
             .get_or_insert_with(|| {
                 let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
-                let path =
-                    std::env::temp_dir().join(format!("wellcrank-tool-{}-{number}", std::process::id()));
+                let path = std::env::temp_dir()
+                    .join(format!("wellcrank-tool-{}-{number}", std::process::id()));
                 fs::create_dir_all(&path).expect("a folder");
                 path
             })
@@ -74,14 +80,21 @@
 
     fn command(&mut self, words: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_wellcrank"));
-        command.args(words).current_dir(self.folder()).stdin(Stdio::null());
+        command
+            .args(words)
+            .current_dir(self.folder())
+            .stdin(Stdio::null());
         command
     }
 
     fn until(&mut self, what: &str, mut ask: impl FnMut(&mut Stage) -> bool) {
         let start = Instant::now();
         while !ask(self) {
-            assert!(start.elapsed() < PATIENCE, "{what}: {}", self.heard.lock().expect("heard"));
+            assert!(
+                start.elapsed() < PATIENCE,
+                "{what}: {}",
+                self.heard.lock().expect("heard")
+            );
             sleep(Duration::from_millis(10));
         }
     }
@@ -89,7 +102,10 @@
     fn step(&mut self, line: &str) {
         if let Some(text) = line.strip_prefix('|') {
             let path = self.file.clone().expect("'file' comes first");
-            let mut file = fs::OpenOptions::new().append(true).open(path).expect("the file");
+            let mut file = fs::OpenOptions::new()
+                .append(true)
+                .open(path)
+                .expect("the file");
             return writeln!(file, "{}", text.strip_prefix(' ').unwrap_or(text)).expect("a line");
         }
         let words: Vec<&str> = line.split_whitespace().collect();
@@ -112,7 +128,10 @@
             }
             ["exit", code] => {
                 let (found, said) = self.ended.as_ref().expect("it has ended");
-                assert!(*found == code.parse::<i32>().expect("a number"), "{found}: {said}");
+                assert!(
+                    *found == code.parse::<i32>().expect("a number"),
+                    "{found}: {said}"
+                );
             }
             ["says", ..] | ["quiet", ..] => {
                 let (_, said) = self.ended.as_ref().expect("it has ended");
@@ -130,37 +149,56 @@
                     .stderr(Stdio::null())
                     .spawn()
                     .expect("it starts");
-                let (mut out, heard) = (child.stdout.take().expect("its output"), self.heard.clone());
+                let (mut out, heard) =
+                    (child.stdout.take().expect("its output"), self.heard.clone());
                 spawn(move || {
                     let mut bytes = [0; 4096];
                     while let Ok(count @ 1..) = out.read(&mut bytes) {
-                        heard.lock().expect("heard").push_str(&String::from_utf8_lossy(&bytes[..count]));
+                        heard
+                            .lock()
+                            .expect("heard")
+                            .push_str(&String::from_utf8_lossy(&bytes[..count]));
                     }
                 });
                 self.running = Some(child);
             }
             ["hears", ..] => {
                 let wanted = rest(1).to_string();
-                self.until(&wanted.clone(), |stage| stage.heard.lock().expect("heard").contains(&wanted));
+                self.until(&wanted.clone(), |stage| {
+                    stage.heard.lock().expect("heard").contains(&wanted)
+                });
             }
             ["interrupt"] => {
                 let id = self.running.as_ref().expect("it runs").id();
                 self.started = children(id);
-                let sent = Command::new("kill").args(["-INT", &id.to_string()]).status().expect("kill");
+                let sent = Command::new("kill")
+                    .args(["-INT", &id.to_string()])
+                    .status()
+                    .expect("kill");
                 assert!(sent.success());
                 self.until("its end", |stage| {
                     let child = stage.running.as_mut().expect("it runs");
-                    let Some(status) = child.try_wait().expect("its state") else { return false };
-                    stage.ended =
-                        Some((status.code().unwrap_or(-1), stage.heard.lock().expect("heard").clone()));
+                    let Some(status) = child.try_wait().expect("its state") else {
+                        return false;
+                    };
+                    stage.ended = Some((
+                        status.code().unwrap_or(-1),
+                        stage.heard.lock().expect("heard").clone(),
+                    ));
                     true
                 });
                 self.running = None;
             }
             ["alone", least] => {
-                assert!(self.started.len() >= least.parse().expect("a number"), "it had started more");
-                let left: Vec<&String> =
-                    self.started.iter().filter(|it| PathBuf::from(format!("/proc/{it}")).exists()).collect();
+                assert!(
+                    self.started.len() >= least.parse().expect("a number"),
+                    "it had started more"
+                );
+                let left: Vec<&String> = self
+                    .started
+                    .iter()
+                    .filter(|it| PathBuf::from(format!("/proc/{it}")).exists())
+                    .collect();
                 assert!(left.is_empty(), "{left:?}");
             }
             ["tapped", count] => self.tapped(count.parse().expect("a number")),
@@ -171,8 +209,13 @@
     /// Stands behind a tap as a gateway that answers at once, and before it as a client.
     fn tapped(&mut self, count: usize) {
         let gateway = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let (to, listen) = (gateway.local_addr().expect("an address").to_string(), free());
-        self.step(&format!("start lab record --listen {listen} --to {to} --out asked.zst"));
+        let (to, listen) = (
+            gateway.local_addr().expect("an address").to_string(),
+            free(),
+        );
+        self.step(&format!(
+            "start lab record --listen {listen} --to {to} --out asked.zst"
+        ));
         spawn(move || {
             for socket in gateway.incoming() {
                 let mut socket = socket.expect("a connection");
@@ -199,7 +242,10 @@
             );
             // In two pieces: what is recorded does not hang on how it comes.
             let (one, two) = command.as_bytes().split_at(17);
-            client.write_all(one).and_then(|()| client.flush()).expect("the tap reads");
+            client
+                .write_all(one)
+                .and_then(|()| client.flush())
+                .expect("the tap reads");
             sleep(Duration::from_millis(5));
             client.write_all(two).expect("the tap reads");
             let mut answer = [0; 9];
--- a/tool/tests/soak.rs
+++ b/tool/tests/soak.rs
@@ -48,7 +48,10 @@
 ];
 
 /// Troubles in which processes start again: what they read of a clock that is ahead they can't tell from the time.
-const RESTARTS: [&str; 2] = ["kind = 'gateways-restart'\nshare = 1.0", "kind = 'gateways-kill'\nshare = 0.5"];
+const RESTARTS: [&str; 2] = [
+    "kind = 'gateways-restart'\nshare = 1.0",
+    "kind = 'gateways-kill'\nshare = 0.5",
+];
 
 /// A crowd: more clients than the node has descriptors for.
 const CROWD: &str = "kind = 'bad-clients'\nfactor = 300";
@@ -109,7 +112,9 @@
     let ahead = rng.generate_range(0..3u32) == 0;
     let sizes = [1, 3, 30, 3600];
     let step = sizes[rng.generate_range(0..sizes.len())] * if ahead { 1 } else { -1 };
-    let mut troubles: Vec<&str> = (0..4).map(|_| TROUBLES[rng.generate_range(0..TROUBLES.len())]).collect();
+    let mut troubles: Vec<&str> = (0..4)
+        .map(|_| TROUBLES[rng.generate_range(0..TROUBLES.len())])
+        .collect();
     // A configuration in quick succession of another one.
     troubles.extend([TROUBLES[16]; 2]);
     if !ahead {
@@ -131,10 +136,16 @@
         text.push_str(SHORT_ROUTES);
     }
     for trouble in troubles {
-        let (at, lasts) = (0.5 + 5.0 * rng.generate::<f64>(), 0.3 + 2.5 * rng.generate::<f64>());
-        text.push_str(&format!("[[troubles]]\nat = {at:.3}\nfor = {lasts:.3}\n{trouble}\n"));
+        let (at, lasts) = (
+            0.5 + 5.0 * rng.generate::<f64>(),
+            0.3 + 2.5 * rng.generate::<f64>(),
+        );
+        text.push_str(&format!(
+            "[[troubles]]\nat = {at:.3}\nfor = {lasts:.3}\n{trouble}\n"
+        ));
     }
-    let experiment = Experiment::read("soak", &text).unwrap_or_else(|wrong| panic!("{wrong}\n{text}"));
+    let experiment =
+        Experiment::read("soak", &text).unwrap_or_else(|wrong| panic!("{wrong}\n{text}"));
     Day { experiment, step }
 }
 
@@ -147,7 +158,11 @@
         turn += 1;
         let (call, error) = FAILURES[rng.generate_range(0..FAILURES.len())];
         faults.fail(call, error, rng.generate_range(1..4i64));
-        faults.pieces(if rng.generate_range(0..3u32) == 0 { rng.generate_range(1..90i64) } else { 0 });
+        faults.pieces(if rng.generate_range(0..3u32) == 0 {
+            rng.generate_range(1..90i64)
+        } else {
+            0
+        });
         faults.hold_up(150, i64::from(turn % 8 == 0));
         // There and back, and there again: a node that is started anew goes on under another clock.
         faults.step_clock(if turn % 20 < 10 { 0 } else { step });
@@ -162,11 +177,16 @@
         arguments: vec!["edge".into()],
         environment: faults.environment(),
     };
-    let logs = std::env::var_os("SOAK_LOGS").map(|folder| PathBuf::from(folder).join(seed.to_string()));
+    let logs =
+        std::env::var_os("SOAK_LOGS").map(|folder| PathBuf::from(folder).join(seed.to_string()));
     let over = AtomicBool::new(false);
     std::thread::scope(|scope| {
         scope.spawn(|| trouble(&faults, seed, step, &over));
-        let terms = loopback::Terms { edge, logs, ..Default::default() };
+        let terms = loopback::Terms {
+            edge,
+            logs,
+            ..Default::default()
+        };
         let played = loopback::play(&experiment, &Variant::default(), seed, terms);
         over.store(true, Ordering::Relaxed);
         played
@@ -177,7 +197,9 @@
 /// nothing of the program, and is played again; on a machine that is never in time it counts as it is.
 fn complaint(seed: u64) -> Option<String> {
     let late = |played: &Result<Results, String>| {
-        played.as_ref().is_ok_and(|it| !it.sound() && it.lateness.worst_ms > LATE_MS)
+        played
+            .as_ref()
+            .is_ok_and(|it| !it.sound() && it.lateness.worst_ms > LATE_MS)
     };
     let mut played = play(seed);
     for _ in 1..TIMES {
@@ -191,16 +213,28 @@
         Err(why) => Some(format!("seed {seed}: not played: {why}")),
         Ok(results) if results.sound() && results.bad_clients.0 == 0 => None,
         Ok(results) => {
-            let broken: Vec<String> = results.broken.iter().take(6).map(|it| format!("\n  {it}")).collect();
+            let broken: Vec<String> = results
+                .broken
+                .iter()
+                .take(6)
+                .map(|it| format!("\n  {it}"))
+                .collect();
             let (crashes, bad) = (&results.crashes, results.bad_clients);
-            Some(format!("seed {seed}: bad clients {bad:?}, crashes {crashes:?}{}", broken.concat()))
+            Some(format!(
+                "seed {seed}: bad clients {bad:?}, crashes {crashes:?}{}",
+                broken.concat()
+            ))
         }
     }
 }
 
 fn seeds() -> Range<u64> {
-    let Ok(text) = std::env::var("SOAK_SEEDS") else { return SHORT };
-    let parts = text.split_once("..").and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
+    let Ok(text) = std::env::var("SOAK_SEEDS") else {
+        return SHORT;
+    };
+    let parts = text
+        .split_once("..")
+        .and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
     parts.unwrap_or_else(|| panic!("SOAK_SEEDS is {text:?}, expected such as 1..60"))
 }
 
