--- a/edge/src/calls.rs
+++ b/edge/src/calls.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wellcrank::port::*;
-use wellcrank::settings::{Repeat, Settings};
+use wellcrank::settings::{Idempotency, Settings};
 
 /// A client's command, checked once: its bytes, where its words stand, and what the decisions need of it.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
 
 /// The most units that an API call may take, asked for or settled; a bound also where the settings state none.
 pub fn most_units(settings: &Settings) -> f64 {
-    Some(settings.counter.most_units)
+    Some(settings.counter.max_request_units)
         .filter(|top| *top > 0.0)
         .unwrap_or(1e6)
 }
@@ -119,12 +119,12 @@
             }
         }
         let (route, plan): (RouteName, PlanName) = (route.into(), plan.into());
-        match settings.routes.get(&route).map(|route| route.repeat) {
+        match settings.routes.get(&route).map(|route| route.idempotency) {
             None => return Err("no such route"),
-            Some(repeat) if query != (repeat == Repeat::Idempotent) => {
+            Some(repeat) if query != (repeat == Idempotency::Idempotent) => {
                 return Err("not the command for this route");
             }
-            Some(Repeat::Tokened) if key.is_empty() => return Err("no key"),
+            Some(Idempotency::Keyed) if key.is_empty() => return Err("no key"),
             _ => (),
         }
         if !settings.plans.contains_key(&plan) {
@@ -228,11 +228,11 @@
     numbers: BTreeSet<u64>,
 }
 
-pub fn id(serial: Serial) -> CallId {
+pub fn id(serial: Serial) -> RequestId {
     serial.to_string().as_str().into()
 }
 
-fn serial(id: &CallId) -> Serial {
+fn serial(id: &RequestId) -> Serial {
     id.0.parse().unwrap_or_default()
 }
 
@@ -251,38 +251,38 @@
         self.open.insert(serial, open);
     }
 
-    pub fn get(&mut self, call: &CallId) -> Option<&mut Open> {
+    pub fn get(&mut self, call: &RequestId) -> Option<&mut Open> {
         self.open.get_mut(&serial(call))
     }
 
     /// Not answered yet, whether or not its client has ended its sending.
-    pub fn is_owed(&self, call: &CallId) -> bool {
+    pub fn is_owed(&self, call: &RequestId) -> bool {
         self.open
             .get(&serial(call))
             .is_some_and(|open| !open.answered)
     }
 
     /// Still owed its one final answer, and tries may be begun for it.
-    pub fn is_open(&self, call: &CallId) -> bool {
+    pub fn is_open(&self, call: &RequestId) -> bool {
         self.open.get(&serial(call)).is_some_and(Open::wanted)
     }
 
     /// Its client has gone: from now on nothing is begun for it. Says which it is, if it was still owed an answer.
-    pub fn left(&mut self, serial: Serial) -> Option<CallId> {
+    pub fn left(&mut self, serial: Serial) -> Option<RequestId> {
         let open = self.open.get_mut(&serial).filter(|open| open.wanted())?;
         open.left = true;
         Some(id(serial))
     }
 
     /// All that are still owed theirs.
-    pub fn unanswered(&self) -> impl Iterator<Item = CallId> + '_ {
+    pub fn unanswered(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.open
             .iter()
             .filter(|(_, open)| open.wanted())
             .map(|(serial, _)| id(*serial))
     }
 
-    pub fn remove(&mut self, call: &CallId) -> Option<Open> {
+    pub fn remove(&mut self, call: &RequestId) -> Option<Open> {
         let open = self.open.remove(&serial(call))?;
         self.numbers.remove(&open.api_call.number);
         Some(open)
--- a/edge/src/client.rs
+++ b/edge/src/client.rs
@@ -150,15 +150,15 @@
     ) {
         let serial = reactor.serial();
         let until = reactor.now + api_call.wait;
-        let arrival = Arrival {
-            call: calls::id(serial),
+        let arrival = Request {
+            id: calls::id(serial),
             customer: api_call.customer.clone(),
             plan: api_call.plan.clone(),
             route: api_call.route.clone(),
             units: api_call.units,
-            until,
-            first: api_call.first,
-            spread: api_call.spread,
+            deadline: until,
+            first_gateway: api_call.first,
+            gateway_count: api_call.spread,
         };
         self.known = true;
         let place = Place {
@@ -182,7 +182,7 @@
         reactor
             .notifications
             .push_back(match full || self.half_closed {
-                true => Notification::Refused(arrival.call),
+                true => Notification::Refused(arrival.id),
                 false => Notification::Arrived(arrival),
             });
     }
--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -229,7 +229,7 @@
                 Ok(None) if bytes.len() < resp::WHOLE => break,
                 Ok(None) => client.malformed(reactor, "too long a command"),
                 Ok(Some((words, end))) => {
-                    let most = reactor.settings.limits.max_open as usize;
+                    let most = reactor.settings.limits.max_open_requests as usize;
                     // Each open API call may yet bring a whole value.
                     let crowded = reactor.held + calls.len() * resp::VALUE > reactor.budget.bytes;
                     // A client that takes no answers, or has asked much and not been answered, is read no further. What there is no room for is refused: it
--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -44,20 +44,20 @@
 const LINE: usize = 256;
 
 /// What a line says; nothing where it can't be read.
-fn answer(text: &str) -> Option<Counted> {
+fn answer(text: &str) -> Option<CounterReply> {
     let mut words = text.split_ascii_whitespace();
     match (words.next(), words.next()) {
         (Some("ok"), Some(total)) => total
             .parse()
             .ok()
             .filter(|total: &f64| total.is_finite())
-            .map(Counted::Total),
-        (Some("busy" | "error" | "pong"), None) => Some(Counted::NotAdded),
+            .map(CounterReply::Total),
+        (Some("busy" | "error" | "pong"), None) => Some(CounterReply::NotApplied),
         _ => None,
     }
 }
 
-fn counted(reactor: &mut Reactor, name: CounterName, counted: Counted) {
+fn counted(reactor: &mut Reactor, name: CounterName, counted: CounterReply) {
     reactor
         .notifications
         .push_back(Notification::Counted(name, counted));
@@ -146,7 +146,7 @@
         }
         let line = &mut self.lines[place];
         let Some(stream) = &mut line.stream else {
-            return counted(reactor, name, Counted::NotAdded);
+            return counted(reactor, name, CounterReply::NotApplied);
         };
         let keep = keep.as_millis().clamp(1, 60_000);
         line.put += stream.put(reactor, |out| {
@@ -180,7 +180,7 @@
             return self.end(reactor, place);
         }
         if let Some(name) = call.name.take() {
-            counted(reactor, name, Counted::Unsure);
+            counted(reactor, name, CounterReply::Unknown);
         }
         self.retire(reactor, place);
     }
@@ -249,7 +249,7 @@
                     text != "error",
                     "the counter knows the calls that it gets"
                 );
-                counted(reactor, name, said.unwrap_or(Counted::Added));
+                counted(reactor, name, said.unwrap_or(CounterReply::Applied));
             }
             line.heard = reactor.now;
             if said.is_none() {
@@ -278,9 +278,9 @@
         for call in line.waiting.drain(..) {
             reactor.unset(call.due);
             let how = if call.end > written {
-                Counted::NotAdded
+                CounterReply::NotApplied
             } else {
-                Counted::Unsure
+                CounterReply::Unknown
             };
             if let Some(name) = call.name {
                 counted(reactor, name, how);
--- a/edge/src/discovery.rs
+++ b/edge/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Follows the list of app servers over HTTP/1.1: the whole list first, then one watch after another on one
 //! connection, and a new connection where the old one breaks or stays silent. When to ask again is
-//! [`wellcrank_fleet::recall`]'s to say.
+//! [`wellcrank_fleet::discovery_retry`]'s to say.
 
 use crate::reactor::{Reactor, Side};
 use crate::stream::BufferedStream;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use wellcrank::port::*;
 use wellcrank::settings::DiscoveryMode;
-use wellcrank_fleet::recall::{Failure, Recall, Terms};
+use wellcrank_fleet::discovery_retry::{DiscoveryFailure, DiscoveryRetryPolicy, DiscoveryTiming};
 
 /// A list or a change of it, as discovery words it.
 #[derive(Deserialize)]
@@ -69,7 +69,7 @@
 }
 
 /// The lines of a list, each with the address of the server if it has one that can be read.
-pub type Lines = Vec<(Listed, Option<SocketAddr>)>;
+pub type Lines = Vec<(Endpoint, Option<SocketAddr>)>;
 
 /// A list or a change of it, in our words.
 pub struct Change {
@@ -77,7 +77,7 @@
     pub whole: bool,
     pub lines: Lines,
     /// Servers of which nothing could be read but the name: they stay as they were.
-    pub kept: Vec<ServerId>,
+    pub kept: Vec<EndpointId>,
     /// What could not be read, and why.
     pub wrong: Vec<String>,
 }
@@ -117,18 +117,18 @@
                     .wrong
                     .push(format!("entry {place} ({uid}): {endpoint:?} is no address"));
             }
-            let listed = Listed {
-                server: target.uid.as_str().into(),
-                phase: match target.state {
-                    State::Active => Phase::Ready,
-                    State::Leaving => Phase::Draining,
-                    State::Left => Phase::Gone,
+            let listed = Endpoint {
+                id: target.uid.as_str().into(),
+                state: match target.state {
+                    State::Active => EndpointState::Ready,
+                    State::Leaving => EndpointState::Draining,
+                    State::Left => EndpointState::Removed,
                 },
-                started: (target.boot_ms > 0)
+                started_at: (target.boot_ms > 0)
                     .then(|| UnixTime(Duration::from_millis(target.boot_ms))),
                 cell: target.pod_group,
                 zone: target.az,
-                kind: target.model,
+                machine_type: target.model,
                 weight: target.capacity_hint.unwrap_or(1.0),
             };
             change.lines.push((listed, at));
@@ -158,20 +158,20 @@
     /// When the call that is out, or the connection for it, began; and when the last list came.
     asked: Duration,
     heard: Duration,
-    recall: Recall,
+    recall: DiscoveryRetryPolicy,
     rng: WyRand,
 }
 
 /// What the waits follow from, by the settings as they are.
-fn terms(reactor: &Reactor) -> Terms {
+fn terms(reactor: &Reactor) -> DiscoveryTiming {
     let settings = &reactor.settings;
     // Pushed lists come from an agent on the gateway's own machine; else the fleet shares a service.
     let shared = settings.discovery == DiscoveryMode::Subscribe;
-    Terms {
-        connect: reactor.connect_timeout(),
-        grace: settings.rules.stop_sending_within,
-        within: settings.rules.ask_within,
-        sharing: shared.then(|| f64::from(settings.gateways)),
+    DiscoveryTiming {
+        connect_timeout: reactor.connect_timeout(),
+        drain_grace: settings.rules.drain_grace,
+        refresh_interval: settings.rules.list_refresh_interval,
+        sharing_gateways: shared.then(|| f64::from(settings.gateways)),
     }
 }
 
@@ -185,33 +185,33 @@
             key: 0,
             wanted: false,
             rev,
-            index: reactor.settings.index,
+            index: reactor.settings.gateway_index,
             fresh: true,
             next: Duration::ZERO,
             moved: None,
             asking: false,
             asked: reactor.now,
             heard: reactor.now,
-            recall: Recall::new(terms(reactor)),
+            recall: DiscoveryRetryPolicy::new(terms(reactor)),
             rng: WyRand::new_seed(seed),
         }
     }
 
     /// The settings have changed: the waits follow from the new ones, the list and the watch stay.
     pub fn reconfigure(&mut self, reactor: &Reactor) {
-        self.index = reactor.settings.index;
-        self.recall.change(terms(reactor));
+        self.index = reactor.settings.gateway_index;
+        self.recall.set_timing(terms(reactor));
     }
 
     /// Discovery is elsewhere from now on: the list is followed there, whole at first, as its versions are its own.
     pub fn move_to(&mut self, reactor: &mut Reactor, at: SocketAddr) {
         if at != self.at {
             (self.at, self.host, self.rev) = (at, at.to_string(), None);
-            self.recall.answered();
+            self.recall.record_success();
             self.drop_connection(reactor);
             // All gateways are told at one moment, and what is there counts as told some seconds later: after the first
             // of several moves in a row.
-            let due = reactor.now + self.recall.first(self.index) / 2;
+            let due = reactor.now + self.recall.first_call_delay(self.index) / 2;
             let due = self.moved.map_or(due, |first| due.min(first));
             self.moved = Some(due);
             self.begin(reactor, due.saturating_sub(reactor.now));
@@ -226,7 +226,7 @@
             self.begin(
                 reactor,
                 if known {
-                    self.recall.first(self.index)
+                    self.recall.first_call_delay(self.index)
                 } else {
                     Duration::ZERO
                 },
@@ -254,7 +254,7 @@
         (self.asked, self.fresh) = (reactor.now, true);
         self.stream = BufferedStream::connect(reactor, self.at, Side::Discovery, self.key).ok();
         if self.stream.is_none() {
-            return self.failed(reactor, Failure::Unheard, "no connection");
+            return self.failed(reactor, DiscoveryFailure::Timeout, "no connection");
         }
         self.ask(reactor);
     }
@@ -268,26 +268,26 @@
         }
     }
 
-    /// A call failed: the connection is given up, and the next call comes when [`Recall`] says. Told once for each
+    /// A call failed: the connection is given up, and the next call comes when [`DiscoveryRetryPolicy`] says. Told once for each
     /// kind of failure, until a list comes.
-    fn failed(&mut self, reactor: &mut Reactor, how: Failure, why: &str) {
+    fn failed(&mut self, reactor: &mut Reactor, how: DiscoveryFailure, why: &str) {
         let before = self.recall;
         self.drop_connection(reactor);
         let draw = self.rng.generate::<f64>();
         self.next = reactor.now
             + self
                 .recall
-                .failed(how, reactor.now.saturating_sub(self.asked), draw);
+                .record_failure(how, reactor.now.saturating_sub(self.asked), draw);
         let (heard, asked) = (
             reactor.now.saturating_sub(self.heard),
             reactor.now.saturating_sub(self.asked),
         );
         match how {
-            Failure::Unheard if !before.silent() => {
+            DiscoveryFailure::Timeout if !before.has_timed_out() => {
                 slog::warn!(reactor.log, "discovery is silent, connecting anew"; "why" => why, "rev" => self.rev,
                     "connection" => self.key, "asked" => ?asked, "heard" => ?heard);
             }
-            Failure::Refused if !before.refused() => {
+            DiscoveryFailure::Rejection if !before.was_rejected() => {
                 slog::warn!(reactor.log, "discovery answers what is no list"; "why" => why, "rev" => self.rev,
                     "connection" => self.key, "next" => ?self.next.saturating_sub(reactor.now));
             }
@@ -312,10 +312,10 @@
 
     /// How long the next call may wait for news, or the one that is out.
     fn wait(&self) -> Duration {
-        if self.fresh && self.recall.asks_at_once() {
+        if self.fresh && self.recall.polls_before_watching() {
             Duration::ZERO
         } else {
-            self.recall.watch()
+            self.recall.watch_wait()
         }
     }
 
@@ -323,9 +323,9 @@
     fn patience(&self) -> Duration {
         let up = self.stream.as_ref().is_some_and(|stream| stream.up);
         let wait = match self.rev {
-            _ if !up => self.recall.coming_up(),
-            Some(_) => self.wait() + self.recall.answer_time(false),
-            None => self.recall.answer_time(true),
+            _ if !up => self.recall.connect_timeout(),
+            Some(_) => self.wait() + self.recall.response_timeout(false),
+            None => self.recall.response_timeout(true),
         };
         self.asked + wait
     }
@@ -371,12 +371,12 @@
                 let in_a_row = reactor.now < self.heard + IN_A_ROW;
                 soon = first || back || (!news.is_empty() && !in_a_row);
                 (self.asking, self.heard, self.moved) = (false, reactor.now, None);
-                self.recall.answered();
+                self.recall.record_success();
                 Some(news)
             }
             Ok(None) => None,
             Err(why) => {
-                self.failed(reactor, Failure::Refused, &why);
+                self.failed(reactor, DiscoveryFailure::Rejection, &why);
                 return None;
             }
         };
@@ -391,13 +391,13 @@
                 } else {
                     "the connection ended"
                 };
-                self.failed(reactor, Failure::Unheard, why);
+                self.failed(reactor, DiscoveryFailure::Timeout, why);
             } else {
                 self.drop_connection(reactor);
             }
         } else if news.is_some() && self.wanted {
             // Nothing new and too soon: it does not wait, and is asked at the next tick instead of all the time.
-            if soon || reactor.now >= self.asked + self.recall.watch() / 2 {
+            if soon || reactor.now >= self.asked + self.recall.watch_wait() / 2 {
                 self.ask(reactor);
             }
         }
@@ -409,7 +409,7 @@
             return;
         };
         if stream.flush(reactor).is_err() {
-            self.failed(reactor, Failure::Unheard, "the connection broke");
+            self.failed(reactor, DiscoveryFailure::Timeout, "the connection broke");
         }
     }
 
@@ -428,7 +428,7 @@
             let up = self.stream.as_ref().is_some_and(|stream| stream.up);
             self.failed(
                 reactor,
-                Failure::Unheard,
+                DiscoveryFailure::Timeout,
                 if up { "no answer" } else { "it never came up" },
             );
         }
--- a/edge/src/discovery/tests.rs
+++ b/edge/src/discovery/tests.rs
@@ -102,7 +102,7 @@
         let leaving = change
             .lines
             .iter()
-            .filter(|(line, _)| line.phase == Phase::Draining)
+            .filter(|(line, _)| line.state == EndpointState::Draining)
             .count();
         assert_eq!(leaving, 342);
     }
@@ -122,17 +122,17 @@
         .expect("a list")
         .expect("whole");
     let change = news.change();
-    let read: Vec<(&str, Phase, bool)> = change
+    let read: Vec<(&str, EndpointState, bool)> = change
         .lines
         .iter()
-        .map(|(line, at)| (&*line.server.0, line.phase, at.is_some()))
+        .map(|(line, at)| (&*line.id.0, line.state, at.is_some()))
         .collect();
     assert_eq!(
         read,
         [
-            ("a", Phase::Ready, true),
-            ("c", Phase::Draining, false),
-            ("f", Phase::Gone, false)
+            ("a", EndpointState::Ready, true),
+            ("c", EndpointState::Draining, false),
+            ("f", EndpointState::Removed, false)
         ]
     );
     let kept: Vec<&str> = change.kept.iter().map(|server| &*server.0).collect();
--- a/edge/src/event_loop.rs
+++ b/edge/src/event_loop.rs
@@ -8,14 +8,14 @@
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
-use wellcrank::control::Control;
+use wellcrank::control::AdmissionController;
 use wellcrank::port::*;
 
 /// Runs until the gateway has been told to stop and nobody is left to answer.
 pub fn run(
     poll: &mut Poll,
     gateway: &Rc<RefCell<Gateway>>,
-    control: &mut Control,
+    control: &mut AdmissionController,
 ) -> io::Result<()> {
     let mut events = Events::with_capacity(1024);
     loop {
@@ -58,7 +58,7 @@
 }
 
 /// Hands the decisions what has come, one by one, each at its time.
-fn hand_over(gateway: &Rc<RefCell<Gateway>>, control: &mut Control) {
+fn hand_over(gateway: &Rc<RefCell<Gateway>>, control: &mut AdmissionController) {
     loop {
         let (news, now) = {
             let reactor = &mut gateway.borrow_mut().reactor;
@@ -68,38 +68,38 @@
             reactor.now = reactor.clock.now();
             (news, reactor.now)
         };
-        control.tell_time(now);
+        control.set_time(now);
         match news {
             // Its client may have left in the same turn: nothing is begun for it.
             Notification::Arrived(arrival) => {
                 gateway.borrow_mut().reactor.tally.calls += 1;
-                let open = gateway.borrow().calls.is_open(&arrival.call);
+                let open = gateway.borrow().calls.is_open(&arrival.id);
                 match open {
-                    true => control.arrived(arrival),
-                    false => control.refused(&arrival.call),
+                    true => control.on_request(arrival),
+                    false => control.reject_unadmitted(&arrival.id),
                 }
             }
             Notification::Refused(call) => {
                 gateway.borrow_mut().reactor.tally.calls += 1;
-                control.refused(&call);
+                control.reject_unadmitted(&call);
             }
             Notification::Gone(call) => {
                 gateway.borrow_mut().left(&call);
-                control.gone(&call);
+                control.on_client_disconnect(&call);
             }
-            Notification::Expired(call) => control.expired(&call),
+            Notification::Expired(call) => control.on_deadline_moved_up(&call),
             Notification::Ended(call, number, mut end) => {
                 gateway.borrow_mut().reactor.tally.ended(end.outcome);
-                end.closed |= !gateway.borrow().calls.is_owed(&call);
-                let closed = end.closed;
-                control.ended(&call, number, end);
+                end.request_closed |= !gateway.borrow().calls.is_owed(&call);
+                let closed = end.request_closed;
+                control.on_attempt_end(&call, number, end);
                 if closed {
                     gateway.borrow_mut().forget(&call);
                 }
             }
-            Notification::Counted(name, counted) => control.counted(name, counted),
-            Notification::Listed { whole, time, lines } => control.listed(whole, time, lines),
-            Notification::Woken(token) => control.woken(token),
+            Notification::Counted(name, counted) => control.on_counter_reply(name, counted),
+            Notification::EndpointUpdate(time, update) => control.on_endpoint_update(time, update),
+            Notification::Woken(token) => control.on_timer(token),
             Notification::Reconfigured(settings) => control.reconfigure(settings),
         }
     }
@@ -109,16 +109,22 @@
 pub struct SocketPort(pub Rc<RefCell<Gateway>>);
 
 impl Port for SocketPort {
-    fn send(&mut self, call: &CallId, server: &ServerId, timeout: Duration, whole_by: Duration) {
+    fn send(
+        &mut self,
+        call: &RequestId,
+        server: &EndpointId,
+        timeout: Duration,
+        whole_by: Duration,
+    ) {
         self.0.borrow_mut().send(call, server, timeout, whole_by);
     }
-    fn cancel(&mut self, call: &CallId, number: TryNumber) {
+    fn cancel(&mut self, call: &RequestId, number: AttemptNumber) {
         let Gateway { reactor, pool, .. } = &mut *self.0.borrow_mut();
         pool.cancel(reactor, call, number);
     }
-    fn rate_limit(&mut self, call: &CallId, retry_after: Duration) {
+    fn reject(&mut self, call: &RequestId, retry_after: Duration) {
         let gateway = &mut *self.0.borrow_mut();
-        let advised = gateway.reactor.settings.limits.retry_after;
+        let advised = gateway.reactor.settings.limits.sends_retry_after;
         gateway.reactor.tally.limited += 1;
         gateway.answer(call, |out| {
             let advice = format!("-BUSY {}\r\n", retry_after.as_millis());
@@ -129,39 +135,39 @@
             });
         });
     }
-    fn error(&mut self, call: &CallId) {
+    fn fail(&mut self, call: &RequestId) {
         let gateway = &mut *self.0.borrow_mut();
         gateway.reactor.tally.errored += 1;
         gateway.answer(call, |out| out.extend_from_slice(b"-ERR failed\r\n"));
     }
-    fn count(&mut self, name: CounterName, add: f64, keep: Duration) {
+    fn add_to_counter(&mut self, name: CounterName, add: f64, keep: Duration) {
         let Gateway {
             reactor, counter, ..
         } = &mut *self.0.borrow_mut();
         counter.count(reactor, name, add, keep);
     }
-    fn wake(&mut self, token: WakeToken, at: Duration) {
+    fn set_timer(&mut self, token: TimerToken, at: Duration) {
         self.0.borrow_mut().reactor.at(at, Due::Wake(token));
     }
     /// The decisions send no probes, and would not be told of an answer.
-    fn probe(&mut self, _: &ServerId) {}
+    fn probe(&mut self, _: &EndpointId) {}
     fn subscribe(&mut self, on: bool) {
         let Gateway {
             reactor, discovery, ..
         } = &mut *self.0.borrow_mut();
         discovery.follow(reactor, on);
     }
-    fn refetch(&mut self) {
+    fn refetch_endpoints(&mut self) {
         let Gateway {
             reactor, discovery, ..
         } = &mut *self.0.borrow_mut();
         discovery.refetch(reactor);
     }
-    fn release(&mut self, server: &ServerId) {
+    fn close_idle_connections(&mut self, server: &EndpointId) {
         let Gateway { reactor, pool, .. } = &mut *self.0.borrow_mut();
         pool.release(reactor, server);
     }
-    fn tell(&mut self, peer: Option<u32>, body: &[u8]) {
+    fn send_to_peer(&mut self, peer: Option<u32>, body: &[u8]) {
         self.0.borrow().peers.tell(peer, body);
     }
     fn log(&mut self, text: &str) {
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -98,21 +98,24 @@
             rev, whole, lines, ..
         } = change;
         if whole || !lines.is_empty() {
-            let are = |phase| lines.iter().filter(|(line, _)| line.phase == phase).count();
-            slog::info!(log, "list"; "rev" => rev, "whole" => whole, "ready" => are(Phase::Ready),
-                "leaving" => are(Phase::Draining), "gone" => are(Phase::Gone));
+            let are = |phase| lines.iter().filter(|(line, _)| line.state == phase).count();
+            slog::info!(log, "list"; "rev" => rev, "whole" => whole, "ready" => are(EndpointState::Ready),
+                "leaving" => are(EndpointState::Draining), "gone" => are(EndpointState::Removed));
             let told = lines.iter().map(|(line, _)| line.clone()).collect();
             self.pool.listed(&mut self.reactor, whole, lines);
             self.reactor.look_at_clock();
-            let time = ListTime {
+            let time = UpdateTiming {
                 unix_now: self.reactor.clock.unix_now(),
-                since_last,
+                since_last_update: since_last,
             };
-            self.reactor.notifications.push_back(Notification::Listed {
-                whole,
-                time,
-                lines: told,
-            });
+            let update = if whole {
+                EndpointUpdate::Snapshot(told)
+            } else {
+                EndpointUpdate::Delta(told)
+            };
+            self.reactor
+                .notifications
+                .push_back(Notification::EndpointUpdate(time, update));
         }
         self.clients.ready = true;
     }
@@ -124,7 +127,7 @@
             Due::Count { line, number } => self.counter.due(reactor, line, number),
             Due::Wake(token) => {
                 reactor.notifications.push_back(Notification::Woken(token));
-                if token == TICK_TOKEN {
+                if token == TICK_TIMER {
                     self.sweep();
                 }
             }
@@ -216,8 +219,8 @@
     /// Sends an API call on, if it is still open and has a try and time left.
     pub fn send(
         &mut self,
-        call: &CallId,
-        server: &ServerId,
+        call: &RequestId,
+        server: &EndpointId,
         timeout: Duration,
         whole_by: Duration,
     ) {
@@ -229,7 +232,7 @@
         } = self;
         let (now, most) = (reactor.now, reactor.settings.limits.max_attempts);
         let Some(open) = calls.get(call) else { return };
-        let number = TryNumber(open.tries);
+        let number = AttemptNumber(open.tries);
         open.tries += 1;
         let until = if timeout.is_zero() {
             open.until
@@ -243,7 +246,7 @@
     }
 
     /// The one final answer that the decisions give.
-    pub fn answer(&mut self, call: &CallId, write: impl FnOnce(&mut Vec<u8>)) {
+    pub fn answer(&mut self, call: &RequestId, write: impl FnOnce(&mut Vec<u8>)) {
         let place = self
             .calls
             .get(call)
@@ -256,13 +259,13 @@
     }
 
     /// The client of an API call has gone.
-    pub fn left(&mut self, call: &CallId) {
+    pub fn left(&mut self, call: &RequestId) {
         self.reactor.tally.gone += 1;
         self.forget(call);
     }
 
     /// The API call is over and the decisions know.
-    pub fn forget(&mut self, call: &CallId) {
+    pub fn forget(&mut self, call: &RequestId) {
         if let Some(open) = self.calls.remove(call) {
             self.reactor.freed(open.api_call.size());
         }
@@ -280,7 +283,7 @@
     match crate::told() {
         Ok((told, settings)) => {
             let mut later = started.differing(&told.startup_only());
-            if settings.limits.peers != reactor.settings.limits.peers {
+            if settings.limits.peer_messages != reactor.settings.limits.peer_messages {
                 later.push("settings.ceilings.peers");
             }
             if !later.is_empty() {
--- a/edge/src/lib.rs
+++ b/edge/src/lib.rs
@@ -31,7 +31,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Mutex;
-use wellcrank::control::Control;
+use wellcrank::control::AdmissionController;
 use wellcrank::settings::{DiscoveryMode, Settings};
 
 /// What a gateway is told when it starts, and on SIGHUP again; from then on where others are counts.
@@ -145,7 +145,7 @@
     let clients = startup::made(log, "the listener", || {
         clients::Clients::listen(&mut reactor, told.listen)
     })?;
-    let peers = match told.peer_listen.filter(|_| settings.limits.peers) {
+    let peers = match told.peer_listen.filter(|_| settings.limits.peer_messages) {
         Some(at) => startup::made(log, "the peers' socket", || {
             peers::Peers::listen(&mut reactor, at, told.peers.clone(), told.peers_all)
         })?,
@@ -177,7 +177,7 @@
         next_second: now,
     }));
     let port = event_loop::SocketPort(gateway.clone());
-    let mut control = Control::new(settings.clone(), seed, now, Box::new(port));
+    let mut control = AdmissionController::new(settings.clone(), seed, now, Box::new(port));
     {
         let gateway = &mut *gateway.borrow_mut();
         if let Some(known) = told.known.filter(|known| !known.is_empty()) {
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -19,8 +19,8 @@
 
 /// The upstream try that a connection carries; left behind by the send, handed the answer.
 struct Job {
-    call: CallId,
-    number: TryNumber,
+    call: RequestId,
+    number: AttemptNumber,
     sent: Duration,
     until: Duration,
     /// The command must have gone out whole by then.
@@ -36,7 +36,7 @@
 
 struct Upstream {
     stream: BufferedStream,
-    server: ServerId,
+    server: EndpointId,
     life: u32,
     connection: Serial,
     job: Option<Job>,
@@ -56,10 +56,10 @@
 #[derive(Default)]
 pub struct Pool {
     connections: Slab<Upstream>,
-    known: BTreeMap<ServerId, Known>,
+    known: BTreeMap<EndpointId, Known>,
     /// Those of them that are to get nothing more.
-    unready: BTreeSet<ServerId>,
-    out: BTreeMap<(CallId, TryNumber), usize>,
+    unready: BTreeSet<EndpointId>,
+    out: BTreeMap<(RequestId, AttemptNumber), usize>,
 }
 
 /// A second answer to a try may come some milliseconds behind the first: only a connection that has been idle for so
@@ -75,7 +75,7 @@
 /// For how long an idle connection is used, if for a limited time: less than the server lets it stand by the time that
 /// one takes to come up, a quarter at most, since the server's end and a command may cross.
 fn stands(reactor: &Reactor) -> Option<Duration> {
-    let idle = reactor.settings.limits.idle_close;
+    let idle = reactor.settings.limits.idle_timeout;
     let ahead = reactor.connect_timeout().min(idle / 4);
     (!idle.is_zero()).then(|| idle - ahead)
 }
@@ -86,13 +86,19 @@
     left - UNSEEN.min(left / 4)
 }
 
-fn ended(reactor: &mut Reactor, call: CallId, number: TryNumber, outcome: Outcome, sent: Duration) {
+fn ended(
+    reactor: &mut Reactor,
+    call: RequestId,
+    number: AttemptNumber,
+    outcome: AttemptOutcome,
+    sent: Duration,
+) {
     let latency = reactor.now.saturating_sub(sent);
-    let end = Ended {
+    let end = AttemptResult {
         outcome,
         latency,
-        closed: false,
-        settled: None,
+        request_closed: false,
+        settled_units: None,
         load: BTreeMap::new(),
     };
     reactor
@@ -105,8 +111,14 @@
         self.connections.len()
     }
 
-    pub fn not_sent(&mut self, reactor: &mut Reactor, call: &CallId, number: TryNumber) {
-        ended(reactor, call.clone(), number, Outcome::NotSent, reactor.now);
+    pub fn not_sent(&mut self, reactor: &mut Reactor, call: &RequestId, number: AttemptNumber) {
+        ended(
+            reactor,
+            call.clone(),
+            number,
+            AttemptOutcome::NotSent,
+            reactor.now,
+        );
     }
 
     /// A server without an address that can be read keeps the one it has; one that never had one is left out. Where
@@ -114,17 +126,17 @@
     pub fn complete(&self, change: &mut Change) {
         change
             .lines
-            .retain(|(line, at)| at.is_some() || self.known.contains_key(&line.server));
+            .retain(|(line, at)| at.is_some() || self.known.contains_key(&line.id));
         if !change.whole || change.kept.is_empty() {
             return;
         }
-        let told: BTreeSet<&ServerId> = change
+        let told: BTreeSet<&EndpointId> = change
             .lines
             .iter()
-            .map(|(line, _)| &line.server)
+            .map(|(line, _)| &line.id)
             .chain(&change.kept)
             .collect();
-        let missing: Vec<ServerId> = self
+        let missing: Vec<EndpointId> = self
             .known
             .keys()
             .filter(|server| !told.contains(server))
@@ -134,7 +146,7 @@
         change.lines.extend(
             missing
                 .into_iter()
-                .map(|server| (Listed::gone(server), None)),
+                .map(|server| (Endpoint::removed(server), None)),
         );
     }
 
@@ -144,11 +156,11 @@
         &mut self,
         reactor: &mut Reactor,
         whole: bool,
-        lines: Vec<(Listed, Option<SocketAddr>)>,
+        lines: Vec<(Endpoint, Option<SocketAddr>)>,
     ) {
         let mut over: Vec<usize> = Vec::new();
         if whole {
-            let told: BTreeSet<&ServerId> = lines.iter().map(|(line, _)| &line.server).collect();
+            let told: BTreeSet<&EndpointId> = lines.iter().map(|(line, _)| &line.id).collect();
             for (server, known) in &mut self.known {
                 known.ready &= told.contains(server);
             }
@@ -156,13 +168,13 @@
             self.unready = unready.map(|(server, _)| server.clone()).collect();
         }
         for (line, at) in lines {
-            let ready = line.phase == Phase::Ready;
-            let started = line.started;
-            match ready || (at.is_none() && !self.known.contains_key(&line.server)) {
-                true => drop(self.unready.remove(&line.server)),
-                false => drop(self.unready.insert(line.server.clone())),
+            let ready = line.state == EndpointState::Ready;
+            let started = line.started_at;
+            match ready || (at.is_none() && !self.known.contains_key(&line.id)) {
+                true => drop(self.unready.remove(&line.id)),
+                false => drop(self.unready.insert(line.id.clone())),
             }
-            match (self.known.get_mut(&line.server), at) {
+            match (self.known.get_mut(&line.id), at) {
                 (Some(known), at) => {
                     let at = at.unwrap_or(known.at);
                     // A machine that was silent may be back without having ended its old connections.
@@ -180,7 +192,7 @@
                         ready,
                         idle: vec![],
                     };
-                    self.known.insert(line.server, known);
+                    self.known.insert(line.id, known);
                 }
                 (None, None) => (),
             }
@@ -196,7 +208,7 @@
         for key in over {
             self.fail(reactor, key);
         }
-        let used: BTreeSet<&ServerId> = self
+        let used: BTreeSet<&EndpointId> = self
             .connections
             .iter()
             .map(|(_, connection)| &connection.server)
@@ -215,20 +227,20 @@
     pub fn send(
         &mut self,
         reactor: &mut Reactor,
-        (call, number): (&CallId, TryNumber),
-        server: &ServerId,
+        (call, number): (&RequestId, AttemptNumber),
+        server: &EndpointId,
         (until, whole_by): (Duration, Duration),
     ) {
         let now = reactor.now;
         let over =
             |reactor: &mut Reactor, outcome| ended(reactor, call.clone(), number, outcome, now);
         let Some(known) = self.known.get_mut(server).filter(|known| known.ready) else {
-            return over(reactor, Outcome::NoConnection);
+            return over(reactor, AttemptOutcome::ConnectFailed);
         };
         let (at, life) = (known.at, known.life);
         let key = match self.idle(reactor, server) {
             Some(key) => key,
-            None if !self.make_room(reactor) => return over(reactor, Outcome::NotSent),
+            None if !self.make_room(reactor) => return over(reactor, AttemptOutcome::NotSent),
             None => {
                 let key = self.connections.vacant_key();
                 let stream = match BufferedStream::connect(reactor, at, Side::Upstream, key) {
@@ -243,9 +255,9 @@
                         return over(
                             reactor,
                             if theirs {
-                                Outcome::NoConnection
+                                AttemptOutcome::ConnectFailed
                             } else {
-                                Outcome::NotSent
+                                AttemptOutcome::NotSent
                             },
                         );
                     }
@@ -301,7 +313,7 @@
     /// The connection to a server that was idle for the shortest time, but for `SETTLES` at least, and not for as long
     /// as the server may let it stand. One on which anything has come since its last answer, or that has ended, is no
     /// longer of use: what came would serve the next try.
-    fn idle(&mut self, reactor: &mut Reactor, server: &ServerId) -> Option<usize> {
+    fn idle(&mut self, reactor: &mut Reactor, server: &EndpointId) -> Option<usize> {
         let stands = stands(reactor);
         loop {
             let idle = &mut self.known.get_mut(server)?.idle;
@@ -332,7 +344,7 @@
     }
 
     /// Gives an upstream try up, by closing its connection.
-    pub fn cancel(&mut self, reactor: &mut Reactor, call: &CallId, number: TryNumber) {
+    pub fn cancel(&mut self, reactor: &mut Reactor, call: &RequestId, number: AttemptNumber) {
         if let Some(key) = self.out.get(&(call.clone(), number)).copied() {
             let begun = self.connections[key]
                 .job
@@ -342,9 +354,9 @@
                 reactor,
                 key,
                 if begun {
-                    Outcome::Cancelled
+                    AttemptOutcome::Cancelled
                 } else {
-                    Outcome::NotSent
+                    AttemptOutcome::NotSent
                 },
             );
         }
@@ -374,9 +386,9 @@
             return;
         }
         let outcome = match (job.whole, upstream.stream.up && !job.begun) {
-            (true, _) => Outcome::TimedOut,
-            (_, true) => Outcome::NotSent,
-            _ => Outcome::NoConnection,
+            (true, _) => AttemptOutcome::TimedOut,
+            (_, true) => AttemptOutcome::NotSent,
+            _ => AttemptOutcome::ConnectFailed,
         };
         self.end(reactor, key, outcome);
     }
@@ -453,7 +465,7 @@
             }
             Err(_) => return self.spoilt(reactor, key),
         };
-        let (mut outcome, mut settled) = (Outcome::ServerError, None);
+        let (mut outcome, mut settled) = (AttemptOutcome::ServerError, None);
         let load;
         match reply {
             Reply::Value {
@@ -461,7 +473,7 @@
                 figures,
                 load: report,
             } => {
-                (outcome, load) = (Outcome::Proxied, report);
+                (outcome, load) = (AttemptOutcome::Success, report);
                 let cost = resp::pairs(figures).find(|(name, _)| *name == "cost");
                 let most = crate::calls::most_units(&reactor.settings);
                 settled = cost.and_then(|(_, units)| units.parse().ok());
@@ -472,7 +484,7 @@
                     clients.answer(reactor, open.place, |out| resp::put_bulk(out, value));
                 }
             }
-            Reply::Busy { load: report } => (outcome, load) = (Outcome::TurnedAway, report),
+            Reply::Busy { load: report } => (outcome, load) = (AttemptOutcome::Rejected, report),
             Reply::Failed { text, load: report } => {
                 must!(
                     reactor,
@@ -491,11 +503,11 @@
             return;
         };
         let latency = reactor.now.saturating_sub(job.sent);
-        let end = Ended {
+        let end = AttemptResult {
             outcome,
             latency,
-            closed: false,
-            settled,
+            request_closed: false,
+            settled_units: settled,
             load,
         };
         reactor
@@ -537,7 +549,7 @@
             let open = calls.get(&job.call).filter(|open| open.wanted() && fit);
             let Some(open) = open.filter(|_| now < job.until.min(job.whole_by)) else {
                 reactor.tally.lapsed += 1;
-                return self.end(reactor, key, Outcome::NotSent);
+                return self.end(reactor, key, AttemptOutcome::NotSent);
             };
             let left = job.until - now;
             upstream.stream.take_back(reactor);
@@ -560,7 +572,7 @@
     /// What has come can't be read: an error of the server's, after the call may have run.
     fn spoilt(&mut self, reactor: &mut Reactor, key: usize) {
         reactor.tally.spoilt += 1;
-        self.end(reactor, key, Outcome::ServerError);
+        self.end(reactor, key, AttemptOutcome::ServerError);
     }
 
     /// The connection broke, ended or never came up.
@@ -573,15 +585,15 @@
             reactor,
             key,
             if whole {
-                Outcome::Broken
+                AttemptOutcome::Reset
             } else {
-                Outcome::NoConnection
+                AttemptOutcome::ConnectFailed
             },
         );
     }
 
     /// Ends the try that a connection carries, if any, and the connection with it.
-    fn end(&mut self, reactor: &mut Reactor, key: usize, outcome: Outcome) {
+    fn end(&mut self, reactor: &mut Reactor, key: usize, outcome: AttemptOutcome) {
         if let Some(job) = self.take_job(reactor, key) {
             ended(reactor, job.call, job.number, outcome, job.sent);
         }
@@ -610,7 +622,7 @@
     }
 
     /// Closes the connections to a server that carry nothing.
-    pub fn release(&mut self, reactor: &mut Reactor, server: &ServerId) {
+    pub fn release(&mut self, reactor: &mut Reactor, server: &EndpointId) {
         let idle = self
             .known
             .get_mut(server)
--- a/edge/src/reactor.rs
+++ b/edge/src/reactor.rs
@@ -63,27 +63,23 @@
 
 /// Something for the decisions.
 pub enum Notification {
-    Arrived(Arrival),
+    Arrived(Request),
     /// Taken, and not to be decided: the gateway is full, or the client has ended its sending.
-    Refused(CallId),
-    Gone(CallId),
+    Refused(RequestId),
+    Gone(RequestId),
     /// Its time is up sooner than it was told.
-    Expired(CallId),
-    Ended(CallId, TryNumber, Ended),
-    Counted(CounterName, Counted),
-    Listed {
-        whole: bool,
-        time: ListTime,
-        lines: Vec<Listed>,
-    },
-    Woken(WakeToken),
+    Expired(RequestId),
+    Ended(RequestId, AttemptNumber, AttemptResult),
+    Counted(CounterName, CounterReply),
+    EndpointUpdate(UpdateTiming, EndpointUpdate),
+    Woken(TimerToken),
     Reconfigured(Rc<Settings>),
 }
 
 /// What falls due: a wake of the decisions, the end of an upstream try's time, that of a counter call.
 #[derive(Clone, Copy)]
 pub enum Due {
-    Wake(WakeToken),
+    Wake(TimerToken),
     Try { key: usize, connection: Serial },
     Count { line: usize, number: Serial },
 }
--- a/edge/src/tally.rs
+++ b/edge/src/tally.rs
@@ -2,7 +2,7 @@
 
 use slog::Logger;
 use std::collections::BTreeMap;
-use wellcrank::port::Outcome;
+use wellcrank::port::AttemptOutcome;
 
 #[derive(Default)]
 pub struct Tally {
@@ -19,16 +19,16 @@
 }
 
 impl Tally {
-    pub fn ended(&mut self, outcome: Outcome) {
+    pub fn ended(&mut self, outcome: AttemptOutcome) {
         let name = match outcome {
-            Outcome::Proxied => "Proxied",
-            Outcome::ServerError => "ServerError",
-            Outcome::TurnedAway => "TurnedAway",
-            Outcome::TimedOut => "TimedOut",
-            Outcome::NoConnection => "NoConnection",
-            Outcome::Broken => "Broken",
-            Outcome::Cancelled => "Cancelled",
-            Outcome::NotSent => "NotSent",
+            AttemptOutcome::Success => "Proxied",
+            AttemptOutcome::ServerError => "ServerError",
+            AttemptOutcome::Rejected => "TurnedAway",
+            AttemptOutcome::TimedOut => "TimedOut",
+            AttemptOutcome::ConnectFailed => "NoConnection",
+            AttemptOutcome::Reset => "Broken",
+            AttemptOutcome::Cancelled => "Cancelled",
+            AttemptOutcome::NotSent => "NotSent",
         };
         *self.tries.entry(name).or_default() += 1;
     }
--- a/fleet/src/backoff/tests.rs
+++ b/fleet/src/backoff/tests.rs
@@ -6,7 +6,7 @@
 fn spans_double_up_to_the_most() {
     let backoff = Backoff {
         first: MS(250),
-        most: MS(4000),
+        max: MS(4000),
     };
     let spans: Vec<u64> = (0..8)
         .map(|failures| backoff.span(failures).as_millis() as u64)
@@ -19,7 +19,7 @@
 fn waits_stay_in_the_span_and_spread_over_it() {
     let backoff = Backoff {
         first: MS(250),
-        most: MS(4000),
+        max: MS(4000),
     };
     assert_eq!(backoff.wait(0, 0.7), Duration::ZERO);
     assert_eq!(backoff.wait(5, 0.0), MS(62) + Duration::from_micros(500));
@@ -58,7 +58,7 @@
 fn a_first_span_longer_than_the_most_is_kept() {
     let backoff = Backoff {
         first: MS(500),
-        most: MS(100),
+        max: MS(100),
     };
     assert_eq!(backoff.span(3), MS(500));
 }
--- a/fleet/src/discovery_retry/tests.rs
+++ b/fleet/src/discovery_retry/tests.rs
@@ -3,12 +3,12 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-fn terms(connect: u64, grace: u64, sharing: Option<f64>) -> Terms {
-    Terms {
-        connect: MS(connect),
-        grace: MS(grace),
-        within: MS(10_000),
-        sharing,
+fn terms(connect: u64, grace: u64, sharing: Option<f64>) -> DiscoveryTiming {
+    DiscoveryTiming {
+        connect_timeout: MS(connect),
+        drain_grace: MS(grace),
+        refresh_interval: MS(10_000),
+        sharing_gateways: sharing,
     }
 }
 
@@ -23,16 +23,16 @@
     ] {
         for sharing in [None, Some(3.0), Some(1024.0)] {
             for draw in [0.0, 0.5, 0.999] {
-                let mut recall = Recall::new(terms(connect, grace, sharing));
+                let mut recall = DiscoveryRetryPolicy::new(terms(connect, grace, sharing));
                 for failure in 0..200 {
                     // A connection that is refused or reset at once, one that never came up, one that fell silent.
-                    let ago = [MS(0), recall.coming_up(), recall.watch()][failure % 3];
-                    let wait = recall.failed(Failure::Unheard, ago, draw);
+                    let ago = [MS(0), recall.connect_timeout(), recall.watch_wait()][failure % 3];
+                    let wait = recall.record_failure(DiscoveryFailure::Timeout, ago, draw);
                     assert!(
-                        wait <= recall.pace(),
+                        wait <= recall.call_interval(),
                         "{connect} {grace} {failure}: {wait:?}"
                     );
-                    assert!(wait + recall.coming_up() <= MS(grace).max(MS(connect)) * 3 / 4);
+                    assert!(wait + recall.connect_timeout() <= MS(grace).max(MS(connect)) * 3 / 4);
                 }
             }
         }
@@ -41,40 +41,56 @@
 
 #[test]
 fn silence_does_not_make_calls_crowd_one_another() {
-    let mut recall = Recall::new(terms(250, 500, Some(300.0)));
+    let mut recall = DiscoveryRetryPolicy::new(terms(250, 500, Some(300.0)));
     for _ in 0..100 {
-        assert!(recall.failed(Failure::Unheard, MS(0), 0.0) >= recall.pace() / 2);
+        assert!(
+            recall.record_failure(DiscoveryFailure::Timeout, MS(0), 0.0)
+                >= recall.call_interval() / 2
+        );
     }
 }
 
 #[test]
 fn a_shared_service_that_says_no_is_left_alone_for_longer_and_longer_within_what_counts_as_told() {
-    let mut recall = Recall::new(terms(250, 500, Some(20.0)));
-    let waits = |recall: &mut Recall| -> Vec<u64> {
+    let mut recall = DiscoveryRetryPolicy::new(terms(250, 500, Some(20.0)));
+    let waits = |recall: &mut DiscoveryRetryPolicy| -> Vec<u64> {
         (0..5)
-            .map(|_| recall.failed(Failure::Refused, MS(0), 0.5).as_millis() as u64)
+            .map(|_| {
+                recall
+                    .record_failure(DiscoveryFailure::Rejection, MS(0), 0.5)
+                    .as_millis() as u64
+            })
             .collect()
     };
     assert_eq!(waits(&mut recall), [500, 1000, 2000, 2000, 2000]);
     // Silence in between is no sign of room, nor does it make the next call wait.
-    assert!(recall.failed(Failure::Unheard, MS(0), 0.5) < MS(125));
-    assert_eq!(recall.failed(Failure::Refused, MS(0), 0.5), MS(2000));
-    recall.answered();
-    assert_eq!(recall.failed(Failure::Refused, MS(0), 0.5), MS(500));
+    assert!(recall.record_failure(DiscoveryFailure::Timeout, MS(0), 0.5) < MS(125));
+    assert_eq!(
+        recall.record_failure(DiscoveryFailure::Rejection, MS(0), 0.5),
+        MS(2000)
+    );
+    recall.record_success();
     assert_eq!(
-        waits(&mut Recall::new(terms(250, 500, Some(300.0)))),
+        recall.record_failure(DiscoveryFailure::Rejection, MS(0), 0.5),
+        MS(500)
+    );
+    assert_eq!(
+        waits(&mut DiscoveryRetryPolicy::new(terms(250, 500, Some(300.0)))),
         [2000; 5]
     );
 }
 
 #[test]
 fn an_agent_of_ones_own_that_says_no_is_asked_again_soon() {
-    let mut recall = Recall::new(terms(250, 500, None));
-    assert!((0..50).all(|_| recall.failed(Failure::Refused, MS(0), 0.9) <= recall.pace()));
+    let mut recall = DiscoveryRetryPolicy::new(terms(250, 500, None));
+    assert!((0..50).all(
+        |_| recall.record_failure(DiscoveryFailure::Rejection, MS(0), 0.9)
+            <= recall.call_interval()
+    ));
 }
 
 /// Any settings: missing, tiny, usual and huge ones.
-fn any(rng: &mut WyRand) -> Terms {
+fn any(rng: &mut WyRand) -> DiscoveryTiming {
     let mut span = |usual: u64| match rng.generate_range(0..5u32) {
         0 => Duration::ZERO,
         1 => MS(1),
@@ -84,11 +100,11 @@
     let (connect, grace, within) = (span(3000), span(3000), span(60_000));
     let sharing =
         [None, Some(0.0), Some(3.0), Some(350.0), Some(1024.0)][rng.generate_range(0..5usize)];
-    Terms {
-        connect,
-        grace,
-        within,
-        sharing,
+    DiscoveryTiming {
+        connect_timeout: connect,
+        drain_grace: grace,
+        refresh_interval: within,
+        sharing_gateways: sharing,
     }
 }
 
@@ -97,53 +113,60 @@
     let mut rng = WyRand::new_seed(11);
     for _ in 0..20_000 {
         let terms = any(&mut rng);
-        let mut recall = Recall::new(terms);
+        let mut recall = DiscoveryRetryPolicy::new(terms);
         for _ in 0..rng.generate_range(0..12u32) {
-            let how = [Failure::Unheard, Failure::Refused][rng.generate_range(0..2usize)];
-            recall.failed(how, MS(rng.generate_range(0..9000)), rng.generate());
+            let how = [DiscoveryFailure::Timeout, DiscoveryFailure::Rejection]
+                [rng.generate_range(0..2usize)];
+            recall.record_failure(how, MS(rng.generate_range(0..9000)), rng.generate());
         }
-        let shared = terms.sharing.is_some();
+        let shared = terms.sharing_gateways.is_some();
         // A watch that is silent from its start is given up, one connection more comes to nothing, the next answers.
-        let silent = recall.watch() + recall.answer_time(false);
+        let silent = recall.watch_wait() + recall.response_timeout(false);
         let mut after = recall;
-        after.failed(Failure::Unheard, silent, rng.generate());
-        let again = after.pace() + after.coming_up() + after.answer_time(false);
+        after.record_failure(DiscoveryFailure::Timeout, silent, rng.generate());
+        let again = after.call_interval() + after.connect_timeout() + after.response_timeout(false);
         assert!(
-            silent + again * 2 <= TOLD + MS(250),
+            silent + again * 2 <= NOTIFIED_WITHIN + MS(250),
             "{terms:?}: {silent:?} {again:?}"
         );
         // So does a whole list.
-        let whole = recall.answer_time(true);
+        let whole = recall.response_timeout(true);
         assert!(
-            whole + after.pace() + after.coming_up() + after.answer_time(true) <= TOLD,
+            whole + after.call_interval() + after.connect_timeout() + after.response_timeout(true)
+                <= NOTIFIED_WITHIN,
             "{terms:?}"
         );
         // A call is refused, the next is answered within the time that a crowded service takes.
-        let wait = recall.failed(Failure::Refused, MS(0), rng.generate());
-        assert!(wait + TOLD / 3 <= TOLD, "{terms:?}: {wait:?}");
+        let wait = recall.record_failure(DiscoveryFailure::Rejection, MS(0), rng.generate());
+        assert!(
+            wait + NOTIFIED_WITHIN / 3 <= NOTIFIED_WITHIN,
+            "{terms:?}: {wait:?}"
+        );
         assert!(
-            !shared || recall.answer_time(true) >= TOLD / 3,
+            !shared || recall.response_timeout(true) >= NOTIFIED_WITHIN / 3,
             "given up before it is turned away"
         );
         // And the first call of a gateway that starts.
-        let first = recall.first(rng.generate_range(0..1024u32));
+        let first = recall.first_call_delay(rng.generate_range(0..1024u32));
         assert!(
-            first + TOLD / 3 <= TOLD && (shared || first.is_zero()),
+            first + NOTIFIED_WITHIN / 3 <= NOTIFIED_WITHIN && (shared || first.is_zero()),
             "{terms:?}: {first:?}"
         );
         // Nothing is so short that it can't succeed, or calls come one upon another.
         assert!(
-            recall.watch() >= LEAST
-                && recall.coming_up() >= LEAST
-                && recall.answer_time(false) >= LEAST
+            recall.watch_wait() >= MIN_WAIT
+                && recall.connect_timeout() >= MIN_WAIT
+                && recall.response_timeout(false) >= MIN_WAIT
         );
     }
 }
 
 #[test]
 fn three_hundred_gateways_that_start_together_do_not_call_together() {
-    let recall = Recall::new(terms(250, 500, Some(300.0)));
-    let mut firsts: Vec<Duration> = (0..300).map(|gateway| recall.first(gateway)).collect();
+    let recall = DiscoveryRetryPolicy::new(terms(250, 500, Some(300.0)));
+    let mut firsts: Vec<Duration> = (0..300)
+        .map(|gateway| recall.first_call_delay(gateway))
+        .collect();
     firsts.sort();
     assert!(
         firsts.windows(60).all(|row| row[59] - row[0] > MS(700)),
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,9 +1,12 @@
-//! What a gateway of hundreds needs to decide well: which servers are its own to use ([`subset`]), and when to call
-//! a shared service again after a failure ([`backoff`], [`recall`]), how much of a cold server's budget is whose ([`ramp`]). No I/O, no clock, no chance: all is handed in. Spans are
-//! in seconds, rates are a second, unless a type says otherwise.
+//! What a gateway of hundreds needs to decide well without a message to the others: which endpoints are its own to use
+//! ([`subset`]), how much of an endpoint's slow start is its own ([`slow_start`]), and when to call a shared service
+//! again after a failure ([`backoff`], [`discovery_retry`]). No I/O, no clock, no random numbers: all is handed in.
+//! Spans are in seconds, rates are a second, unless a type says otherwise.
+
+#![deny(unsafe_code)]
 
 pub mod backoff;
-pub mod ramp;
-pub mod recall;
-pub mod spread;
+pub mod discovery_retry;
+pub mod phase;
+pub mod slow_start;
 pub mod subset;
--- a/fleet/src/slow_start/tests.rs
+++ b/fleet/src/slow_start/tests.rs
@@ -7,23 +7,23 @@
 /// arrives up to `late` seconds after it was decided.
 fn most(
     gateways: u32,
-    share: Share,
+    share: SlowStartBudget,
     late: f64,
     rng: &mut WyRand,
     wants: impl Fn(f64) -> bool,
 ) -> usize {
     let start = Duration::from_secs(1_700_000_000);
     let salt = rng.generate::<u64>();
-    let mut ramps: Vec<Ramp> = (0..gateways)
-        .map(|gateway| Ramp::new(gateway, salt, start))
+    let mut ramps: Vec<SlowStartPermits> = (0..gateways)
+        .map(|gateway| SlowStartPermits::new(gateway, salt, start))
         .collect();
     let mut sends: Vec<f64> = Vec::new();
     for step in 0..500 {
         let at = f64::from(step) * 0.02;
         let now = start + Duration::from_secs_f64(at);
         for ramp in ramps.iter_mut().filter(|_| wants(at)) {
-            while ramp.permits_one(now, share) {
-                ramp.sent(now, share);
+            while ramp.allows_one(now, share) {
+                ramp.take_one(now, share);
                 sends.push(at + late * rng.generate::<f64>());
             }
         }
@@ -39,7 +39,7 @@
     for gateways in [3, 20, 30, 100, 350, 1024] {
         for budget in [0.5, 4.0, 12.0, 60.0, 900.0] {
             // The module uses 0.4 of the budget, its permits lapse in a window, and a send begins half of one late at most.
-            let share = Share::of(
+            let share = SlowStartBudget::share_of(
                 budget * 0.4,
                 f64::from(gateways),
                 Duration::from_secs_f64(WINDOW),
@@ -70,29 +70,32 @@
 #[test]
 fn fractions_are_carried_over_and_permits_lapse() {
     let start = Duration::from_secs(50);
-    let share = Share::of(1.0, 4.0, Duration::from_millis(500));
-    let mut ramp = Ramp {
+    let share = SlowStartBudget::share_of(1.0, 4.0, Duration::from_millis(500));
+    let mut ramp = SlowStartPermits {
         credit: 0.5,
-        at: start,
+        updated_at: start,
     };
     let at = |ms| start + Duration::from_millis(ms);
-    assert!(!ramp.permits_one(at(1999), share));
-    assert!(ramp.permits_one(at(2001), share));
-    assert!(!ramp.permits_one(at(2501), share), "lapsed");
-    ramp.sent(at(2400), share);
-    assert!(!ramp.permits_one(at(5999), share));
+    assert!(!ramp.allows_one(at(1999), share));
+    assert!(ramp.allows_one(at(2001), share));
+    assert!(!ramp.allows_one(at(2501), share), "lapsed");
+    ramp.take_one(at(2400), share);
+    assert!(!ramp.allows_one(at(5999), share));
     assert!(
-        ramp.permits_one(at(6001), share),
+        ramp.allows_one(at(6001), share),
         "by its coming together, not by its use"
     );
-    assert!(!Ramp::new(7, 9, start).permits_one(at(3_600_000), Share::of(0.0, 3.0, share.lapse)));
+    assert!(!SlowStartPermits::new(7, 9, start).allows_one(
+        at(3_600_000),
+        SlowStartBudget::share_of(0.0, 3.0, share.permit_lifetime)
+    ));
 }
 
 #[test]
 fn gateways_begin_at_parts_that_are_spread_evenly() {
     for gateways in [3u32, 30, 350, 1024] {
         let mut parts: Vec<f64> = (0..gateways)
-            .map(|gateway| Ramp::new(gateway, 77, Duration::ZERO).credit)
+            .map(|gateway| SlowStartPermits::new(gateway, 77, Duration::ZERO).credit)
             .collect();
         parts.sort_by(f64::total_cmp);
         let even = f64::from(gateways);
--- a/fleet/src/subset/tests.rs
+++ b/fleet/src/subset/tests.rs
@@ -3,7 +3,7 @@
 
 fn ring(servers: &[String]) -> Vec<String> {
     let mut ring = servers.to_vec();
-    ring.sort_by_key(|server| place(server));
+    ring.sort_by_key(|server| ring_position(server));
     ring
 }
 
@@ -14,7 +14,7 @@
 }
 
 fn own(ring: &[String], gateway: u32, gateways: u32, width: usize) -> BTreeSet<String> {
-    window(ring.len(), gateway, gateways, width)
+    members(ring.len(), gateway, gateways, width)
         .map(|at| ring[at].clone())
         .collect()
 }
@@ -70,11 +70,11 @@
 #[test]
 fn the_width_follows_what_keeps_connections_warm() {
     let width = |tries, open| {
-        Width {
-            tries,
-            idle: 20.0,
-            open,
-            each: 4.0,
+        SubsetSize {
+            attempt_rate: tries,
+            idle_timeout: 20.0,
+            in_flight: open,
+            in_flight_each: 4.0,
         }
         .of(200)
     };
@@ -84,11 +84,11 @@
     // Much is out at once: more servers, whatever the connections cost.
     assert_eq!(width(0.1, 60.0), 30);
     assert_eq!(
-        Width {
-            tries: 0.0,
-            idle: 20.0,
-            open: 0.0,
-            each: 1.0
+        SubsetSize {
+            attempt_rate: 0.0,
+            idle_timeout: 20.0,
+            in_flight: 0.0,
+            in_flight_each: 1.0
         }
         .of(5),
         5
--- a/lab/src/decision_engine.rs
+++ b/lab/src/decision_engine.rs
@@ -8,30 +8,30 @@
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 use std::rc::Rc;
 use std::time::Duration;
-use wellcrank::control::Control;
+use wellcrank::control::AdmissionController;
 use wellcrank::port::*;
 
 /// Something that happened at a gateway.
 pub enum GatewayEvent {
     Start { settings: Value, seed: u64 },
     Killed,
-    Listed(bool, Vec<Listed>),
-    Arrived(Arrival),
-    Ended(CallId, TryNumber, Ended),
-    Counted(CounterName, Counted),
-    Gone(CallId),
-    Woken(WakeToken),
+    EndpointUpdate(EndpointUpdate),
+    Arrived(Request),
+    Ended(RequestId, AttemptNumber, AttemptResult),
+    Counted(CounterName, CounterReply),
+    Gone(RequestId),
+    Woken(TimerToken),
 }
 
 /// Something that a gateway does.
 #[derive(Clone, Debug)]
 pub enum GatewayAction {
-    Send(CallId, ServerId, Duration),
-    Cancel(CallId, TryNumber),
-    Limit(CallId, Duration),
-    Error(CallId),
+    Send(RequestId, EndpointId, Duration),
+    Cancel(RequestId, AttemptNumber),
+    Limit(RequestId, Duration),
+    Error(RequestId),
     Count(CounterName, f64, Duration),
-    Wake(WakeToken, Duration),
+    Wake(TimerToken, Duration),
     Tell(Option<u32>, Vec<u8>),
 }
 
@@ -59,38 +59,38 @@
 }
 
 impl Port for EnginePort {
-    fn send(&mut self, call: &CallId, server: &ServerId, timeout: Duration, _: Duration) {
+    fn send(&mut self, call: &RequestId, server: &EndpointId, timeout: Duration, _: Duration) {
         self.record(GatewayAction::Send(call.clone(), server.clone(), timeout));
     }
-    fn cancel(&mut self, call: &CallId, number: TryNumber) {
+    fn cancel(&mut self, call: &RequestId, number: AttemptNumber) {
         self.record(GatewayAction::Cancel(call.clone(), number));
     }
-    fn rate_limit(&mut self, call: &CallId, retry_after: Duration) {
+    fn reject(&mut self, call: &RequestId, retry_after: Duration) {
         self.record(GatewayAction::Limit(call.clone(), retry_after));
     }
-    fn error(&mut self, call: &CallId) {
+    fn fail(&mut self, call: &RequestId) {
         self.record(GatewayAction::Error(call.clone()));
     }
-    fn count(&mut self, name: CounterName, add: f64, keep: Duration) {
+    fn add_to_counter(&mut self, name: CounterName, add: f64, keep: Duration) {
         self.record(GatewayAction::Count(name, add, keep));
     }
-    fn wake(&mut self, token: WakeToken, at: Duration) {
+    fn set_timer(&mut self, token: TimerToken, at: Duration) {
         self.record(GatewayAction::Wake(token, at));
     }
-    fn tell(&mut self, peer: Option<u32>, body: &[u8]) {
+    fn send_to_peer(&mut self, peer: Option<u32>, body: &[u8]) {
         self.record(GatewayAction::Tell(peer, body.to_vec()));
     }
     // The world needs none of these: it tells the list by itself, and the decisions send no probes.
-    fn probe(&mut self, _: &ServerId) {}
+    fn probe(&mut self, _: &EndpointId) {}
     fn subscribe(&mut self, _: bool) {}
-    fn refetch(&mut self) {}
-    fn release(&mut self, _: &ServerId) {}
+    fn refetch_endpoints(&mut self) {}
+    fn close_idle_connections(&mut self, _: &EndpointId) {}
     fn log(&mut self, _: &str) {}
 }
 
 #[derive(Default)]
 pub struct InProcess {
-    controls: BTreeMap<usize, Control>,
+    controls: BTreeMap<usize, AdmissionController>,
     log: ActionLog,
 }
 
@@ -111,7 +111,7 @@
                 };
                 self.controls.insert(
                     gateway,
-                    Control::new(Rc::new(settings), seed, now, Box::new(port)),
+                    AdmissionController::new(Rc::new(settings), seed, now, Box::new(port)),
                 );
                 return Ok(());
             }
@@ -124,21 +124,20 @@
         let Some(control) = self.controls.get_mut(&gateway) else {
             return Ok(());
         };
-        control.tell_time(now);
+        control.set_time(now);
         match event {
-            GatewayEvent::Listed(whole, lines) => control.listed(
-                whole,
-                ListTime {
+            GatewayEvent::EndpointUpdate(update) => control.on_endpoint_update(
+                UpdateTiming {
                     unix_now: UnixTime(now),
-                    since_last: None,
+                    since_last_update: None,
                 },
-                lines,
+                update,
             ),
-            GatewayEvent::Arrived(arrival) => control.arrived(arrival),
-            GatewayEvent::Ended(call, number, end) => control.ended(&call, number, end),
-            GatewayEvent::Counted(name, counted) => control.counted(name, counted),
-            GatewayEvent::Gone(call) => control.gone(&call),
-            GatewayEvent::Woken(token) => control.woken(token),
+            GatewayEvent::Arrived(arrival) => control.on_request(arrival),
+            GatewayEvent::Ended(call, number, end) => control.on_attempt_end(&call, number, end),
+            GatewayEvent::Counted(name, counted) => control.on_counter_reply(name, counted),
+            GatewayEvent::Gone(call) => control.on_client_disconnect(&call),
+            GatewayEvent::Woken(token) => control.on_timer(token),
             GatewayEvent::Start { .. } | GatewayEvent::Killed => (),
         }
         Ok(())
@@ -235,12 +234,12 @@
 fn action(said: &Value) -> Option<GatewayAction> {
     let text = |name: &str| said[name].as_str().unwrap_or_default();
     let span = |name: &str| Duration::from_nanos(said[name].as_u64().unwrap_or(0));
-    let call = || CallId::from(text("txn"));
+    let call = || RequestId::from(text("txn"));
     Some(match text("event_type") {
         "transmit" => GatewayAction::Send(call(), text("server").into(), span("timeout_ns")),
         "undo_send" => GatewayAction::Cancel(
             call(),
-            TryNumber(said["attempt"].as_u64().unwrap_or(0) as u32),
+            AttemptNumber(said["attempt"].as_u64().unwrap_or(0) as u32),
         ),
         "turn_away" => GatewayAction::Limit(call(), span("backoff_ns")),
         "give_up" => GatewayAction::Error(call()),
@@ -253,7 +252,7 @@
             )
         }
         "defer" => GatewayAction::Wake(
-            WakeToken(said["token"].as_u64().unwrap_or(0)),
+            TimerToken(said["token"].as_u64().unwrap_or(0)),
             span("due_at_ns"),
         ),
         "post" => {
@@ -281,38 +280,42 @@
                 json!({"event_type": "open_instance", "i": gateway, "config": settings, "salt": seed})
             }
             GatewayEvent::Killed => json!({"event_type": "crash_now", "i": gateway}),
-            GatewayEvent::Listed(whole, lines) => {
+            GatewayEvent::EndpointUpdate(update) => {
+                let (whole, lines) = match update {
+                    EndpointUpdate::Snapshot(lines) => (true, lines),
+                    EndpointUpdate::Delta(lines) => (false, lines),
+                };
                 let lines: Vec<Value> = lines.iter().map(|line| json!({
-                    "server": &*line.server.0, "pod": line.cell, "region_part": line.zone, "hw": line.kind,
-                    "weight": line.weight, "since_ns": line.started.map_or(0, |at| nanos(at.0)),
-                    "phase": match line.phase { Phase::Ready => "IN", Phase::Draining => "LAME", Phase::Gone => "OUT" },
+                    "server": &*line.id.0, "pod": line.cell, "region_part": line.zone, "hw": line.machine_type,
+                    "weight": line.weight, "since_ns": line.started_at.map_or(0, |at| nanos(at.0)),
+                    "phase": match line.state { EndpointState::Ready => "IN", EndpointState::Draining => "LAME", EndpointState::Removed => "OUT" },
                 })).collect();
                 json!({"event_type": "fleet", "i": gateway, "scope": if whole { "F" } else { "D" }, "lines": lines})
             }
             GatewayEvent::Arrived(it) => json!({
-                "event_type": "inbound", "i": gateway, "txn": &*it.call.0, "holder": &*it.customer.0,
+                "event_type": "inbound", "i": gateway, "txn": &*it.id.0, "holder": &*it.customer.0,
                 "plan": &*it.plan.0, "qos": &*it.route.0, "size_units": it.units,
-                "valid_until_ns": nanos(it.until), "from_no": it.first, "spread": it.spread,
+                "valid_until_ns": nanos(it.deadline), "from_no": it.first_gateway, "spread": it.gateway_count,
             }),
             GatewayEvent::Ended(call, number, end) => json!({
                 "event_type": "report_back", "i": gateway, "txn": &*call.0, "attempt": number.0,
-                "lag_ns": nanos(end.latency), "closed": end.closed, "settled": end.settled, "pressure": end.load,
+                "lag_ns": nanos(end.latency), "closed": end.request_closed, "settled": end.settled_units, "pressure": end.load,
                 "disposition": match end.outcome {
-                    Outcome::Proxied => "S",
-                    Outcome::ServerError => "E",
-                    Outcome::TurnedAway => "F",
-                    Outcome::TimedOut => "T",
-                    Outcome::NoConnection => "C",
-                    Outcome::Broken => "R",
-                    Outcome::Cancelled => "X",
-                    Outcome::NotSent => "N",
+                    AttemptOutcome::Success => "S",
+                    AttemptOutcome::ServerError => "E",
+                    AttemptOutcome::Rejected => "F",
+                    AttemptOutcome::TimedOut => "T",
+                    AttemptOutcome::ConnectFailed => "C",
+                    AttemptOutcome::Reset => "R",
+                    AttemptOutcome::Cancelled => "X",
+                    AttemptOutcome::NotSent => "N",
                 },
             }),
             GatewayEvent::Counted(name, counted) => {
                 let (how, total) = match counted {
-                    Counted::Total(total) => ("S", Some(total)),
-                    Counted::Added | Counted::Unsure => ("T", None),
-                    Counted::NotAdded => ("F", None),
+                    CounterReply::Total(total) => ("S", Some(total)),
+                    CounterReply::Applied | CounterReply::Unknown => ("T", None),
+                    CounterReply::NotApplied => ("F", None),
                 };
                 json!({"event_type": "tallied", "i": gateway, "name": name.0, "disposition": how, "total": total})
             }
--- a/lab/src/simulated.rs
+++ b/lab/src/simulated.rs
@@ -89,7 +89,7 @@
     Woken {
         at: usize,
         life: u32,
-        token: WakeToken,
+        token: TimerToken,
     },
     Listed {
         at: usize,
@@ -200,11 +200,11 @@
         .results("simulated", &experiment.title, &variant.name, seed))
 }
 
-fn call_id(ask: AskId) -> CallId {
+fn call_id(ask: AskId) -> RequestId {
     ask.0.to_string().as_str().into()
 }
 
-fn ask_id(call: &CallId) -> Option<AskId> {
+fn ask_id(call: &RequestId) -> Option<AskId> {
     call.0.parse().ok().map(AskId)
 }
 
@@ -298,17 +298,17 @@
             let server = &self.world.servers[change.server.0 as usize];
             self.servers.insert(server.uid.clone(), change.server);
             let phase = match change.listing {
-                Listing::Active => Phase::Ready,
-                Listing::Leaving => Phase::Draining,
-                Listing::Left => Phase::Gone,
+                Listing::Active => EndpointState::Ready,
+                Listing::Leaving => EndpointState::Draining,
+                Listing::Left => EndpointState::Removed,
             };
-            lines.push(Listed {
-                server: server.uid.as_str().into(),
-                phase,
-                started: change.started.map(|at| UnixTime(ORIGIN + at)),
+            lines.push(Endpoint {
+                id: server.uid.as_str().into(),
+                state: phase,
+                started_at: change.started.map(|at| UnixTime(ORIGIN + at)),
                 cell: server.cell,
                 zone: told::zone_name(server.zone),
-                kind: server.kind.clone(),
+                machine_type: server.kind.clone(),
                 weight: 1.0,
             });
             self.gateways[gateway]
@@ -322,7 +322,12 @@
             }
             return Ok(());
         }
-        self.deliver(gateway, GatewayEvent::Listed(whole, lines))
+        let update = if whole {
+            EndpointUpdate::Snapshot(lines)
+        } else {
+            EndpointUpdate::Delta(lines)
+        };
+        self.deliver(gateway, GatewayEvent::EndpointUpdate(update))
     }
 
     /// What the world leaves to be carried out.
@@ -470,18 +475,18 @@
             Event::Refused(key) => {
                 let there = self.out(key).and_then(|out| out.there);
                 let how = if there.is_some() {
-                    Outcome::Broken
+                    AttemptOutcome::Reset
                 } else {
-                    Outcome::NoConnection
+                    AttemptOutcome::ConnectFailed
                 };
                 self.ended(key, how, None, BTreeMap::new(), false)?;
             }
             Event::TryTimeUp(key) => {
                 if let Some(out) = self.out(key) {
                     let how = if out.there.is_some() {
-                        Outcome::TimedOut
+                        AttemptOutcome::TimedOut
                     } else {
-                        Outcome::NoConnection
+                        AttemptOutcome::ConnectFailed
                     };
                     self.give_up(key);
                     self.ended(key, how, None, BTreeMap::new(), false)?;
@@ -509,9 +514,9 @@
                     .flatten()
                 {
                     let counted = match says {
-                        CounterSays::Total(total) => Counted::Total(total),
-                        CounterSays::Busy => Counted::NotAdded,
-                        CounterSays::Reset => Counted::Unsure,
+                        CounterSays::Total(total) => CounterReply::Total(total),
+                        CounterSays::Busy => CounterReply::NotApplied,
+                        CounterSays::Reset => CounterReply::Unknown,
                     };
                     self.deliver(at, GatewayEvent::Counted(call.name, counted))?;
                 }
@@ -522,7 +527,7 @@
                     .then(|| it.counts.remove(&number))
                     .flatten()
                 {
-                    self.deliver(at, GatewayEvent::Counted(call.name, Counted::Unsure))?;
+                    self.deliver(at, GatewayEvent::Counted(call.name, CounterReply::Unknown))?;
                 }
             }
             Event::Woken { at, life, token } => {
@@ -582,15 +587,15 @@
         } else {
             origin.units
         };
-        let arrival = Arrival {
-            call: call_id(ask),
+        let arrival = Request {
+            id: call_id(ask),
             customer: format!("{:016x}", account.name).as_str().into(),
             plan: self.world.terms.plans[account.plan].name.as_str().into(),
             route: self.world.terms.routes[origin.route].name.as_str().into(),
             units,
-            until: ORIGIN + until,
-            first: account.first as u32,
-            spread: account.spread as u32,
+            deadline: ORIGIN + until,
+            first_gateway: account.first as u32,
+            gateway_count: account.spread as u32,
         };
         let call = OpenCall {
             until,
@@ -625,7 +630,7 @@
                 let key = (gateway, life, ask, number.0);
                 if self.out(key).is_some() {
                     self.give_up(key);
-                    self.ended(key, Outcome::Cancelled, None, BTreeMap::new(), false)?;
+                    self.ended(key, AttemptOutcome::Cancelled, None, BTreeMap::new(), false)?;
                 }
             }
             GatewayAction::Limit(call, after) => {
@@ -685,7 +690,7 @@
     fn answer(
         &mut self,
         gateway: usize,
-        call: &CallId,
+        call: &RequestId,
         verdict: Verdict,
         advice: Option<Duration>,
     ) {
@@ -725,7 +730,7 @@
         &mut self,
         gateway: usize,
         ask: AskId,
-        server: &ServerId,
+        server: &EndpointId,
         timeout: Duration,
     ) -> Result<(), String> {
         let now = self.now;
@@ -757,17 +762,24 @@
         let ready = server.filter(|server| it.ready.get(server).copied().unwrap_or(false));
         let (server, how) = match (server, ready) {
             (Some(server), Some(_)) => (server, None),
-            (server, _) => (server.unwrap_or(ServerNo(0)), Some(Outcome::NoConnection)),
+            (server, _) => (
+                server.unwrap_or(ServerNo(0)),
+                Some(AttemptOutcome::ConnectFailed),
+            ),
         };
         let over = open.answered || until <= now || number >= most;
-        let how = if over { Some(Outcome::NotSent) } else { how };
+        let how = if over {
+            Some(AttemptOutcome::NotSent)
+        } else {
+            how
+        };
         let warm = match how {
             None => it.idle.get_mut(&server).and_then(Vec::pop).is_some(),
             Some(_) => false,
         };
         let full = !warm && it.connections >= sockets.div_ceil(3);
         let how = if full && how.is_none() && !self.make_room(gateway) {
-            Some(Outcome::NotSent)
+            Some(AttemptOutcome::NotSent)
         } else {
             how
         };
@@ -867,10 +879,16 @@
                 });
                 let call = call_id(key.2);
                 self.answer(key.0, &call, Verdict::Served { right: true }, None);
-                self.ended(key, Outcome::Proxied, units, load, true)
+                self.ended(key, AttemptOutcome::Success, units, load, true)
             }
-            Says::Busy => self.ended(key, Outcome::TurnedAway, None, BTreeMap::new(), true),
-            Says::Failed => self.ended(key, Outcome::ServerError, None, BTreeMap::new(), true),
+            Says::Busy => self.ended(key, AttemptOutcome::Rejected, None, BTreeMap::new(), true),
+            Says::Failed => self.ended(
+                key,
+                AttemptOutcome::ServerError,
+                None,
+                BTreeMap::new(),
+                true,
+            ),
             // A good answer with more behind it serves, and ends the connection.
             Says::Spoilt(4..) => {
                 self.answer(
@@ -879,10 +897,16 @@
                     Verdict::Served { right: true },
                     None,
                 );
-                self.ended(key, Outcome::Proxied, None, BTreeMap::new(), false)
+                self.ended(key, AttemptOutcome::Success, None, BTreeMap::new(), false)
             }
             // What can't be read ends the connection, and the server may have run it.
-            Says::Spoilt(_) => self.ended(key, Outcome::ServerError, None, BTreeMap::new(), false),
+            Says::Spoilt(_) => self.ended(
+                key,
+                AttemptOutcome::ServerError,
+                None,
+                BTreeMap::new(),
+                false,
+            ),
         }
     }
 
@@ -890,7 +914,7 @@
     fn ended(
         &mut self,
         key: TryKey,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         settled: Option<f64>,
         load: BTreeMap<String, f64>,
         keep: bool,
@@ -905,10 +929,11 @@
             return Ok(());
         };
         let ready = it.ready.get(&out.server).copied().unwrap_or(false);
-        let connected = !matches!(outcome, Outcome::NotSent) && (out.there.is_some() || !out.fresh);
+        let connected =
+            !matches!(outcome, AttemptOutcome::NotSent) && (out.there.is_some() || !out.fresh);
         if keep && ready {
             it.idle.entry(out.server).or_default().push(now);
-        } else if connected || out.fresh && !matches!(outcome, Outcome::NotSent) {
+        } else if connected || out.fresh && !matches!(outcome, AttemptOutcome::NotSent) {
             it.connections = it.connections.saturating_sub(1);
             self.world.disconnected(out.server);
         }
@@ -925,7 +950,7 @@
         let again = again
             && matches!(
                 outcome,
-                Outcome::Broken | Outcome::TimedOut | Outcome::ServerError
+                AttemptOutcome::Reset | AttemptOutcome::TimedOut | AttemptOutcome::ServerError
             );
         if again {
             let at = self.world.servers[out.server.0 as usize]
@@ -935,16 +960,16 @@
             self.send(gateway, ask, &at, Duration::ZERO)?;
         }
         let latency = now.saturating_sub(out.sent);
-        let end = Ended {
+        let end = AttemptResult {
             outcome,
             latency,
-            closed,
-            settled,
+            request_closed: closed,
+            settled_units: settled,
             load,
         };
         self.deliver(
             gateway,
-            GatewayEvent::Ended(call_id(ask), TryNumber(number), end),
+            GatewayEvent::Ended(call_id(ask), AttemptNumber(number), end),
         )
     }
 }
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 use std::time::Duration;
-use wellcrank::settings::{DiscoveryMode, Group, Limits, Repeat};
+use wellcrank::settings::{DeduplicationScope, DiscoveryMode, Idempotency, Limits};
 
 fn complaint(json: Value) -> String {
     decode(&json)
@@ -22,34 +22,40 @@
                     {"name": "post", "repeat": "once", "credit": 5, "deadline_ns": 1200000000}],
     }))
     .expect("good settings");
-    assert_eq!((settings.index, settings.gateways), (2, 60));
+    assert_eq!((settings.gateway_index, settings.gateways), (2, 60));
     assert_eq!(settings.discovery, DiscoveryMode::Subscribe);
     let idle_close = Duration::from_secs(15);
     assert_eq!(
         settings.limits,
         Limits {
             max_attempts: 4,
-            idle_close,
-            cancelling: true,
+            idle_timeout: idle_close,
+            may_cancel: true,
             ..Limits::default()
         }
     );
-    assert_eq!(settings.rules.fall_multiple, 2.5);
+    assert_eq!(settings.rules.overload_factor, 2.5);
     assert_eq!(settings.counter.timeout, Duration::from_millis(50));
     let (small, event) = (
         settings.plan(&"small".into()),
         settings.plan(&"event".into()),
     );
-    assert_eq!((small.rate, small.burst, small.cap), (1.5, 8.0, 0.0));
-    assert_eq!((event.rate, event.cap), (0.0, 3.0));
+    assert_eq!(
+        (small.rate, small.burst, small.concurrency_limit),
+        (1.5, 8.0, 0.0)
+    );
+    assert_eq!((event.rate, event.concurrency_limit), (0.0, 3.0));
     let (read, post) = (
         settings.route(&"read".into()),
         settings.route(&"post".into()),
     );
-    assert_eq!((read.repeat, read.group), (Repeat::Idempotent, Group::All));
     assert_eq!(
-        (post.repeat, post.billed_value),
-        (Repeat::NonIdempotent, 5.0)
+        (read.idempotency, read.deduplication_scope),
+        (Idempotency::Idempotent, DeduplicationScope::All)
+    );
+    assert_eq!(
+        (post.idempotency, post.value),
+        (Idempotency::NonIdempotent, 5.0)
     );
     assert_eq!(settings.longest_timeout(), Duration::from_millis(1200));
 }
@@ -67,7 +73,10 @@
 fn an_effect_that_is_not_known_is_the_strictest() {
     let settings = decode(&json!({"classes": [{"name": "odd", "repeat": "sometimes"}]}))
         .expect("good settings");
-    assert_eq!(settings.route(&"odd".into()).repeat, Repeat::NonIdempotent);
+    assert_eq!(
+        settings.route(&"odd".into()).idempotency,
+        Idempotency::NonIdempotent
+    );
 }
 
 #[test]
--- a/settings/src/wire.rs
+++ b/settings/src/wire.rs
@@ -130,9 +130,9 @@
     pub fn check(self) -> Result<typed::Settings, SettingsError> {
         let part = Part("");
         Ok(typed::Settings {
-            index: part.whole("index", self.index)?,
+            gateway_index: part.whole("index", self.index)?,
             gateways: part.whole("balancers", self.balancers)?,
-            resolution: part.span("resolution_ns", self.resolution_ns)?,
+            timer_resolution: part.span("resolution_ns", self.resolution_ns)?,
             discovery: match self.registry_mode.as_str() {
                 "subscribe" => typed::DiscoveryMode::Subscribe,
                 _ => typed::DiscoveryMode::Push,
@@ -182,12 +182,12 @@
         let part = Part("ceilings");
         Ok(typed::Limits {
             max_attempts: part.whole("max_attempts", self.max_attempts)?,
-            max_open: part.whole("max_open", self.max_open)?,
+            max_open_requests: part.whole("max_open", self.max_open)?,
             connect_timeout: part.span("connect_timeout_ns", self.connect_timeout_ns)?,
-            idle_close: part.span("idle_close_ns", self.idle_close_ns)?,
-            cancelling: self.cancelling,
-            retry_after: self.retry_after,
-            peers: self.peers,
+            idle_timeout: part.span("idle_close_ns", self.idle_close_ns)?,
+            may_cancel: self.cancelling,
+            sends_retry_after: self.retry_after,
+            peer_messages: self.peers,
         })
     }
 }
@@ -196,13 +196,12 @@
     fn check(self) -> Result<typed::Rules, SettingsError> {
         let part = Part("rules");
         Ok(typed::Rules {
-            cold_from: part.share("cold_from", self.cold_from)?,
-            cold: part.span("cold_ns", self.cold_ns)?,
-            fall_multiple: part.amount("fall_multiple", self.fall_multiple)?,
-            overload_for: part.span("overload_for_ns", self.overload_for_ns)?,
-            stop_sending_within: part
-                .span("stop_sending_within_ns", self.stop_sending_within_ns)?,
-            ask_within: part.span("ask_within_ns", self.ask_within_ns)?,
+            slow_start_floor: part.share("cold_from", self.cold_from)?,
+            slow_start_window: part.span("cold_ns", self.cold_ns)?,
+            overload_factor: part.amount("fall_multiple", self.fall_multiple)?,
+            overload_window: part.span("overload_for_ns", self.overload_for_ns)?,
+            drain_grace: part.span("stop_sending_within_ns", self.stop_sending_within_ns)?,
+            list_refresh_interval: part.span("ask_within_ns", self.ask_within_ns)?,
         })
     }
 }
@@ -213,7 +212,7 @@
         Ok(typed::CounterSettings {
             present: self.shared_counter,
             timeout: part.span("counter_timeout_ns", self.counter_timeout_ns)?,
-            most_units: part.amount("units_top", self.units_top)?,
+            max_request_units: part.amount("units_top", self.units_top)?,
         })
     }
 }
@@ -224,7 +223,7 @@
         Ok(typed::Plan {
             rate: part.amount("refill", self.refill)?,
             burst: part.amount("store_size", self.store_size)?,
-            cap: f64::from(part.whole("parallel", self.parallel)?),
+            concurrency_limit: f64::from(part.whole("parallel", self.parallel)?),
             price: part.amount("value_factor", self.value_factor)?,
             ceiling_rate: part.amount("never_over_rate", self.never_over_rate)?,
             ceiling_burst: part.amount("cap_depth", self.cap_depth)?,
@@ -237,21 +236,21 @@
         let part = Part(place);
         Ok(typed::Route {
             // An effect that is not known is taken to be the strictest; so is a group.
-            repeat: match self.repeat.as_str() {
-                "repeatable" => typed::Repeat::Idempotent,
-                "by_key" => typed::Repeat::Tokened,
-                _ => typed::Repeat::NonIdempotent,
+            idempotency: match self.repeat.as_str() {
+                "repeatable" => typed::Idempotency::Idempotent,
+                "by_key" => typed::Idempotency::Keyed,
+                _ => typed::Idempotency::NonIdempotent,
             },
-            group: match self.group.as_str() {
-                "all" => typed::Group::All,
-                "zone" => typed::Group::Zone,
-                _ => typed::Group::Cell,
+            deduplication_scope: match self.group.as_str() {
+                "all" => typed::DeduplicationScope::All,
+                "zone" => typed::DeduplicationScope::Zone,
+                _ => typed::DeduplicationScope::Cell,
             },
-            memory_span: part.span("memory_span_ns", self.memory_span_ns)?,
+            deduplication_window: part.span("memory_span_ns", self.memory_span_ns)?,
             latency_target: part.span("target_ns", self.target_ns)?,
             client_timeout: part.span("deadline_ns", self.deadline_ns)?,
-            billed_value: part.amount("credit", self.credit)?,
-            late_worth: part.share("late_worth", self.late_worth)?,
+            value: part.amount("credit", self.credit)?,
+            late_value_ratio: part.share("late_worth", self.late_worth)?,
         })
     }
 }
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The decisions on the simulator's wire: decodes events, puts them in our words, hosts one `Control` each
+//! The decisions on the simulator's wire: decodes events, puts them in our words, hosts one `AdmissionController` each
 //! instance, and writes its actions. Decides nothing; instances share nothing.
 
 use serde_json::{json, Map, Value};
@@ -7,7 +7,7 @@
 use std::io::{BufRead, Write};
 use std::rc::Rc;
 use std::time::Duration;
-use wellcrank::control::Control;
+use wellcrank::control::AdmissionController;
 use wellcrank::port::*;
 
 /// One event's fields, with plain complaints about what is missing.
@@ -35,26 +35,26 @@
     fn time(&self, name: &str) -> Result<Duration, String> {
         self.whole(name).map(Duration::from_nanos)
     }
-    fn outcome(&self) -> Result<Outcome, String> {
+    fn outcome(&self) -> Result<AttemptOutcome, String> {
         self.need("disposition", |code| {
             Some(match code.as_str()? {
-                "S" => Outcome::Proxied,
-                "E" => Outcome::ServerError,
-                "F" => Outcome::TurnedAway,
-                "T" => Outcome::TimedOut,
-                "C" => Outcome::NoConnection,
-                "R" => Outcome::Broken,
-                "X" => Outcome::Cancelled,
-                "N" => Outcome::NotSent,
+                "S" => AttemptOutcome::Success,
+                "E" => AttemptOutcome::ServerError,
+                "F" => AttemptOutcome::Rejected,
+                "T" => AttemptOutcome::TimedOut,
+                "C" => AttemptOutcome::ConnectFailed,
+                "R" => AttemptOutcome::Reset,
+                "X" => AttemptOutcome::Cancelled,
+                "N" => AttemptOutcome::NotSent,
                 _ => return None,
             })
         })
     }
-    fn counted(&self) -> Result<Counted, String> {
+    fn counted(&self) -> Result<CounterReply, String> {
         match self.text("disposition")? {
-            "S" => self.number("total").map(Counted::Total),
-            "F" | "C" => Ok(Counted::NotAdded),
-            "T" => Ok(Counted::Unsure),
+            "S" => self.number("total").map(CounterReply::Total),
+            "F" | "C" => Ok(CounterReply::NotApplied),
+            "T" => Ok(CounterReply::Unknown),
             other => Err(format!(
                 "field 'disposition' has a wrong value: \"{other}\""
             )),
@@ -70,7 +70,7 @@
             .filter_map(|(name, value)| Some((name.clone(), value.as_f64()?)))
             .collect()
     }
-    fn lines(&self) -> Result<Vec<Listed>, String> {
+    fn lines(&self) -> Result<Vec<Endpoint>, String> {
         let entries = self.need("lines", Value::as_array)?;
         entries
             .iter()
@@ -79,23 +79,23 @@
     }
 }
 
-fn line(entry: &Fields) -> Result<Listed, String> {
-    Ok(Listed {
-        server: entry.text("server")?.into(),
-        phase: match entry.text("phase")? {
-            "IN" => Phase::Ready,
-            "LAME" => Phase::Draining,
-            "OUT" => Phase::Gone,
+fn line(entry: &Fields) -> Result<Endpoint, String> {
+    Ok(Endpoint {
+        id: entry.text("server")?.into(),
+        state: match entry.text("phase")? {
+            "IN" => EndpointState::Ready,
+            "LAME" => EndpointState::Draining,
+            "OUT" => EndpointState::Removed,
             other => return Err(format!("field 'phase' has a wrong value: \"{other}\"")),
         },
-        started: entry
+        started_at: entry
             .time("since_ns")
             .ok()
             .filter(|since| !since.is_zero())
             .map(UnixTime),
         cell: entry.whole("pod").unwrap_or(0),
         zone: entry.text("region_part").unwrap_or("").to_string(),
-        kind: entry.text("hw").unwrap_or("").to_string(),
+        machine_type: entry.text("hw").unwrap_or("").to_string(),
         weight: entry.number("weight").unwrap_or(1.0),
     })
 }
@@ -121,46 +121,46 @@
 }
 
 impl Port for Reply {
-    fn send(&mut self, call: &CallId, server: &ServerId, timeout: Duration, _: Duration) {
+    fn send(&mut self, call: &RequestId, server: &EndpointId, timeout: Duration, _: Duration) {
         self.act(
             "transmit",
             json!({"txn": &*call.0, "server": &*server.0, "timeout_ns": nanos(timeout)}),
         );
     }
-    fn cancel(&mut self, call: &CallId, number: TryNumber) {
+    fn cancel(&mut self, call: &RequestId, number: AttemptNumber) {
         self.act("undo_send", json!({"txn": &*call.0, "attempt": number.0}));
     }
-    fn rate_limit(&mut self, call: &CallId, retry_after: Duration) {
+    fn reject(&mut self, call: &RequestId, retry_after: Duration) {
         self.act(
             "turn_away",
             json!({"txn": &*call.0, "backoff_ns": nanos(retry_after)}),
         );
     }
-    fn error(&mut self, call: &CallId) {
+    fn fail(&mut self, call: &RequestId) {
         self.act("give_up", json!({"txn": &*call.0}));
     }
-    fn count(&mut self, name: CounterName, add: f64, keep: Duration) {
+    fn add_to_counter(&mut self, name: CounterName, add: f64, keep: Duration) {
         self.act(
             "bump",
             json!({"name": name.0, "step": add, "expire_in_ns": nanos(keep)}),
         );
     }
-    fn wake(&mut self, token: WakeToken, at: Duration) {
+    fn set_timer(&mut self, token: TimerToken, at: Duration) {
         self.act("defer", json!({"token": token.0, "due_at_ns": nanos(at)}));
     }
-    fn probe(&mut self, server: &ServerId) {
+    fn probe(&mut self, server: &EndpointId) {
         self.act("probe", json!({"server": &*server.0}));
     }
     fn subscribe(&mut self, on: bool) {
         self.act("subscribe", json!({"active": on}));
     }
-    fn refetch(&mut self) {
+    fn refetch_endpoints(&mut self) {
         self.act("refresh", json!({}));
     }
-    fn release(&mut self, server: &ServerId) {
+    fn close_idle_connections(&mut self, server: &EndpointId) {
         self.act("let_go", json!({"server": &*server.0}));
     }
-    fn tell(&mut self, peer: Option<u32>, body: &[u8]) {
+    fn send_to_peer(&mut self, peer: Option<u32>, body: &[u8]) {
         let recipient = peer.map_or(json!("all"), |peer| json!(peer));
         let hex: String = body.iter().map(|byte| format!("{byte:02x}")).collect();
         self.act("post", json!({"recipient": recipient, "body": hex}));
@@ -172,7 +172,7 @@
 
 /// Hands one event to its instance. Unknown events and events for unknown instances have no effect.
 fn event(
-    hosted: &mut BTreeMap<u64, Control>,
+    hosted: &mut BTreeMap<u64, AdmissionController>,
     now: Duration,
     kind: &str,
     fields: &Fields,
@@ -192,7 +192,7 @@
             };
             hosted.insert(
                 instance,
-                Control::new(
+                AdmissionController::new(
                     Rc::new(settings),
                     fields.whole("salt")?,
                     now,
@@ -210,50 +210,56 @@
     let Some(control) = hosted.get_mut(&instance) else {
         return Ok(());
     };
-    control.tell_time(now);
+    control.set_time(now);
     match kind {
         "fleet" => match fields.text("scope")? {
-            "X" => control.list_failed(),
+            "X" => control.on_discovery_failure(),
             scope @ ("D" | "F" | "C") => {
-                let time = ListTime {
+                let time = UpdateTiming {
                     unix_now: UnixTime(now),
-                    since_last: None,
+                    since_last_update: None,
                 };
-                control.listed(scope != "D", time, fields.lines()?)
+                let lines = fields.lines()?;
+                let update = if scope == "D" {
+                    EndpointUpdate::Delta(lines)
+                } else {
+                    EndpointUpdate::Snapshot(lines)
+                };
+                control.on_endpoint_update(time, update)
             }
             other => return Err(format!("field 'scope' has a wrong value: \"{other}\"")),
         },
         "inbound" => {
-            let arrival = Arrival {
-                call: fields.text("txn")?.into(),
+            let arrival = Request {
+                id: fields.text("txn")?.into(),
                 customer: fields.text("holder").unwrap_or("").into(),
                 plan: fields.text("plan").unwrap_or("").into(),
                 route: fields.text("qos")?.into(),
                 units: fields.number("size_units").unwrap_or(1.0),
-                until: fields.time("valid_until_ns")?,
-                first: fields.number("from_no").unwrap_or(0.0) as u32,
-                spread: fields.number("spread").unwrap_or(1.0) as u32,
+                deadline: fields.time("valid_until_ns")?,
+                first_gateway: fields.number("from_no").unwrap_or(0.0) as u32,
+                gateway_count: fields.number("spread").unwrap_or(1.0) as u32,
             };
-            control.arrived(arrival);
+            control.on_request(arrival);
         }
         "report_back" => {
-            let end = Ended {
+            let end = AttemptResult {
                 outcome: fields.outcome()?,
                 latency: fields.time("lag_ns")?,
-                closed: fields.need("closed", Value::as_bool)?,
-                settled: fields.number("settled").ok().filter(|units| *units > 0.0),
+                request_closed: fields.need("closed", Value::as_bool)?,
+                settled_units: fields.number("settled").ok().filter(|units| *units > 0.0),
                 load: fields.load(),
             };
-            let number = TryNumber(fields.whole("attempt")? as u32);
-            control.ended(&fields.text("txn")?.into(), number, end);
+            let number = AttemptNumber(fields.whole("attempt")? as u32);
+            control.on_attempt_end(&fields.text("txn")?.into(), number, end);
         }
-        "first_byte" => control.streaming(&fields.text("txn")?.into()),
-        "vanished" => control.gone(&fields.text("txn")?.into()),
-        "wake" => control.woken(WakeToken(fields.whole("token")?)),
+        "first_byte" => control.on_response_started(&fields.text("txn")?.into()),
+        "vanished" => control.on_client_disconnect(&fields.text("txn")?.into()),
+        "wake" => control.on_timer(TimerToken(fields.whole("token")?)),
         "tallied" => {
-            control.counted(CounterName(fields.whole("name")?), fields.counted()?);
+            control.on_counter_reply(CounterName(fields.whole("name")?), fields.counted()?);
         }
-        // Control sends no probes and no messages to peers, so their answers say nothing to it.
+        // AdmissionController sends no probes and no messages to peers, so their answers say nothing to it.
         _ => (),
     }
     Ok(())
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,6 +1,6 @@
-//! The decisions of one gateway. A carrier makes a [`Control`] with the settings, a seed and a [`Port`], then before
+//! The decisions of one gateway. A carrier makes a [`AdmissionController`] with the settings, a seed and a [`Port`], then before
 //! each event tells it the time and hands the event over: `listed`, `arrived`, `counted`, `ended`, `gone`, `woken` and
-//! so on. Control acts through the port; `port.rs` describes both sides of it.
+//! so on. AdmissionController acts through the port; `port.rs` describes both sides of it.
 //!
 //! An API call goes arrived -> hold (add 1 on the counter) -> charge (units from a block) -> send -> over -> another
 //! hold or the answer. Each step leaves a continuation ([`Next`]) that is handed the step's result. This file keeps
@@ -25,25 +25,25 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
-use wellcrank_fleet::{ramp::*, subset};
+use wellcrank_fleet::{slow_start::*, subset};
 
-pub struct Control {
+pub struct AdmissionController {
     settings: Rc<Settings>,
     port: Box<dyn Port>,
     rng: WyRand,
     now: Duration,
     started: Duration,
-    servers: BTreeMap<ServerId, Server>,
+    servers: BTreeMap<EndpointId, Server>,
     /// Servers that the list has left out, and since when.
-    departed: BTreeMap<ServerId, Departed>,
+    departed: BTreeMap<EndpointId, Departed>,
     /// All servers as they stand on the ring, and the part of them that this gateway uses.
-    ids: Vec<ServerId>,
-    own: Vec<ServerId>,
-    calls: BTreeMap<CallId, Call>,
+    ids: Vec<EndpointId>,
+    own: Vec<EndpointId>,
+    calls: BTreeMap<RequestId, Call>,
     accounts: BTreeMap<CustomerId, Account>,
     /// What waits: for answers of the counter, for ends of upstream tries, for a time.
-    counts: BTreeMap<CounterName, VecDeque<(Duration, Next<Counted>)>>,
-    tries: BTreeMap<(CallId, TryNumber), Next<Ended>>,
+    counts: BTreeMap<CounterName, VecDeque<(Duration, Next<CounterReply>)>>,
+    tries: BTreeMap<(RequestId, AttemptNumber), Next<AttemptResult>>,
     due: BTreeMap<(Duration, u64), Next<()>>,
     next_id: u64,
     skip_until: Duration,
@@ -58,9 +58,9 @@
     kinds: BTreeMap<String, f64>,
 }
 
-impl Control {
+impl AdmissionController {
     pub fn new(settings: Rc<Settings>, seed: u64, now: Duration, port: Box<dyn Port>) -> Self {
-        let mut control = Control {
+        let mut control = AdmissionController {
             skip_until: if settings.counter.present {
                 Duration::ZERO
             } else {
@@ -115,11 +115,11 @@
         self.settings.gateway_count()
     }
 
-    pub fn tell_time(&mut self, now: Duration) {
+    pub fn set_time(&mut self, now: Duration) {
         self.now = now;
     }
 
-    pub fn counted(&mut self, name: CounterName, counted: Counted) {
+    pub fn on_counter_reply(&mut self, name: CounterName, counted: CounterReply) {
         let Some(line) = self.counts.get_mut(&name) else {
             return;
         };
@@ -133,23 +133,23 @@
         next(self, counted);
     }
 
-    pub fn ended(&mut self, call: &CallId, number: TryNumber, end: Ended) {
+    pub fn on_attempt_end(&mut self, call: &RequestId, number: AttemptNumber, end: AttemptResult) {
         if let Some(next) = self.tries.remove(&(call.clone(), number)) {
             next(self, end);
         }
     }
 
-    pub fn gone(&mut self, call: &CallId) {
+    pub fn on_client_disconnect(&mut self, call: &RequestId) {
         self.finish(call);
     }
 
     /// The answer has begun to stream: the try belongs to the client, and no time limit runs on.
-    pub fn streaming(&mut self, call: &CallId) {
+    pub fn on_response_started(&mut self, call: &RequestId) {
         self.calls.remove(call);
     }
 
-    pub fn woken(&mut self, token: WakeToken) {
-        if token == TICK_TOKEN {
+    pub fn on_timer(&mut self, token: TimerToken) {
+        if token == TICK_TIMER {
             self.tick();
         }
         while let Some(entry) = self
@@ -165,7 +165,7 @@
     fn at(&mut self, when: Duration, next: Next<()>) {
         self.next_id += 1;
         self.due.insert((when, self.next_id), next);
-        self.port.wake(DUE_TOKEN, when);
+        self.port.set_timer(DUE_TIMER, when);
     }
 
     /// A customer's number of a stretch of time, 2 and up, and when that began. Its edges fall at a time
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -9,14 +9,14 @@
 const SHORTEST: f64 = 0.1; // a window, in seconds, whatever the settings say
 const LONGEST: f64 = 1e6;
 
-impl Control {
-    pub fn arrived(&mut self, arrival: Arrival) {
+impl AdmissionController {
+    pub fn on_request(&mut self, arrival: Request) {
         let now = self.now;
         let (rate, burst, window) = self.terms(&arrival.plan);
-        let rank =
-            (f64::from(self.settings.index) - f64::from(arrival.first)).rem_euclid(self.gateways());
+        let rank = (f64::from(self.settings.gateway_index) - f64::from(arrival.first_gateway))
+            .rem_euclid(self.gateways());
         let account = self.accounts.entry(arrival.customer.clone()).or_default();
-        let spread = f64::from(arrival.spread.max(1));
+        let spread = f64::from(arrival.gateway_count.max(1));
         (account.spread, account.rank) = (spread, rank);
         let idle = now.saturating_sub(account.asked).as_secs_f64();
         account.demand = account.demand * (-idle / window).exp() + arrival.units / window;
@@ -28,11 +28,11 @@
         self.bears.value += (self.value(&arrival) - self.bears.value) * 0.05;
         self.fleet.further = (self.fleet.further + TRY_SHARE).min(10.0);
         let (call, timed, customer) = (
-            arrival.call.clone(),
-            arrival.call.clone(),
+            arrival.id.clone(),
+            arrival.id.clone(),
             arrival.customer.clone(),
         );
-        let last = arrival.until.saturating_sub(self.leeway()).max(now);
+        let last = arrival.deadline.saturating_sub(self.leeway()).max(now);
         let route = self.settings.route(&arrival.route).clone();
         self.calls.insert(
             call.clone(),
@@ -53,13 +53,13 @@
     }
 
     /// The first try's hold was taken or refused: only now units are charged.
-    pub(super) fn held(&mut self, call: CallId, customer: CustomerId, hold: Result<u64, f64>) {
+    pub(super) fn held(&mut self, call: RequestId, customer: CustomerId, hold: Result<u64, f64>) {
         let held = match hold {
             Ok(held) => held,
             Err(ahead) => return self.answer(&call, self.until_free(&call, ahead)),
         };
         let paid = call.clone();
-        let charged = move |c: &mut Control, enough| {
+        let charged = move |c: &mut AdmissionController, enough| {
             if enough {
                 return c.send(paid, customer, held);
             }
@@ -72,7 +72,7 @@
     /// In overload what is worth least for its work goes first, before it costs counter calls. Load is the
     /// tries open against the room for them; worth is measured against its recent mean. Chance carries what
     /// is less than a try: one a gateway would jam servers that hundreds of gateways share.
-    pub(super) fn crowded(&mut self, call: &CallId) -> bool {
+    pub(super) fn crowded(&mut self, call: &RequestId) -> bool {
         let arrival = &self.calls[call].arrival;
         let value =
             self.value(arrival) / self.usual_latency(&arrival.route).unwrap_or(1.0).max(0.001);
@@ -82,9 +82,9 @@
         value < bar
     }
 
-    pub(super) fn value(&self, arrival: &Arrival) -> f64 {
+    pub(super) fn value(&self, arrival: &Request) -> f64 {
         let price = self.settings.plan(&arrival.plan).price;
-        self.settings.route(&arrival.route).billed_value * price * arrival.units
+        self.settings.route(&arrival.route).value * price * arrival.units
     }
 
     /// A plan's rate and burst, and the length of its windows in seconds.
@@ -105,7 +105,7 @@
     }
 
     pub(super) fn set_tick(&mut self) {
-        self.port.wake(TICK_TOKEN, self.now + TICK);
+        self.port.set_timer(TICK_TIMER, self.now + TICK);
     }
 
     /// What is done with the one periodic timer.
--- a/src/control/attempts.rs
+++ b/src/control/attempts.rs
@@ -7,9 +7,9 @@
 const LEAST_RETRY_AFTER: Duration = ms(50);
 const LONGEST_RETRY_AFTER: Duration = ms(30_000);
 
-impl Control {
+impl AdmissionController {
     /// The one place every upstream try passes: the rules on answers, effects, drains and cold servers.
-    pub(super) fn send(&mut self, call: CallId, customer: CustomerId, hold: u64) {
+    pub(super) fn send(&mut self, call: RequestId, customer: CustomerId, hold: u64) {
         let mut rng = self.rng.clone();
         let Some(asked) = self.calls.get(&call) else {
             return self.release(&customer, hold);
@@ -18,22 +18,23 @@
         let left = self.patience(asked);
         let terms = &asked.route;
         // A repeat has to reach a server that knows the first by its token while that is remembered.
-        let (whole_by, first) = match (&asked.ran, terms.repeat) {
-            (None, _) | (_, Repeat::Idempotent) => (Duration::MAX, None),
-            (Some(ran), Repeat::Tokened) => (
-                (ran.at + terms.memory_span).saturating_sub(self.leeway() + HELD_UP),
+        let (whole_by, first) = match (&asked.ran, terms.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => (Duration::MAX, None),
+            (Some(ran), Idempotency::Keyed) => (
+                (ran.at + terms.deduplication_window).saturating_sub(self.leeway() + HELD_UP),
                 Some(ran),
             ),
-            (Some(_), Repeat::NonIdempotent) => (Duration::ZERO, None),
+            (Some(_), Idempotency::NonIdempotent) => (Duration::ZERO, None),
         };
-        let harmless = |server: &Server| match (first, terms.group) {
+        let harmless = |server: &Server| match (first, terms.deduplication_scope) {
             _ if whole_by <= self.now => false,
-            (None, _) | (_, Group::All) => true,
-            (Some(ran), Group::Zone) => ran.zone == server.listed.zone,
-            (Some(ran), Group::Cell) => ran.cell == server.listed.cell,
+            (None, _) | (_, DeduplicationScope::All) => true,
+            (Some(ran), DeduplicationScope::Zone) => ran.zone == server.listed.zone,
+            (Some(ran), DeduplicationScope::Cell) => ran.cell == server.listed.cell,
+        };
+        let able = |at: &Server| {
+            at.listed.state == EndpointState::Ready && harmless(at) && self.has_room(at)
         };
-        let able =
-            |at: &Server| at.listed.phase == Phase::Ready && harmless(at) && self.has_room(at);
         let drawn = self.draw(&mut rng, &able, asked.last.as_ref(), &route);
         let (first, unsure, plan) = (asked.tries == 0, asked.unsure, asked.arrival.plan.clone());
         let barred = drawn.is_none() || left.is_zero() || asked.out.is_some();
@@ -45,7 +46,7 @@
         let (now, at) = (self.now, drawn.expect("else barred"));
         let share = self.share(&self.servers[&at]);
         // What is permitted now is not to arrive with later ones.
-        let soon = share.map_or(Duration::MAX, |share| now + share.lapse / 2);
+        let soon = share.map_or(Duration::MAX, |share| now + share.permit_lifetime / 2);
         let whole_by = whole_by.min(soon);
         let server = self.servers.get_mut(&at).expect("chosen from the list");
         self.rng = rng;
@@ -58,22 +59,25 @@
         self.fleet.sends += 1.0;
         share
             .into_iter()
-            .for_each(|share| server.ramp.sent(now, share));
+            .for_each(|share| server.ramp.take_one(now, share));
         let asked = self.calls.get_mut(&call).expect("looked up above");
-        let (number, taken) = (TryNumber(asked.tries), asked.taken);
+        let (number, taken) = (AttemptNumber(asked.tries), asked.taken);
         (asked.tries, asked.out, asked.last) = (asked.tries + 1, Some(number), Some(at.clone()));
         self.port.send(&call, &at, left, whole_by);
         let key = (call.clone(), number);
-        let over = move |c: &mut Control, end: Ended| {
+        let over = move |c: &mut AdmissionController, end: AttemptResult| {
             c.note_loss(&at, &route, &end);
             c.judge(&at, &route, &end);
             c.release(&customer, hold);
             c.settle(
                 &customer,
-                end.settled.map_or(0.0, |settled| settled - units),
+                end.settled_units.map_or(0.0, |settled| settled - units),
                 unsure,
             );
-            let came = !matches!(end.outcome, Outcome::NoConnection | Outcome::NotSent);
+            let came = !matches!(
+                end.outcome,
+                AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
+            );
             match c.calls.get_mut(&call) {
                 Some(asked) => asked.taken |= came,
                 None if !came && !taken => c.settle(&customer, -units, unsure),
@@ -88,8 +92,8 @@
     pub(super) fn patience(&self, asked: &Call) -> Duration {
         let target = asked.route.latency_target;
         // A target that is not stated is none.
-        let late = asked.route.late_worth > 0.0 || target.is_zero();
-        let until = asked.arrival.until.min(if late {
+        let late = asked.route.late_value_ratio > 0.0 || target.is_zero();
+        let until = asked.arrival.deadline.min(if late {
             Duration::MAX
         } else {
             asked.born + target
@@ -98,23 +102,23 @@
     }
 
     /// A try is over: the API call is answered, or a further try is made as far as its route permits.
-    pub(super) fn over(&mut self, call: &CallId, sent: Sent, end: Ended) {
+    pub(super) fn over(&mut self, call: &RequestId, sent: Sent, end: AttemptResult) {
         let Some(asked) = self.calls.get_mut(call) else {
             return;
         };
         asked.out = None;
-        if end.closed {
+        if end.request_closed {
             return drop(self.finish(call));
         }
         if !matches!(
             end.outcome,
-            Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
         ) {
             asked.ran.get_or_insert(sent);
         }
         let (tries, once) = (asked.tries, asked.ran.is_some());
         let customer = asked.arrival.customer.clone();
-        let barred = once && asked.route.repeat == Repeat::NonIdempotent;
+        let barred = once && asked.route.idempotency == Idempotency::NonIdempotent;
         let late = self.patience(&self.calls[call]) < ms(50);
         let tried = tries >= self.settings.limits.max_attempts;
         if late || barred || tried || self.fleet.further < 1.0 {
@@ -122,7 +126,7 @@
         }
         self.fleet.further -= 1.0;
         let again = call.clone();
-        let held = move |c: &mut Control, hold| match hold {
+        let held = move |c: &mut AdmissionController, hold| match hold {
             Err(ahead) => c.answer(&again, c.until_free(&again, ahead)),
             Ok(hold) => c.send(again, customer, hold),
         };
@@ -130,10 +134,10 @@
     }
 
     /// The API call is over: a try that is out is given up. Where none came to a server, its units go back.
-    pub(super) fn finish(&mut self, call: &CallId) -> Option<Call> {
+    pub(super) fn finish(&mut self, call: &RequestId) -> Option<Call> {
         let asked = self.calls.remove(call)?;
         match asked.out {
-            Some(number) if self.settings.limits.cancelling => self.port.cancel(call, number),
+            Some(number) if self.settings.limits.may_cancel => self.port.cancel(call, number),
             None if asked.tries > 0 && !asked.taken => {
                 self.settle(&asked.arrival.customer, -asked.arrival.units, asked.unsure);
             }
@@ -144,12 +148,12 @@
 
     /// What a step may take beyond what it was reckoned with: the last moment lies so far ahead.
     pub(super) fn leeway(&self) -> Duration {
-        self.settings.resolution * 2
+        self.settings.timer_resolution * 2
     }
 
     /// Advice under a full cap: the calls ahead take the route's usual latency each; while that is not known,
     /// as the design has it.
-    pub(super) fn until_free(&self, call: &CallId, ahead: f64) -> Duration {
+    pub(super) fn until_free(&self, call: &RequestId, ahead: f64) -> Duration {
         let route = self.calls.get(call).map(|asked| &asked.arrival.route);
         let usual = route
             .and_then(|route| self.usual_latency(route))
@@ -171,31 +175,33 @@
     }
 
     /// It was taken and is not let in: nothing of it has run.
-    pub fn refused(&mut self, call: &CallId) {
-        self.port.rate_limit(call, RETRY_AFTER);
+    pub fn reject_unadmitted(&mut self, call: &RequestId) {
+        self.port.reject(call, RETRY_AFTER);
     }
 
     /// Its time is up sooner than it was told: it is answered now.
-    pub fn expired(&mut self, call: &CallId) {
+    pub fn on_deadline_moved_up(&mut self, call: &RequestId) {
         self.answer(call, RETRY_AFTER);
     }
 
     /// The one final answer. Rate-limited where it is harmless to come again, else errored.
-    pub(super) fn answer(&mut self, call: &CallId, retry_after: Duration) {
+    pub(super) fn answer(&mut self, call: &RequestId, retry_after: Duration) {
         let Some(asked) = self.finish(call) else {
             return;
         };
-        let harmless = match asked.route.repeat {
-            Repeat::Idempotent => true,
-            Repeat::Tokened if asked.route.group == Group::All => true,
+        let harmless = match asked.route.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed if asked.route.deduplication_scope == DeduplicationScope::All => {
+                true
+            }
             _ => asked.out.is_none() && asked.ran.is_none(),
         };
         match harmless {
-            true => self.port.rate_limit(
+            true => self.port.reject(
                 call,
                 retry_after.clamp(LEAST_RETRY_AFTER, LONGEST_RETRY_AFTER),
             ),
-            false => self.port.error(call),
+            false => self.port.fail(call),
         }
     }
 }
--- a/src/control/counter_pacing.rs
+++ b/src/control/counter_pacing.rs
@@ -23,7 +23,7 @@
     }
 }
 
-impl Control {
+impl AdmissionController {
     pub(super) fn skipping(&self) -> bool {
         self.now < self.skip_until
     }
@@ -32,7 +32,7 @@
     /// and so may crowd it, or the even split gives most customers less than a call, an error slows its calls
     /// below what it made of late and prompt answers speed them up: gateways share what the counter bears.
     /// Errors in a row are an outage. Harm: slow for one, it is used less; an outage is known a second later.
-    pub(super) fn feel(&mut self, took: Duration, counted: Counted) {
+    pub(super) fn feel(&mut self, took: Duration, counted: CounterReply) {
         let limit = self.settings.counter.timeout;
         let good = counted.total_or(0.0).is_some();
         let (now, bears) = (self.now, &mut self.bears);
@@ -52,7 +52,7 @@
                 ((made * 0.6).max(LEAST_PACE), made * 0.5, now);
         }
         if !good && now >= self.skip_until && (bears.errors >= ERRORS || !crowded) {
-            let skip = if counted == Counted::NotAdded {
+            let skip = if counted == CounterReply::NotApplied {
                 CROWDED_SKIP
             } else {
                 SKIP
@@ -79,11 +79,17 @@
         most
     }
 
-    pub(super) fn cheap(&self, arrival: &Arrival, calls: f64) -> f64 {
+    pub(super) fn cheap(&self, arrival: &Request, calls: f64) -> f64 {
         1.0 - self.value(arrival) * calls / self.bears.value.max(1e-9)
     }
 
-    pub(super) fn add(&mut self, name: CounterName, add: f64, keep: Duration, next: Next<Counted>) {
+    pub(super) fn add(
+        &mut self,
+        name: CounterName,
+        add: f64,
+        keep: Duration,
+        next: Next<CounterReply>,
+    ) {
         self.fill();
         (self.bears.in_hand, self.bears.calling) =
             (self.bears.in_hand - 1.0, self.bears.calling + 1.0);
@@ -91,6 +97,6 @@
             .entry(name)
             .or_default()
             .push_back((self.now, next));
-        self.port.count(name, add, keep);
+        self.port.add_to_counter(name, add, keep);
     }
 }
--- a/src/control/holds.rs
+++ b/src/control/holds.rs
@@ -7,10 +7,10 @@
 pub(super) const CALM: f64 = 0.2; // who asks for less than this share of its rate has left its store alone
 const NO_HOLD: u64 = 0; // stands for the hold of a try whose plan has no cap; ids of holds are above
 
-impl Control {
+impl AdmissionController {
     /// The cap on a customer's upstream tries out at once; a plan may state none.
     pub(super) fn cap(&self, plan: &PlanName) -> Option<f64> {
-        Some(self.settings.plan(plan).cap).filter(|cap| *cap > 0.0)
+        Some(self.settings.plan(plan).concurrency_limit).filter(|cap| *cap > 0.0)
     }
 
     pub(super) fn add_hold(
@@ -18,7 +18,7 @@
         customer: &CustomerId,
         period: u64,
         by: f64,
-        next: Next<Counted>,
+        next: Next<CounterReply>,
     ) {
         self.add(
             CounterName(fixed_hash(&customer.0, 1, period)),
@@ -32,7 +32,7 @@
     /// refused, the result tells how many calls are ahead. In silence a gateway's own tries stay in its
     /// share of the cap, as its units do: an outage would else admit all. Harm: an uneven customer is
     /// refused at its busy gateway. A plan without a cap has nothing to hold its customers under.
-    pub(super) fn hold(&mut self, call: &CallId, next: Next<Result<u64, f64>>) {
+    pub(super) fn hold(&mut self, call: &RequestId, next: Next<Result<u64, f64>>) {
         let arrival = &self.calls[call].arrival;
         let Some(cap) = self.cap(&arrival.plan) else {
             return next(self, Ok(NO_HOLD));
@@ -61,7 +61,7 @@
         let asks = self.bears.thin < THIN || self.accounts.get(&customer).is_some_and(fills);
         let unasked = rate > 0.0 && !asks && !self.skipping() && !self.may_call(SPARE);
         let silent = unasked || !self.may_call(cheap);
-        let told = move |c: &mut Control, counted| {
+        let told = move |c: &mut AdmissionController, counted| {
             let now = c.stretch(&owner, PERIOD, c.now).0;
             let account = c.accounts.entry(owner.clone()).or_default();
             let (spread, turn) = (account.spread, (account.rank + now as f64) % account.spread);
@@ -69,11 +69,11 @@
             let before = (account.demand - units / window) * spread;
             let share = share.max(if before * each < cap * CALM { 1.0 } else { 0.0 });
             match counted {
-                Counted::Total(total) if total > cap => {
+                CounterReply::Total(total) if total > cap => {
                     c.add_hold(&owner, period, -1.0, Box::new(|_, _| ()));
                     return next(c, Err(total - cap));
                 }
-                Counted::Total(_) | Counted::Added => {
+                CounterReply::Total(_) | CounterReply::Applied => {
                     account.holds.insert(id, vec![period]);
                     let renewed = account.renewed.max(now);
                     if renewed > period {
@@ -88,7 +88,7 @@
             next(c, Ok(id));
         };
         if silent {
-            return told(self, Counted::NotAdded);
+            return told(self, CounterReply::NotApplied);
         }
         self.add_hold(&customer, period, 1.0, Box::new(told));
     }
@@ -96,7 +96,7 @@
     /// Adds holds to a further period's name; those that ended before the answer are taken off again.
     pub(super) fn count_in(&mut self, customer: &CustomerId, period: u64, ids: Vec<u64>) {
         let (owner, sum) = (customer.clone(), ids.len() as f64);
-        let told = move |c: &mut Control, counted: Counted| {
+        let told = move |c: &mut AdmissionController, counted: CounterReply| {
             let account = c.accounts.entry(owner.clone()).or_default();
             let mut over = 0.0;
             for id in ids.into_iter().filter(|_| counted.total_or(0.0).is_some()) {
--- a/src/control/quota.rs
+++ b/src/control/quota.rs
@@ -4,9 +4,9 @@
 
 const AHEAD: f64 = 0.5; // of a window: a block's recent demand while calls are scarce
 
-impl Control {
+impl AdmissionController {
     /// Takes the call's units from the block in hand, from a new block, or in silence from the even split.
-    pub(super) fn charge(&mut self, call: &CallId, next: Next<bool>) {
+    pub(super) fn charge(&mut self, call: &RequestId, next: Next<bool>) {
         let Some(Call { arrival, .. }) = self.calls.get(call) else {
             return next(self, false);
         };
@@ -84,7 +84,7 @@
         let share = (bears.unsaid / bears.said.max(1.0)).min(10.0);
         let extra = if plenty { 0.0 } else { (size * share).round() };
         (bears.said, bears.unsaid) = (bears.said * 0.95 + size, bears.unsaid * 0.95);
-        let told = move |c: &mut Control, counted: Counted| {
+        let told = move |c: &mut AdmissionController, counted: CounterReply| {
             let (now, thin, plenty) = (c.now, c.bears.thin >= THIN, c.may_call(SPARE));
             let account = c.accounts.entry(owner.clone()).or_default();
             let (mut more, mut back) = (true, 0.0);
--- a/src/control/server_choice.rs
+++ b/src/control/server_choice.rs
@@ -19,13 +19,17 @@
         .unwrap_or(1.0)
 }
 
-impl Control {
+impl AdmissionController {
     /// News of the server list: the whole of it, or changes only. A list tells a server's start late, by
     /// `LISTED_LATE` at the most: one that the last list did not tell is no older than that, whatever the
     /// wall clock says. Harm: one that is told later still is ramped for longer.
-    pub fn listed(&mut self, whole: bool, time: ListTime, lines: Vec<Listed>) {
+    pub fn on_endpoint_update(&mut self, time: UpdateTiming, update: EndpointUpdate) {
+        let (whole, lines) = match update {
+            EndpointUpdate::Snapshot(lines) => (true, lines),
+            EndpointUpdate::Delta(lines) => (false, lines),
+        };
         if whole {
-            let told: BTreeSet<&ServerId> = lines.iter().map(|line| &line.server).collect();
+            let told: BTreeSet<&EndpointId> = lines.iter().map(|line| &line.id).collect();
             let left_out = self
                 .servers
                 .keys()
@@ -35,36 +39,38 @@
             left_out.into_iter().for_each(|id| self.depart(id));
         }
         for listed in lines {
-            let id = listed.server.clone();
+            let id = listed.id.clone();
             if !whole {
                 self.place_on_ring(
                     &id,
                     self.servers.contains_key(&id),
-                    listed.phase != Phase::Gone,
+                    listed.state != EndpointState::Removed,
                 );
             }
-            if listed.phase == Phase::Gone {
+            if listed.state == EndpointState::Removed {
                 self.depart(id);
                 continue;
             }
             let server = match self.servers.remove(&id) {
-                Some(known) if known.listed.started == listed.started => Server { listed, ..known },
+                Some(known) if known.listed.started_at == listed.started_at => {
+                    Server { listed, ..known }
+                }
                 known => {
-                    let salt = subset::place(&id.0)
-                        ^ listed.started.map_or(0, |at| at.0.as_millis() as u64);
-                    let ramp = Ramp::new(self.settings.index, salt, self.now);
+                    let salt = subset::ring_position(&id.0)
+                        ^ listed.started_at.map_or(0, |at| at.0.as_millis() as u64);
+                    let ramp = SlowStartPermits::new(self.settings.gateway_index, salt, self.now);
                     // Its age is asked of the wall clock once; from then on it is a span.
                     let most = time
-                        .since_last
+                        .since_last_update
                         .map_or(Duration::MAX, |since| since + LISTED_LATE);
                     let age = listed
-                        .started
+                        .started_at
                         .map(|at| time.unix_now.0.saturating_sub(at.0).min(most));
                     let born = age.map(|age| self.now.saturating_sub(age));
                     let before = self
                         .departed
                         .remove(&id)
-                        .filter(|before| before.started == listed.started);
+                        .filter(|before| before.started == listed.started_at);
                     let born = before.map_or(born, |before| before.born);
                     Server::fresh(listed, born, known.map_or(0, |known| known.open), ramp)
                 }
@@ -73,18 +79,19 @@
         }
         if whole {
             self.ids = self.servers.keys().cloned().collect();
-            self.ids.sort_by_cached_key(|id| subset::place(&id.0));
+            self.ids
+                .sort_by_cached_key(|id| subset::ring_position(&id.0));
         }
         self.choose();
     }
 
     /// A server is no longer listed.
-    fn depart(&mut self, id: ServerId) {
+    fn depart(&mut self, id: EndpointId) {
         let Some(server) = self.servers.remove(&id) else {
             return;
         };
         let gone = Departed {
-            started: server.listed.started,
+            started: server.listed.started_at,
             born: server.born,
             at: self.now,
         };
@@ -98,11 +105,11 @@
     }
 
     /// A change of one server on the ring: thousands are not sorted anew for it.
-    fn place_on_ring(&mut self, id: &ServerId, was_there: bool, is_there: bool) {
+    fn place_on_ring(&mut self, id: &EndpointId, was_there: bool, is_there: bool) {
         if was_there == is_there {
             return;
         }
-        let key = |id: &ServerId| (subset::place(&id.0), id.clone());
+        let key = |id: &EndpointId| (subset::ring_position(&id.0), id.clone());
         match self.ids.binary_search_by_key(&key(id), key) {
             Ok(place) => drop(self.ids.remove(place)),
             Err(place) => self.ids.insert(place, id.clone()),
@@ -113,20 +120,20 @@
     /// Harm: what befalls many servers of one gateway's part befalls it more; the others are then drawn too.
     pub(super) fn choose(&mut self) {
         let (idle, open) = (
-            self.settings.limits.idle_close.as_secs_f64(),
+            self.settings.limits.idle_timeout.as_secs_f64(),
             self.fleet.open,
         );
         let each = (self.fleet.room / self.own.len().max(1) as f64).min(ROOM);
-        let width = subset::Width {
-            tries: self.fleet.pace,
-            idle,
-            open,
-            each,
+        let width = subset::SubsetSize {
+            attempt_rate: self.fleet.pace,
+            idle_timeout: idle,
+            in_flight: open,
+            in_flight_each: each,
         }
         .of(self.ids.len());
         let width = if idle > 0.0 { width } else { self.ids.len() };
-        let (index, all) = (self.settings.index, self.gateways() as u32);
-        let window = subset::window(self.ids.len(), index, all, width);
+        let (index, all) = (self.settings.gateway_index, self.gateways() as u32);
+        let window = subset::members(self.ids.len(), index, all, width);
         self.own = window.map(|place| self.ids[place].clone()).collect();
         let warm = self
             .own
@@ -137,7 +144,7 @@
     }
 
     /// A call for the server list failed or the subscription broke: it is asked for again.
-    pub fn list_failed(&mut self) {
+    pub fn on_discovery_failure(&mut self) {
         self.at(self.now + ms(500), Box::new(|c, ()| c.port.subscribe(true)));
     }
 
@@ -145,8 +152,12 @@
     pub(super) fn warmth(&self, server: &Server) -> f64 {
         let Some(start) = server.born else { return 1.0 };
         let (from, span) = (
-            self.settings.rules.cold_from,
-            self.settings.rules.cold.as_secs_f64().max(1e-9),
+            self.settings.rules.slow_start_floor,
+            self.settings
+                .rules
+                .slow_start_window
+                .as_secs_f64()
+                .max(1e-9),
         );
         (from + (1.0 - from) * self.now.saturating_sub(start).as_secs_f64() / span).min(1.0)
     }
@@ -154,9 +165,9 @@
     /// This gateway's share of what a cold server may be sent by all; none for a warm one, or without such a
     /// rule. A warm one bears what warm ones were seen to do, and one API call after another of the usual
     /// length at the least. Harm: before it has seen any, a gateway sends cold servers next to nothing.
-    pub(super) fn share(&self, server: &Server) -> Option<Share> {
-        let (warmth, over) = (self.warmth(server), self.settings.rules.overload_for);
-        let multiple = self.settings.rules.fall_multiple;
+    pub(super) fn share(&self, server: &Server) -> Option<SlowStartBudget> {
+        let (warmth, over) = (self.warmth(server), self.settings.rules.overload_window);
+        let multiple = self.settings.rules.overload_factor;
         if warmth >= 1.0 || multiple <= 0.0 || over.is_zero() {
             return None;
         }
@@ -170,7 +181,7 @@
         let usual = each.sum::<f64>() / self.usual.len() as f64;
         let seen = self.fleet.done.0 / self.fleet.warm.max(1.0) * users;
         let bears = seen.max(1.0 / if usual > 0.0 { usual } else { 1.0 });
-        Some(Share::of(
+        Some(SlowStartBudget::share_of(
             bears * warmth * multiple * COLD_SHARE,
             users,
             over,
@@ -182,7 +193,7 @@
         let fair = self.fleet.room / self.own.len().max(1) as f64 * self.warmth(server);
         let permitted = self
             .share(server)
-            .is_none_or(|share| server.ramp.permits_one(self.now, share));
+            .is_none_or(|share| server.ramp.allows_one(self.now, share));
         permitted && f64::from(server.open) < fair.max(1.0)
     }
 
@@ -206,7 +217,11 @@
     /// Load against ability; a loss costs all that a queue can cost and more.
     pub(super) fn cost(&self, server: &Server, loss: f64) -> f64 {
         let able = server.listed.weight.max(0.1) * self.warmth(server);
-        let kind = self.kinds.get(&server.listed.kind).copied().unwrap_or(1.0);
+        let kind = self
+            .kinds
+            .get(&server.listed.machine_type)
+            .copied()
+            .unwrap_or(1.0);
         let load = (f64::from(server.open) + 1.0) * kind * server.pace / able;
         load / (1.0 - loss.min(0.95)).powi(3)
     }
@@ -218,21 +233,21 @@
         &self,
         rng: &mut WyRand,
         able: &dyn Fn(&Server) -> bool,
-        last: Option<&ServerId>,
+        last: Option<&EndpointId>,
         route: &RouteName,
-    ) -> Option<ServerId> {
-        let (some, fits) = (!self.own.is_empty(), |id: &&ServerId| {
+    ) -> Option<EndpointId> {
+        let (some, fits) = (!self.own.is_empty(), |id: &&EndpointId| {
             Some(*id) != last && able(&self.servers[*id])
         });
         let drawn = (0..DRAWS)
             .filter(|_| some)
             .map(|_| &self.own[rng.generate_range(0..self.own.len())]);
-        let mut found: Vec<&ServerId> = drawn.filter(fits).collect();
+        let mut found: Vec<&EndpointId> = drawn.filter(fits).collect();
         found.dedup();
         if found.len() < 2 {
             found = self.own.iter().filter(fits).collect();
             // Cold servers are shared out among those whose part they are.
-            let others = |id: &&ServerId| self.warmth(&self.servers[*id]) >= 1.0 && fits(id);
+            let others = |id: &&EndpointId| self.warmth(&self.servers[*id]) >= 1.0 && fits(id);
             if found.is_empty() && self.ids.len() > LOOKED_THROUGH {
                 // Of thousands a few hundred by chance are as good as all.
                 let drawn =
@@ -247,14 +262,14 @@
             rng.shuffle(&mut found);
         }
         let anywhere = self.route_loss(route);
-        let loss = |id: &ServerId| self.loss(&self.servers[id], route, anywhere);
+        let loss = |id: &EndpointId| self.loss(&self.servers[id], route, anywhere);
         found.sort_by_cached_key(|id| (loss(id) / (anywhere + LEAST_LOSS) * LOSS_STEPS) as u32);
         found.truncate(2);
         let again = || last.filter(|id| self.servers.get(*id).is_some_and(able));
         let [one, two] = found[..] else {
             return found.pop().or_else(again).cloned();
         };
-        let cost = |id: &ServerId| self.cost(&self.servers[id], loss(id));
+        let cost = |id: &EndpointId| self.cost(&self.servers[id], loss(id));
         let (first, second) = (cost(one), cost(two));
         let alike = self.servers[one].open + self.servers[two].open == 0;
         let chance = if alike { rng.generate::<f64>() } else { 0.5 };
--- a/src/control/server_health.rs
+++ b/src/control/server_health.rs
@@ -17,14 +17,14 @@
     }
 }
 
-impl Control {
+impl AdmissionController {
     /// Usual latency of a route, in seconds, once one of its tries has ended.
     pub(super) fn usual_latency(&self, route: &RouteName) -> Option<f64> {
         self.usual.get(route).map(|usual| usual.seconds)
     }
 
     /// Moves the server's pace and the room at all of them by how a try ended.
-    pub(super) fn judge(&mut self, server: &ServerId, route: &RouteName, end: &Ended) {
+    pub(super) fn judge(&mut self, server: &EndpointId, route: &RouteName, end: &AttemptResult) {
         let (took, now) = (end.latency.as_secs_f64(), self.now);
         let quick = took < self.settings.route(route).latency_target.as_secs_f64() * QUICK;
         let grow = 1.0 / self.gateways();
@@ -38,11 +38,11 @@
         // As in a window of tries: one round of answers moves the room by one whole step.
         let step = (ROUND / fleet.room).min(1.0);
         match end.outcome {
-            Outcome::Proxied if quick && fleet.open > fleet.room * 0.6 => {
+            AttemptOutcome::Success if quick && fleet.open > fleet.room * 0.6 => {
                 fleet.room += all * grow * step
             }
-            Outcome::Proxied if quick => (),
-            Outcome::ServerError | Outcome::Cancelled | Outcome::NotSent => (),
+            AttemptOutcome::Success if quick => (),
+            AttemptOutcome::ServerError | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => (),
             _ => fleet.room *= 1.0 - 0.15 * step,
         }
         (fleet.open, fleet.room) = (fleet.open - 1.0, fleet.room.max(all * grow));
@@ -56,15 +56,20 @@
             return;
         };
         server.open = server.open.saturating_sub(1);
-        if matches!(end.outcome, Outcome::Proxied | Outcome::TimedOut) {
+        if matches!(
+            end.outcome,
+            AttemptOutcome::Success | AttemptOutcome::TimedOut
+        ) {
             let (kind, pace) = (
-                self.kinds.entry(server.listed.kind.clone()).or_insert(1.0),
+                self.kinds
+                    .entry(server.listed.machine_type.clone())
+                    .or_insert(1.0),
                 took / usual.seconds,
             );
             server.pace += ((pace / *kind).clamp(0.2, 10.0) - server.pace) * 0.1;
             *kind += (pace.clamp(0.2, 10.0) - *kind) * 0.05;
         }
-        if end.outcome == Outcome::Proxied {
+        if end.outcome == AttemptOutcome::Success {
             // Its lower third, so that queues do not make quick routes look like much work.
             usual.add(took.max(0.001), 1.01, 0.98);
             if warm {
@@ -76,14 +81,19 @@
 
     /// A try was lost, or was not; what comes after the latency target is worth little or nothing. A server
     /// that can't be reached is so for every route.
-    pub(super) fn note_loss(&mut self, server: &ServerId, route: &RouteName, end: &Ended) {
+    pub(super) fn note_loss(
+        &mut self,
+        server: &EndpointId,
+        route: &RouteName,
+        end: &AttemptResult,
+    ) {
         let target = self.settings.route(route).latency_target;
         let lost = match end.outcome {
-            Outcome::Cancelled | Outcome::NotSent => return,
-            Outcome::Proxied if !target.is_zero() && end.latency > target => 1.0,
-            Outcome::TimedOut | Outcome::NoConnection | Outcome::Broken => 1.0,
-            Outcome::ServerError => ERROR_LOSS,
-            Outcome::Proxied | Outcome::TurnedAway => 0.0,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return,
+            AttemptOutcome::Success if !target.is_zero() && end.latency > target => 1.0,
+            AttemptOutcome::TimedOut | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => 1.0,
+            AttemptOutcome::ServerError => ERROR_LOSS,
+            AttemptOutcome::Success | AttemptOutcome::Rejected => 0.0,
         };
         let now = self.now;
         self.losses
@@ -98,7 +108,10 @@
             .entry(route.clone())
             .or_insert_with(|| LossRate::new(LOSS_HALF))
             .add(now, lost);
-        if matches!(end.outcome, Outcome::NoConnection | Outcome::Broken) {
+        if matches!(
+            end.outcome,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset
+        ) {
             server
                 .losses
                 .values_mut()
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -9,20 +9,26 @@
 #[derive(Clone, Default, Debug, PartialEq)]
 pub struct Settings {
     /// This gateway's number among all, from 0.
-    pub index: u32,
-    /// How many gateways there are.
+    pub gateway_index: u32,
+    /// How many gateways there are, as stated; [`Settings::gateway_count`] is never zero.
     pub gateways: u32,
     /// Events come at most this often.
-    pub resolution: Duration,
+    pub timer_resolution: Duration,
+    /// How endpoint updates come.
     pub discovery: DiscoveryMode,
+    /// What the deployment permits.
     pub limits: Limits,
+    /// Figures of the rules on drains and slow starts.
     pub rules: Rules,
+    /// The shared counter.
     pub counter: CounterSettings,
+    /// The plans by name.
     pub plans: BTreeMap<PlanName, Plan>,
+    /// The routes by name.
     pub routes: BTreeMap<RouteName, Route>,
 }
 
-/// How changes of the server list come.
+/// How endpoint updates come.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// Unasked.
@@ -35,143 +41,154 @@
 /// What the deployment permits.
 #[derive(Clone, Default, Debug, PartialEq)]
 pub struct Limits {
-    /// Tries of one API call; 0: no further one after the first.
+    /// Upstream attempts of one request; 0: no further one after the first.
     pub max_attempts: u32,
-    /// API calls that may be open; 0: no limit.
-    pub max_open: u32,
+    /// Requests that may be open; 0: no limit.
+    pub max_open_requests: u32,
+    /// How long a connection may take to come up.
     pub connect_timeout: Duration,
     /// An idle connection is closed after this.
-    pub idle_close: Duration,
-    /// A try that is out may be called off.
-    pub cancelling: bool,
+    pub idle_timeout: Duration,
+    /// Attempts that are out may be cancelled.
+    pub may_cancel: bool,
     /// Clients are told when to come again.
-    pub retry_after: bool,
+    pub sends_retry_after: bool,
     /// Gateways may send each other messages.
-    pub peers: bool,
+    pub peer_messages: bool,
 }
 
-/// Figures of the rules on drains and cold servers.
+/// Figures of the rules on drains and slow starts.
 #[derive(Clone, Default, Debug, PartialEq)]
 pub struct Rules {
-    /// A server starts at this share of its capacity or more.
-    pub cold_from: f64,
-    /// And is warm no later than this.
-    pub cold: Duration,
-    /// A cold server falls over when it is sent this multiple of its capacity; 0: there is no such rule.
-    pub fall_multiple: f64,
-    /// For this long.
-    pub overload_for: Duration,
-    /// Sends to a draining server may go on for this long after the gateway was told.
-    pub stop_sending_within: Duration,
-    /// The list is to be asked for at least this often.
-    pub ask_within: Duration,
+    /// The share of its capacity at which an endpoint starts, or more.
+    pub slow_start_floor: f64,
+    /// How long after its start an endpoint has its full capacity at the latest.
+    pub slow_start_window: Duration,
+    /// An endpoint in slow start falls over when it is sent this multiple of its present capacity; 0: there is no
+    /// such rule.
+    pub overload_factor: f64,
+    /// For how long it has to be sent that much.
+    pub overload_window: Duration,
+    /// Sends to a draining endpoint may go on for this long after the gateway was notified.
+    pub drain_grace: Duration,
+    /// The endpoint list is to be asked for at least this often.
+    pub list_refresh_interval: Duration,
 }
 
 /// The shared counter.
 #[derive(Clone, Default, Debug, PartialEq)]
 pub struct CounterSettings {
+    /// Whether there is one.
     pub present: bool,
     /// A call without an answer by then has failed.
     pub timeout: Duration,
-    /// The most units of an API call; 0: not stated.
-    pub most_units: f64,
+    /// The most units of a request; 0: not stated.
+    pub max_request_units: f64,
 }
 
 /// A plan: quotas that hold for each of its customers over all gateways together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Units a second at which a customer's store refills; 0: no such quota.
+    /// Units a second at which a customer's token bucket refills; 0: no such quota.
     pub rate: f64,
-    /// Units that the store holds.
+    /// Units that the bucket holds.
     pub burst: f64,
-    /// Upstream tries out at once; 0: no such quota.
-    pub cap: f64,
-    /// What multiplies the billed value.
+    /// Upstream attempts out at once; 0: no such quota.
+    pub concurrency_limit: f64,
+    /// Factor on the value of a route.
     pub price: f64,
     /// Units a second of the hard ceiling; 0: none.
     pub ceiling_rate: f64,
+    /// Units that the ceiling's bucket holds.
     pub ceiling_burst: f64,
 }
 
-/// A route: what its API calls are worth and how they may be repeated.
+/// A route: what its requests are worth and how they may be retried.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    pub repeat: Repeat,
-    /// Which servers know a repeated call by its token.
-    pub group: Group,
-    /// For how long they do, from the first try that may have run.
-    pub memory_span: Duration,
+    /// Whether a request may be sent again once it may have run.
+    pub idempotency: Idempotency,
+    /// Which endpoints recognise a repeated request by its key.
+    pub deduplication_scope: DeduplicationScope,
+    /// For how long they do, from the first attempt that may have run.
+    pub deduplication_window: Duration,
     /// An answer within this is worth all; zero: not stated.
     pub latency_target: Duration,
     /// How long a client waits; zero: not stated.
     pub client_timeout: Duration,
-    pub billed_value: f64,
-    /// The share of the billed value that a late answer is worth.
-    pub late_worth: f64,
+    /// What an answer within the target is worth for each unit, before the plan's price.
+    pub value: f64,
+    /// The share of the value that an answer past the target is worth.
+    pub late_value_ratio: f64,
 }
 
-/// Whether an API call may be sent again once it may have run.
+/// Whether a request may be sent again once it may have run.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
+    /// It may run any number of times.
     Idempotent,
-    /// At servers that know it by its token.
-    Tokened,
+    /// It carries a key by which the endpoints of one scope drop its repeats.
+    Keyed,
+    /// It must never run twice.
     #[default]
     NonIdempotent,
 }
 
-/// Servers that share what they know of tokens.
+/// The endpoints that share what they know of keys.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
+    /// All of them.
     All,
+    /// Those of one zone.
     Zone,
+    /// Those of one cell.
     #[default]
     Cell,
 }
 
-const NO_PLAN: Plan = Plan {
+const UNKNOWN_PLAN: Plan = Plan {
     rate: 0.0,
     burst: 0.0,
-    cap: 0.0,
+    concurrency_limit: 0.0,
     price: 0.0,
     ceiling_rate: 0.0,
     ceiling_burst: 0.0,
 };
 
-const NO_ROUTE: Route = Route {
-    repeat: Repeat::NonIdempotent,
-    group: Group::Cell,
-    memory_span: Duration::ZERO,
+const UNKNOWN_ROUTE: Route = Route {
+    idempotency: Idempotency::NonIdempotent,
+    deduplication_scope: DeduplicationScope::Cell,
+    deduplication_window: Duration::ZERO,
     latency_target: Duration::ZERO,
     client_timeout: Duration::ZERO,
-    billed_value: 0.0,
-    late_worth: 0.0,
+    value: 0.0,
+    late_value_ratio: 0.0,
 };
 
 impl Default for Plan {
     fn default() -> Self {
-        NO_PLAN
+        UNKNOWN_PLAN
     }
 }
 
 impl Default for Route {
     fn default() -> Self {
-        NO_ROUTE
+        UNKNOWN_ROUTE
     }
 }
 
 impl Settings {
     /// The plan of that name; one that is not stated has no quota and no price.
     pub fn plan(&self, name: &PlanName) -> &Plan {
-        self.plans.get(name).unwrap_or(&NO_PLAN)
+        self.plans.get(name).unwrap_or(&UNKNOWN_PLAN)
     }
 
-    /// The route of that name; one that is not stated is worth nothing and is never repeated.
+    /// The route of that name; one that is not stated is worth nothing and is never retried.
     pub fn route(&self, name: &RouteName) -> &Route {
-        self.routes.get(name).unwrap_or(&NO_ROUTE)
+        self.routes.get(name).unwrap_or(&UNKNOWN_ROUTE)
     }
 
-    /// How many gateways share the quotas, the servers and the counter: this one at the least.
+    /// How many gateways share the quotas, the endpoints and the counter: this one at the least.
     pub fn gateway_count(&self) -> f64 {
         f64::from(self.gateways.max(1))
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,30 +1,30 @@
 //! What a gateway remembers, without any decision: records of API calls, servers and customers, units that
 //! refill, and a hash for counter names.
 
-use crate::control::Control;
+use crate::control::AdmissionController;
 use crate::port::*;
 use crate::settings::Route;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wellcrank_fleet::ramp::Ramp;
+use wellcrank_fleet::slow_start::SlowStartPermits;
 
 pub const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
 /// What a step leaves behind.
-pub type Next<R> = Box<dyn FnOnce(&mut Control, R)>;
+pub type Next<R> = Box<dyn FnOnce(&mut AdmissionController, R)>;
 
 pub struct Call {
-    pub arrival: Arrival,
+    pub arrival: Request,
     /// The route's terms as they were when it came.
     pub route: Route,
     pub born: Duration,
     pub tries: u32,
     /// Sent without the counter's word.
     pub unsure: bool,
-    pub out: Option<TryNumber>,
-    pub last: Option<ServerId>,
+    pub out: Option<AttemptNumber>,
+    pub last: Option<EndpointId>,
     /// When and where the first try that may have run was sent.
     pub ran: Option<Sent>,
     /// A try has come whole to a server: its units are taken.
@@ -40,7 +40,7 @@
 }
 
 impl Call {
-    pub fn new(arrival: Arrival, route: Route, born: Duration, unsure: bool) -> Self {
+    pub fn new(arrival: Request, route: Route, born: Duration, unsure: bool) -> Self {
         Call {
             arrival,
             route,
@@ -56,7 +56,7 @@
 }
 
 pub struct Server {
-    pub listed: Listed,
+    pub listed: Endpoint,
     /// When it started, by the carrier's clock; none: long ago.
     pub born: Option<Duration>,
     pub open: u32,
@@ -65,7 +65,7 @@
     /// Losses of each route here.
     pub losses: BTreeMap<RouteName, LossRate>,
     /// By which this gateway's share of a cold server's budget is kept.
-    pub ramp: Ramp,
+    pub ramp: SlowStartPermits,
 }
 
 /// What is kept of a server that is no longer listed: it may be listed again without having started anew.
@@ -77,7 +77,12 @@
 
 impl Server {
     /// As nothing is known of it yet.
-    pub fn fresh(listed: Listed, born: Option<Duration>, open: u32, ramp: Ramp) -> Self {
+    pub fn fresh(
+        listed: Endpoint,
+        born: Option<Duration>,
+        open: u32,
+        ramp: SlowStartPermits,
+    ) -> Self {
         Server {
             listed,
             born,
--- a/tests/plays/named_settings.rs
+++ b/tests/plays/named_settings.rs
@@ -13,7 +13,7 @@
     match field {
         "rate" => plan.rate = value,
         "burst" => plan.burst = value,
-        "cap" => plan.cap = value,
+        "cap" => plan.concurrency_limit = value,
         "price" => plan.price = value,
         "ceiling_rate" => plan.ceiling_rate = value,
         "ceiling_burst" => plan.ceiling_burst = value,
@@ -23,17 +23,17 @@
 
 fn route(route: &mut Route, field: &str, value: &str) {
     match (field, value) {
-        ("repeat", "idempotent") => route.repeat = Repeat::Idempotent,
-        ("repeat", "tokened") => route.repeat = Repeat::Tokened,
-        ("repeat", _) => route.repeat = Repeat::NonIdempotent,
-        ("group", "all") => route.group = Group::All,
-        ("group", "zone") => route.group = Group::Zone,
-        ("group", _) => route.group = Group::Cell,
-        ("memory_span", span) => route.memory_span = seconds(number(span)),
+        ("repeat", "idempotent") => route.idempotency = Idempotency::Idempotent,
+        ("repeat", "tokened") => route.idempotency = Idempotency::Keyed,
+        ("repeat", _) => route.idempotency = Idempotency::NonIdempotent,
+        ("group", "all") => route.deduplication_scope = DeduplicationScope::All,
+        ("group", "zone") => route.deduplication_scope = DeduplicationScope::Zone,
+        ("group", _) => route.deduplication_scope = DeduplicationScope::Cell,
+        ("memory_span", span) => route.deduplication_window = seconds(number(span)),
         ("latency_target", span) => route.latency_target = seconds(number(span)),
         ("client_timeout", span) => route.client_timeout = seconds(number(span)),
-        ("billed_value", value) => route.billed_value = number(value),
-        ("late_worth", value) => route.late_worth = number(value),
+        ("billed_value", value) => route.value = number(value),
+        ("late_worth", value) => route.late_value_ratio = number(value),
         (other, _) => panic!("no such figure of a route: {other}"),
     }
 }
@@ -42,27 +42,29 @@
     let parts: Vec<&str> = name.splitn(3, '.').collect();
     match (&parts[..], value) {
         (["gateways"], value) => settings.gateways = number(value) as u32,
-        (["index"], value) => settings.index = number(value) as u32,
-        (["resolution"], value) => settings.resolution = seconds(number(value)),
+        (["index"], value) => settings.gateway_index = number(value) as u32,
+        (["resolution"], value) => settings.timer_resolution = seconds(number(value)),
         (["registry_mode"], "subscribe") => settings.discovery = DiscoveryMode::Subscribe,
         (["limits", "max_attempts"], value) => settings.limits.max_attempts = number(value) as u32,
         (["limits", "connect_timeout"], value) => {
             settings.limits.connect_timeout = seconds(number(value))
         }
-        (["limits", "idle_close"], value) => settings.limits.idle_close = seconds(number(value)),
-        (["limits", "cancelling"], value) => settings.limits.cancelling = value == "true",
-        (["rules", "cold_from"], value) => settings.rules.cold_from = number(value),
-        (["rules", "cold"], value) => settings.rules.cold = seconds(number(value)),
-        (["rules", "fall_multiple"], value) => settings.rules.fall_multiple = number(value),
-        (["rules", "overload_for"], value) => settings.rules.overload_for = seconds(number(value)),
+        (["limits", "idle_close"], value) => settings.limits.idle_timeout = seconds(number(value)),
+        (["limits", "cancelling"], value) => settings.limits.may_cancel = value == "true",
+        (["rules", "cold_from"], value) => settings.rules.slow_start_floor = number(value),
+        (["rules", "cold"], value) => settings.rules.slow_start_window = seconds(number(value)),
+        (["rules", "fall_multiple"], value) => settings.rules.overload_factor = number(value),
+        (["rules", "overload_for"], value) => {
+            settings.rules.overload_window = seconds(number(value))
+        }
         (["rules", "stop_sending_within"], value) => {
-            settings.rules.stop_sending_within = seconds(number(value));
+            settings.rules.drain_grace = seconds(number(value));
         }
         (["counter", "present"], value) => settings.counter.present = value == "true",
         (["counter", "counter_timeout"], value) => {
             settings.counter.timeout = seconds(number(value))
         }
-        (["counter", "units_top"], value) => settings.counter.most_units = number(value),
+        (["counter", "units_top"], value) => settings.counter.max_request_units = number(value),
         (["plans", name, field], value) => {
             plan(
                 settings.plans.entry((*name).into()).or_default(),
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -29,7 +29,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
-use wellcrank::control::Control;
+use wellcrank::control::AdmissionController;
 use wellcrank::port::*;
 use wellcrank::settings::Settings;
 
@@ -51,23 +51,23 @@
 }
 
 impl Port for Recorder {
-    fn send(&mut self, call: &CallId, server: &ServerId, _: Duration, whole_by: Duration) {
+    fn send(&mut self, call: &RequestId, server: &EndpointId, _: Duration, whole_by: Duration) {
         let by = match whole_by {
             Duration::MAX => String::new(),
             by => format!(" by {}", by.as_secs_f64()),
         };
         self.note(format!("send {} {}{by}", call.0, server.0));
     }
-    fn cancel(&mut self, call: &CallId, number: TryNumber) {
+    fn cancel(&mut self, call: &RequestId, number: AttemptNumber) {
         self.note(format!("cancel {} {}", call.0, number.0));
     }
-    fn rate_limit(&mut self, call: &CallId, retry_after: Duration) {
+    fn reject(&mut self, call: &RequestId, retry_after: Duration) {
         self.note(format!("limit {} {}", call.0, retry_after.as_secs_f64()));
     }
-    fn error(&mut self, call: &CallId) {
+    fn fail(&mut self, call: &RequestId) {
         self.note(format!("error {}", call.0));
     }
-    fn count(&mut self, name: CounterName, add: f64, _: Duration) {
+    fn add_to_counter(&mut self, name: CounterName, add: f64, _: Duration) {
         self.note(format!("count {} {add:+}", name.0));
         self.0
             .borrow_mut()
@@ -76,16 +76,16 @@
             .or_default()
             .push_back(add);
     }
-    fn wake(&mut self, token: WakeToken, at: Duration) {
+    fn set_timer(&mut self, token: TimerToken, at: Duration) {
         self.0.borrow_mut().wakes.push((at, token.0));
     }
     fn subscribe(&mut self, on: bool) {
         self.note(format!("subscribe {on}"));
     }
-    fn probe(&mut self, _: &ServerId) {}
-    fn refetch(&mut self) {}
-    fn release(&mut self, _: &ServerId) {}
-    fn tell(&mut self, _: Option<u32>, _: &[u8]) {}
+    fn probe(&mut self, _: &EndpointId) {}
+    fn refetch_endpoints(&mut self) {}
+    fn close_idle_connections(&mut self, _: &EndpointId) {}
+    fn send_to_peer(&mut self, _: Option<u32>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
 }
 
@@ -93,7 +93,7 @@
 struct Stage {
     settings: Settings,
     seen: Recorder,
-    control: Option<Control>,
+    control: Option<AdmissionController>,
     now: Duration,
     sent: BTreeMap<String, Duration>,
     labels: BTreeMap<String, u64>,
@@ -104,7 +104,7 @@
         .unwrap_or_else(|_| panic!("'{word}' is no number"))
 }
 
-fn server(word: &str) -> Listed {
+fn server(word: &str) -> Endpoint {
     let name = word.trim_end_matches(['!', '-']);
     let (name, since) = name
         .split_once('@')
@@ -112,34 +112,34 @@
     let (name, kind) = name.split_once('~').unwrap_or((name, ""));
     let (name, cell) = name.split_once('/').unwrap_or((name, "0"));
     let phase = match word.chars().last() {
-        Some('!') => Phase::Draining,
-        Some('-') => Phase::Gone,
-        _ => Phase::Ready,
+        Some('!') => EndpointState::Draining,
+        Some('-') => EndpointState::Removed,
+        _ => EndpointState::Ready,
     };
     let started = since.map(|since| UnixTime(Duration::from_secs_f64(since)));
-    Listed {
-        server: name.into(),
-        phase,
-        started,
+    Endpoint {
+        id: name.into(),
+        state: phase,
+        started_at: started,
         cell: number(cell) as u64,
         zone: String::new(),
-        kind: kind.to_string(),
+        machine_type: kind.to_string(),
         weight: 1.0,
     }
 }
 
 /// In the scenarios all clocks are one.
-fn list_time(now: Duration) -> ListTime {
-    ListTime {
+fn list_time(now: Duration) -> UpdateTiming {
+    UpdateTiming {
         unix_now: UnixTime(now),
-        since_last: None,
+        since_last_update: None,
     }
 }
 
 impl Stage {
     fn go_to(&mut self, at: Duration) {
         let control = self.control.get_or_insert_with(|| {
-            Control::new(
+            AdmissionController::new(
                 Rc::new(self.settings.clone()),
                 7,
                 at,
@@ -162,11 +162,11 @@
                 .borrow_mut()
                 .wakes
                 .retain(|other| *other != wake);
-            control.tell_time(wake.0);
-            control.woken(WakeToken(wake.1));
+            control.set_time(wake.0);
+            control.on_timer(TimerToken(wake.1));
         }
         self.now = at;
-        control.tell_time(at);
+        control.set_time(at);
     }
 
     fn name(&mut self, label: &str) -> CounterName {
@@ -238,7 +238,7 @@
                     .borrow()
                     .wakes
                     .iter()
-                    .any(|wake| wake.1 == DUE_TOKEN.0);
+                    .any(|wake| wake.1 == DUE_TIMER.0);
                 return assert!(!woken, "a wake is set");
             }
             ["wait"] => {
@@ -256,26 +256,24 @@
         };
         let control = self.control.as_mut().expect("'at' comes first");
         match (words, counter) {
-            (["list", servers @ ..], _) => control.listed(
-                true,
+            (["list", servers @ ..], _) => control.on_endpoint_update(
                 list_time(self.now),
-                servers.iter().map(|word| server(word)).collect(),
+                EndpointUpdate::Snapshot(servers.iter().map(|word| server(word)).collect()),
             ),
-            (["change", servers @ ..], _) => control.listed(
-                false,
+            (["change", servers @ ..], _) => control.on_endpoint_update(
                 list_time(self.now),
-                servers.iter().map(|word| server(word)).collect(),
+                EndpointUpdate::Delta(servers.iter().map(|word| server(word)).collect()),
             ),
             (["call", call, customer, plan, route, timeout, units @ ..], _) => {
-                control.arrived(Arrival {
-                    call: (*call).into(),
+                control.on_request(Request {
+                    id: (*call).into(),
                     customer: (*customer).into(),
                     plan: (*plan).into(),
                     route: (*route).into(),
                     units: units.first().map_or(1.0, |units| number(units)),
-                    until: self.now + Duration::from_secs_f64(number(timeout)),
-                    first: 0,
-                    spread: 2,
+                    deadline: self.now + Duration::from_secs_f64(number(timeout)),
+                    first_gateway: 0,
+                    gateway_count: 2,
                 })
             }
             ([how, _, total @ ..], Some(name)) => loop {
@@ -287,34 +285,44 @@
                     .get_mut(&name.0)
                     .and_then(VecDeque::pop_front);
                 match add.expect("an open call on this name") {
-                    given if given < 0.0 => control.counted(name, Counted::Total(0.0)),
-                    _ if *how == "refused" => break control.counted(name, Counted::NotAdded),
-                    _ if *how == "unread" => break control.counted(name, Counted::Added),
-                    _ if *how == "lost" => break control.counted(name, Counted::Unsure),
-                    _ => break control.counted(name, Counted::Total(number(total[0]))),
+                    given if given < 0.0 => {
+                        control.on_counter_reply(name, CounterReply::Total(0.0))
+                    }
+                    _ if *how == "refused" => {
+                        break control.on_counter_reply(name, CounterReply::NotApplied)
+                    }
+                    _ if *how == "unread" => {
+                        break control.on_counter_reply(name, CounterReply::Applied)
+                    }
+                    _ if *how == "lost" => {
+                        break control.on_counter_reply(name, CounterReply::Unknown)
+                    }
+                    _ => {
+                        break control.on_counter_reply(name, CounterReply::Total(number(total[0])))
+                    }
                 }
             },
             (["end", call, attempt, how, settled @ ..], _) => {
                 let outcome = match *how {
-                    "proxied" => Outcome::Proxied,
-                    "error" => Outcome::ServerError,
-                    "full" => Outcome::TurnedAway,
-                    "silence" => Outcome::TimedOut,
-                    "unreachable" => Outcome::NoConnection,
-                    "unsent" => Outcome::NotSent,
-                    "reset" => Outcome::Broken,
+                    "proxied" => AttemptOutcome::Success,
+                    "error" => AttemptOutcome::ServerError,
+                    "full" => AttemptOutcome::Rejected,
+                    "silence" => AttemptOutcome::TimedOut,
+                    "unreachable" => AttemptOutcome::ConnectFailed,
+                    "unsent" => AttemptOutcome::NotSent,
+                    "reset" => AttemptOutcome::Reset,
                     other => panic!("no such end: {other}"),
                 };
-                let end = Ended {
+                let end = AttemptResult {
                     outcome,
                     latency: self.now - self.sent.get(*call).copied().unwrap_or(self.now),
-                    closed: outcome == Outcome::Proxied,
-                    settled: settled.first().map(|units| number(units)),
+                    request_closed: outcome == AttemptOutcome::Success,
+                    settled_units: settled.first().map(|units| number(units)),
                     load: BTreeMap::new(),
                 };
-                control.ended(&(*call).into(), TryNumber(number(attempt) as u32), end);
+                control.on_attempt_end(&(*call).into(), AttemptNumber(number(attempt) as u32), end);
             }
-            (["gone", call], _) => control.gone(&(*call).into()),
+            (["gone", call], _) => control.on_client_disconnect(&(*call).into()),
             _ => panic!("no such step"),
         }
     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use wellcrank::control::Control;
+use wellcrank::control::AdmissionController;
 use wellcrank::port::*;
 use wellcrank::settings::*;
 
@@ -18,7 +18,7 @@
 struct Open {
     route: RouteName,
     until: Duration,
-    out: Option<TryNumber>,
+    out: Option<AttemptNumber>,
     tries: u32,
     /// When and in which cell the first try that may have run was sent; the one that is out may as well.
     ran: Option<(Duration, u64)>,
@@ -31,33 +31,33 @@
     settings: Settings,
     wakes: Vec<(Duration, u64)>,
     counts: Vec<CounterName>,
-    open: BTreeMap<CallId, Open>,
+    open: BTreeMap<RequestId, Open>,
     /// Tries whose end is to be told, and whether their API call is over.
-    out: Vec<(CallId, TryNumber)>,
-    servers: BTreeMap<ServerId, (bool, u64)>,
+    out: Vec<(RequestId, AttemptNumber)>,
+    servers: BTreeMap<EndpointId, (bool, u64)>,
 }
 
 #[derive(Clone, Default)]
 struct Referee(Rc<RefCell<Seen>>);
 
 impl Seen {
-    fn effect(&self, open: &Open) -> Repeat {
-        self.settings.route(&open.route).repeat
+    fn effect(&self, open: &Open) -> Idempotency {
+        self.settings.route(&open.route).idempotency
     }
 
     /// The final answer.
-    fn answered(&mut self, call: &CallId, harmless: bool) {
+    fn answered(&mut self, call: &RequestId, harmless: bool) {
         let open = self
             .open
             .remove(call)
             .expect("one answer, to an open API call");
         assert!(self.now <= open.until, "answered in time");
         let may_have_run = open.ran.is_some() || open.out.is_some();
-        let all = self.settings.route(&open.route).group == Group::All;
+        let all = self.settings.route(&open.route).deduplication_scope == DeduplicationScope::All;
         let permitted = match self.effect(&open) {
-            Repeat::Idempotent => true,
-            Repeat::Tokened => !may_have_run || all,
-            Repeat::NonIdempotent => !may_have_run,
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed => !may_have_run || all,
+            Idempotency::NonIdempotent => !may_have_run,
         };
         assert!(
             permitted || !harmless,
@@ -67,7 +67,13 @@
 }
 
 impl Port for Referee {
-    fn send(&mut self, call: &CallId, server: &ServerId, timeout: Duration, whole_by: Duration) {
+    fn send(
+        &mut self,
+        call: &RequestId,
+        server: &EndpointId,
+        timeout: Duration,
+        whole_by: Duration,
+    ) {
         let seen = &mut *self.0.borrow_mut();
         let now = seen.now;
         let open = seen
@@ -82,49 +88,50 @@
             now + timeout <= open.until && whole_by > now,
             "there is time left"
         );
-        let memory = seen.settings.route(&open.route).memory_span;
+        let memory = seen.settings.route(&open.route).deduplication_window;
         if let Some((at, first)) = open.ran {
             let lapses = at + memory;
             match seen.effect(&open) {
-                Repeat::Idempotent => (),
-                Repeat::Tokened => {
+                Idempotency::Idempotent => (),
+                Idempotency::Keyed => {
                     assert!(
                         now < lapses && whole_by <= lapses,
                         "a repeat that is remembered"
                     );
-                    let all = seen.settings.route(&open.route).group == Group::All;
+                    let all = seen.settings.route(&open.route).deduplication_scope
+                        == DeduplicationScope::All;
                     assert!(all || first == cell, "a repeat where it is remembered");
                 }
-                Repeat::NonIdempotent => panic!("what must not run twice is sent again"),
+                Idempotency::NonIdempotent => panic!("what must not run twice is sent again"),
             }
         }
         let open = seen.open.get_mut(call).expect("looked up above");
-        open.out = Some(TryNumber(open.tries));
+        open.out = Some(AttemptNumber(open.tries));
         (open.tries, open.sent) = (open.tries + 1, (now, cell));
         seen.out.push((call.clone(), open.out.expect("just set")));
     }
-    fn cancel(&mut self, _: &CallId, _: TryNumber) {
-        assert!(self.0.borrow().settings.limits.cancelling);
+    fn cancel(&mut self, _: &RequestId, _: AttemptNumber) {
+        assert!(self.0.borrow().settings.limits.may_cancel);
     }
-    fn rate_limit(&mut self, call: &CallId, retry_after: Duration) {
+    fn reject(&mut self, call: &RequestId, retry_after: Duration) {
         assert!(retry_after <= Duration::from_secs(30));
         self.0.borrow_mut().answered(call, true);
     }
-    fn error(&mut self, call: &CallId) {
+    fn fail(&mut self, call: &RequestId) {
         self.0.borrow_mut().answered(call, false);
     }
-    fn count(&mut self, name: CounterName, add: f64, keep: Duration) {
+    fn add_to_counter(&mut self, name: CounterName, add: f64, keep: Duration) {
         assert!(add.is_finite() && add != 0.0 && keep > Duration::ZERO);
         self.0.borrow_mut().counts.push(name);
     }
-    fn wake(&mut self, token: WakeToken, at: Duration) {
+    fn set_timer(&mut self, token: TimerToken, at: Duration) {
         self.0.borrow_mut().wakes.push((at, token.0));
     }
     fn subscribe(&mut self, _: bool) {}
-    fn probe(&mut self, _: &ServerId) {}
-    fn refetch(&mut self) {}
-    fn release(&mut self, _: &ServerId) {}
-    fn tell(&mut self, _: Option<u32>, _: &[u8]) {}
+    fn probe(&mut self, _: &EndpointId) {}
+    fn refetch_endpoints(&mut self) {}
+    fn close_idle_connections(&mut self, _: &EndpointId) {}
+    fn send_to_peer(&mut self, _: Option<u32>, _: &[u8]) {}
     fn log(&mut self, _: &str) {}
 }
 
@@ -204,7 +211,7 @@
 
 struct Day {
     seen: Referee,
-    control: Control,
+    control: AdmissionController,
     rng: WyRand,
     calls: u32,
 }
@@ -215,7 +222,8 @@
         let settings = settings(&mut rng);
         let (seen, start) = (Referee::default(), Duration::from_secs(1_700_000_000));
         (seen.0.borrow_mut().now, seen.0.borrow_mut().settings) = (start, settings.clone());
-        let control = Control::new(Rc::new(settings), seed, start, Box::new(seen.clone()));
+        let control =
+            AdmissionController::new(Rc::new(settings), seed, start, Box::new(seen.clone()));
         Day {
             seen,
             control,
@@ -240,7 +248,7 @@
             };
             let Some((at, token)) = next else { break };
             self.tell_time(at);
-            self.control.woken(WakeToken(token));
+            self.control.on_timer(TimerToken(token));
         }
         self.tell_time(until);
     }
@@ -248,7 +256,7 @@
     fn tell_time(&mut self, at: Duration) {
         let now = self.seen.0.borrow().now.max(at);
         self.seen.0.borrow_mut().now = now;
-        self.control.tell_time(now);
+        self.control.set_time(now);
     }
 
     fn list(&mut self) {
@@ -259,11 +267,11 @@
         let mut lines = Vec::new();
         for number in 0..self.rng.generate_range(1..6u32) {
             let phase = [
-                Phase::Ready,
-                Phase::Ready,
-                Phase::Ready,
-                Phase::Draining,
-                Phase::Gone,
+                EndpointState::Ready,
+                EndpointState::Ready,
+                EndpointState::Ready,
+                EndpointState::Draining,
+                EndpointState::Removed,
             ][self.rng.generate_range(0..5usize)];
             let started = [
                 None,
@@ -273,13 +281,13 @@
             ];
             // Zones are as cells here, so that a route's group is either.
             let cell = self.rng.generate_range(0..3u64);
-            lines.push(Listed {
-                server: format!("s{number}").as_str().into(),
-                phase,
-                started: started[self.rng.generate_range(0..4usize)].map(UnixTime),
+            lines.push(Endpoint {
+                id: format!("s{number}").as_str().into(),
+                state: phase,
+                started_at: started[self.rng.generate_range(0..4usize)].map(UnixTime),
                 cell,
                 zone: cell.to_string(),
-                kind: String::new(),
+                machine_type: String::new(),
                 weight: [0.0, 1.0, 1e300, -3.0][self.rng.generate_range(0..4usize)],
             });
         }
@@ -289,20 +297,28 @@
                 servers.clear();
             }
             for line in &lines {
-                servers.insert(line.server.clone(), (line.phase == Phase::Ready, line.cell));
+                servers.insert(
+                    line.id.clone(),
+                    (line.state == EndpointState::Ready, line.cell),
+                );
             }
         }
-        let time = ListTime {
+        let time = UpdateTiming {
             unix_now: UnixTime(now),
-            since_last: None,
+            since_last_update: None,
         };
-        self.control.listed(whole, time, lines);
+        let update = if whole {
+            EndpointUpdate::Snapshot(lines)
+        } else {
+            EndpointUpdate::Delta(lines)
+        };
+        self.control.on_endpoint_update(time, update);
     }
 
     fn call(&mut self) {
         self.calls += 1;
         let rng = &mut self.rng;
-        let call: CallId = self.calls.to_string().as_str().into();
+        let call: RequestId = self.calls.to_string().as_str().into();
         let route: RouteName = ROUTES[rng.generate_range(0..4usize)].into();
         let now = self.seen.0.borrow().now;
         let until = now + Duration::from_millis([1, 50, 600, 3000][rng.generate_range(0..4usize)]);
@@ -315,17 +331,17 @@
             sent: (now, 0),
         };
         self.seen.0.borrow_mut().open.insert(call.clone(), open);
-        let arrival = Arrival {
-            call,
+        let arrival = Request {
+            id: call,
             customer: ["ann", "bob"][rng.generate_range(0..2usize)].into(),
             plan: PLANS[rng.generate_range(0..3usize)].into(),
             route,
             units: [1e-3, 1.0, 3.0, 1e6][rng.generate_range(0..4usize)],
-            until,
-            first: rng.generate_range(0..3u32),
-            spread: rng.generate_range(1..300u32),
+            deadline: until,
+            first_gateway: rng.generate_range(0..3u32),
+            gateway_count: rng.generate_range(1..300u32),
         };
-        self.control.arrived(arrival);
+        self.control.on_request(arrival);
     }
 
     fn counted(&mut self) {
@@ -337,12 +353,12 @@
         let total =
             [0.0, 1.0, 3.0, 5.0, -1e9, 1e18, 1e308, f64::MIN][self.rng.generate_range(0..8usize)];
         let counted = match self.rng.generate_range(0..8u32) {
-            0 => Counted::Added,
-            1 => Counted::NotAdded,
-            2 => Counted::Unsure,
-            _ => Counted::Total(total),
+            0 => CounterReply::Applied,
+            1 => CounterReply::NotApplied,
+            2 => CounterReply::Unknown,
+            _ => CounterReply::Total(total),
         };
-        self.control.counted(name, counted);
+        self.control.on_counter_reply(name, counted);
     }
 
     fn ended(&mut self) {
@@ -353,14 +369,14 @@
             return;
         }
         let (call, number) = self.seen.0.borrow_mut().out.swap_remove(place);
-        use Outcome::*;
+        use AttemptOutcome::*;
         let all = [
-            Proxied,
+            Success,
             ServerError,
-            TurnedAway,
+            Rejected,
             TimedOut,
-            NoConnection,
-            Broken,
+            ConnectFailed,
+            Reset,
             Cancelled,
             NotSent,
         ];
@@ -368,26 +384,26 @@
         let mut closed = true;
         if let Some(open) = self.seen.0.borrow_mut().open.get_mut(&call) {
             open.out = None;
-            if !matches!(outcome, TurnedAway | NoConnection | NotSent) {
+            if !matches!(outcome, Rejected | ConnectFailed | NotSent) {
                 open.ran.get_or_insert(open.sent);
             }
             closed = false;
         }
-        if outcome == Proxied {
+        if outcome == Success {
             self.seen.0.borrow_mut().open.remove(&call);
             closed = true;
         }
         let settled = [None, Some(1.0), Some(1e6)][self.rng.generate_range(0..3usize)];
         let latency = Duration::from_millis(self.rng.generate_range(0..900u64));
         let load = BTreeMap::new();
-        self.control.ended(
+        self.control.on_attempt_end(
             &call,
             number,
-            Ended {
+            AttemptResult {
                 outcome,
                 latency,
-                closed,
-                settled,
+                request_closed: closed,
+                settled_units: settled,
                 load,
             },
         );
@@ -401,7 +417,7 @@
             call.inspect(|call| drop(open.remove(call)))
         };
         if let Some(call) = call {
-            self.control.gone(&call);
+            self.control.on_client_disconnect(&call);
         }
     }
 }
