--- a/fleet/src/discovery_retry/tests.rs
+++ b/fleet/src/discovery_retry/tests.rs
@@ -23,16 +23,16 @@
     ] {
         for sharing in [None, Some(3.0), Some(1024.0)] {
             for draw in [0.0, 0.5, 0.999] {
-                let mut recall = DiscoveryRetryPolicy::new(terms(connect, grace, sharing));
+                let mut policy = DiscoveryRetryPolicy::new(terms(connect, grace, sharing));
                 for failure in 0..200 {
                     // A connection that is refused or reset at once, one that never came up, one that fell silent.
-                    let ago = [MS(0), recall.connect_timeout(), recall.watch_wait()][failure % 3];
-                    let wait = recall.record_failure(DiscoveryFailure::Timeout, ago, draw);
+                    let ago = [MS(0), policy.connect_timeout(), policy.watch_wait()][failure % 3];
+                    let wait = policy.record_failure(DiscoveryFailure::Timeout, ago, draw);
                     assert!(
-                        wait <= recall.call_interval(),
+                        wait <= policy.call_interval(),
                         "{connect} {grace} {failure}: {wait:?}"
                     );
-                    assert!(wait + recall.connect_timeout() <= MS(grace).max(MS(connect)) * 3 / 4);
+                    assert!(wait + policy.connect_timeout() <= MS(grace).max(MS(connect)) * 3 / 4);
                 }
             }
         }
@@ -41,37 +41,37 @@
 
 #[test]
 fn silence_does_not_make_calls_crowd_one_another() {
-    let mut recall = DiscoveryRetryPolicy::new(terms(250, 500, Some(300.0)));
+    let mut policy = DiscoveryRetryPolicy::new(terms(250, 500, Some(300.0)));
     for _ in 0..100 {
         assert!(
-            recall.record_failure(DiscoveryFailure::Timeout, MS(0), 0.0)
-                >= recall.call_interval() / 2
+            policy.record_failure(DiscoveryFailure::Timeout, MS(0), 0.0)
+                >= policy.call_interval() / 2
         );
     }
 }
 
 #[test]
 fn a_shared_service_that_says_no_is_left_alone_for_longer_and_longer_within_what_counts_as_told() {
-    let mut recall = DiscoveryRetryPolicy::new(terms(250, 500, Some(20.0)));
-    let waits = |recall: &mut DiscoveryRetryPolicy| -> Vec<u64> {
+    let mut policy = DiscoveryRetryPolicy::new(terms(250, 500, Some(20.0)));
+    let waits = |retry: &mut DiscoveryRetryPolicy| -> Vec<u64> {
         (0..5)
             .map(|_| {
-                recall
+                retry
                     .record_failure(DiscoveryFailure::Rejection, MS(0), 0.5)
                     .as_millis() as u64
             })
             .collect()
     };
-    assert_eq!(waits(&mut recall), [500, 1000, 2000, 2000, 2000]);
+    assert_eq!(waits(&mut policy), [500, 1000, 2000, 2000, 2000]);
     // Silence in between is no sign of room, nor does it make the next call wait.
-    assert!(recall.record_failure(DiscoveryFailure::Timeout, MS(0), 0.5) < MS(125));
+    assert!(policy.record_failure(DiscoveryFailure::Timeout, MS(0), 0.5) < MS(125));
     assert_eq!(
-        recall.record_failure(DiscoveryFailure::Rejection, MS(0), 0.5),
+        policy.record_failure(DiscoveryFailure::Rejection, MS(0), 0.5),
         MS(2000)
     );
-    recall.record_success();
+    policy.record_success();
     assert_eq!(
-        recall.record_failure(DiscoveryFailure::Rejection, MS(0), 0.5),
+        policy.record_failure(DiscoveryFailure::Rejection, MS(0), 0.5),
         MS(500)
     );
     assert_eq!(
@@ -82,10 +82,10 @@
 
 #[test]
 fn an_agent_of_ones_own_that_says_no_is_asked_again_soon() {
-    let mut recall = DiscoveryRetryPolicy::new(terms(250, 500, None));
+    let mut policy = DiscoveryRetryPolicy::new(terms(250, 500, None));
     assert!((0..50).all(
-        |_| recall.record_failure(DiscoveryFailure::Rejection, MS(0), 0.9)
-            <= recall.call_interval()
+        |_| policy.record_failure(DiscoveryFailure::Rejection, MS(0), 0.9)
+            <= policy.call_interval()
     ));
 }
 
@@ -113,16 +113,16 @@
     let mut rng = WyRand::new_seed(11);
     for _ in 0..20_000 {
         let terms = any(&mut rng);
-        let mut recall = DiscoveryRetryPolicy::new(terms);
+        let mut policy = DiscoveryRetryPolicy::new(terms);
         for _ in 0..rng.generate_range(0..12u32) {
             let how = [DiscoveryFailure::Timeout, DiscoveryFailure::Rejection]
                 [rng.generate_range(0..2usize)];
-            recall.record_failure(how, MS(rng.generate_range(0..9000)), rng.generate());
+            policy.record_failure(how, MS(rng.generate_range(0..9000)), rng.generate());
         }
         let shared = terms.sharing_gateways.is_some();
         // A watch that is silent from its start is given up, one connection more comes to nothing, the next answers.
-        let silent = recall.watch_wait() + recall.response_timeout(false);
-        let mut after = recall;
+        let silent = policy.watch_wait() + policy.response_timeout(false);
+        let mut after = policy;
         after.record_failure(DiscoveryFailure::Timeout, silent, rng.generate());
         let again = after.call_interval() + after.connect_timeout() + after.response_timeout(false);
         assert!(
@@ -130,42 +130,42 @@
             "{terms:?}: {silent:?} {again:?}"
         );
         // So does a whole list.
-        let whole = recall.response_timeout(true);
+        let whole = policy.response_timeout(true);
         assert!(
             whole + after.call_interval() + after.connect_timeout() + after.response_timeout(true)
                 <= NOTIFIED_WITHIN,
             "{terms:?}"
         );
         // A call is refused, the next is answered within the time that a crowded service takes.
-        let wait = recall.record_failure(DiscoveryFailure::Rejection, MS(0), rng.generate());
+        let wait = policy.record_failure(DiscoveryFailure::Rejection, MS(0), rng.generate());
         assert!(
             wait + NOTIFIED_WITHIN / 3 <= NOTIFIED_WITHIN,
             "{terms:?}: {wait:?}"
         );
         assert!(
-            !shared || recall.response_timeout(true) >= NOTIFIED_WITHIN / 3,
+            !shared || policy.response_timeout(true) >= NOTIFIED_WITHIN / 3,
             "given up before it is turned away"
         );
         // And the first call of a gateway that starts.
-        let first = recall.first_call_delay(rng.generate_range(0..1024u32));
+        let first = policy.first_call_delay(rng.generate_range(0..1024u32));
         assert!(
             first + NOTIFIED_WITHIN / 3 <= NOTIFIED_WITHIN && (shared || first.is_zero()),
             "{terms:?}: {first:?}"
         );
         // Nothing is so short that it can't succeed, or calls come one upon another.
         assert!(
-            recall.watch_wait() >= MIN_WAIT
-                && recall.connect_timeout() >= MIN_WAIT
-                && recall.response_timeout(false) >= MIN_WAIT
+            policy.watch_wait() >= MIN_WAIT
+                && policy.connect_timeout() >= MIN_WAIT
+                && policy.response_timeout(false) >= MIN_WAIT
         );
     }
 }
 
 #[test]
 fn three_hundred_gateways_that_start_together_do_not_call_together() {
-    let recall = DiscoveryRetryPolicy::new(terms(250, 500, Some(300.0)));
+    let policy = DiscoveryRetryPolicy::new(terms(250, 500, Some(300.0)));
     let mut firsts: Vec<Duration> = (0..300)
-        .map(|gateway| recall.first_call_delay(gateway))
+        .map(|gateway| policy.first_call_delay(gateway))
         .collect();
     firsts.sort();
     assert!(
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -3,8 +3,6 @@
 //! again after a failure ([`backoff`], [`discovery_retry`]). No I/O, no clock, no random numbers: all is handed in.
 //! Spans are in seconds, rates are a second, unless a type says otherwise.
 
-#![deny(unsafe_code)]
-
 pub mod backoff;
 pub mod discovery_retry;
 pub mod phase;
--- a/fleet/src/slow_start/tests.rs
+++ b/fleet/src/slow_start/tests.rs
@@ -7,23 +7,23 @@
 /// arrives up to `late` seconds after it was decided.
 fn most(
     gateways: u32,
-    share: SlowStartBudget,
+    budget: SlowStartBudget,
     late: f64,
     rng: &mut WyRand,
     wants: impl Fn(f64) -> bool,
 ) -> usize {
     let start = Duration::from_secs(1_700_000_000);
     let salt = rng.generate::<u64>();
-    let mut ramps: Vec<SlowStartPermits> = (0..gateways)
+    let mut permits_of_all: Vec<SlowStartPermits> = (0..gateways)
         .map(|gateway| SlowStartPermits::new(gateway, salt, start))
         .collect();
     let mut sends: Vec<f64> = Vec::new();
     for step in 0..500 {
         let at = f64::from(step) * 0.02;
         let now = start + Duration::from_secs_f64(at);
-        for ramp in ramps.iter_mut().filter(|_| wants(at)) {
-            while ramp.allows_one(now, share) {
-                ramp.take_one(now, share);
+        for permits in permits_of_all.iter_mut().filter(|_| wants(at)) {
+            while permits.allows_one(now, budget) {
+                permits.take_one(now, budget);
                 sends.push(at + late * rng.generate::<f64>());
             }
         }
@@ -39,17 +39,17 @@
     for gateways in [3, 20, 30, 100, 350, 1024] {
         for budget in [0.5, 4.0, 12.0, 60.0, 900.0] {
             // The module uses 0.4 of the budget, its permits lapse in a window, and a send begins half of one late at most.
-            let share = SlowStartBudget::share_of(
+            let budget = SlowStartBudget::share_of(
                 budget * 0.4,
                 f64::from(gateways),
                 Duration::from_secs_f64(WINDOW),
             );
             let allowed = budget + 2.0 * budget.sqrt() + 2.0;
-            let steady = most(gateways, share, 0.0, &mut rng, |_| true);
-            let burst = most(gateways, share, 0.0, &mut rng, |at| {
+            let steady = most(gateways, budget, 0.0, &mut rng, |_| true);
+            let burst = most(gateways, budget, 0.0, &mut rng, |at| {
                 (4.0..4.1).contains(&at)
             });
-            let late = most(gateways, share, WINDOW / 2.0, &mut rng, |at| {
+            let late = most(gateways, budget, WINDOW / 2.0, &mut rng, |at| {
                 !(3.0..5.0).contains(&at)
             });
             for (what, sends) in [("steady", steady), ("burst", burst), ("late", late)] {
@@ -70,24 +70,24 @@
 #[test]
 fn fractions_are_carried_over_and_permits_lapse() {
     let start = Duration::from_secs(50);
-    let share = SlowStartBudget::share_of(1.0, 4.0, Duration::from_millis(500));
-    let mut ramp = SlowStartPermits {
+    let budget = SlowStartBudget::share_of(1.0, 4.0, Duration::from_millis(500));
+    let mut permits = SlowStartPermits {
         credit: 0.5,
         updated_at: start,
     };
     let at = |ms| start + Duration::from_millis(ms);
-    assert!(!ramp.allows_one(at(1999), share));
-    assert!(ramp.allows_one(at(2001), share));
-    assert!(!ramp.allows_one(at(2501), share), "lapsed");
-    ramp.take_one(at(2400), share);
-    assert!(!ramp.allows_one(at(5999), share));
+    assert!(!permits.allows_one(at(1999), budget));
+    assert!(permits.allows_one(at(2001), budget));
+    assert!(!permits.allows_one(at(2501), budget), "lapsed");
+    permits.take_one(at(2400), budget);
+    assert!(!permits.allows_one(at(5999), budget));
     assert!(
-        ramp.allows_one(at(6001), share),
+        permits.allows_one(at(6001), budget),
         "by its coming together, not by its use"
     );
     assert!(!SlowStartPermits::new(7, 9, start).allows_one(
         at(3_600_000),
-        SlowStartBudget::share_of(0.0, 3.0, share.permit_lifetime)
+        SlowStartBudget::share_of(0.0, 3.0, budget.permit_lifetime)
     ));
 }
 
