--- a/fleet/src/slow_start/tests.rs
+++ b/fleet/src/slow_start/tests.rs
@@ -37,14 +37,14 @@
 fn all_gateways_together_stay_within_the_budget() {
     let mut rng = WyRand::new_seed(5);
     for gateways in [3, 20, 30, 100, 350, 1024] {
-        for budget in [0.5, 4.0, 12.0, 60.0, 900.0] {
+        for total_rate in [0.5, 4.0, 12.0, 60.0, 900.0] {
             // The module uses 0.4 of the budget, its permits lapse in a window, and a send begins half of one late at most.
             let budget = SlowStartBudget::share_of(
-                budget * 0.4,
+                total_rate * 0.4,
                 f64::from(gateways),
                 Duration::from_secs_f64(WINDOW),
             );
-            let allowed = budget + 2.0 * budget.sqrt() + 2.0;
+            let allowed = total_rate + 2.0 * f64::sqrt(total_rate) + 2.0;
             let steady = most(gateways, budget, 0.0, &mut rng, |_| true);
             let burst = most(gateways, budget, 0.0, &mut rng, |at| {
                 (4.0..4.1).contains(&at)
@@ -55,13 +55,13 @@
             for (what, sends) in [("steady", steady), ("burst", burst), ("late", late)] {
                 assert!(
                     sends as f64 <= allowed,
-                    "{gateways} gateways, {budget}, {what}: {sends} of {allowed}"
+                    "{gateways} gateways, {total_rate}, {what}: {sends} of {allowed}"
                 );
             }
-            let least = (budget * 0.4 * WINDOW).floor() * 0.8 - 1.0;
+            let least = (total_rate * 0.4 * WINDOW).floor() * 0.8 - 1.0;
             assert!(
                 steady as f64 >= least,
-                "{gateways} gateways, {budget}: {steady} of {least}"
+                "{gateways} gateways, {total_rate}: {steady} of {least}"
             );
         }
     }
