--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -6,7 +6,7 @@
 use crate::counter::Counter;
 use crate::discovery::{self, Discovery};
 use crate::peers::Peers;
-use crate::pool::Pool;
+use crate::pool::{NewAttempt, Pool};
 use crate::reactor::{Due, Notification, Reactor, Side};
 use crate::shutdown::GracefulShutdown;
 use crate::StartupOnly;
@@ -242,7 +242,14 @@
         if !open.wanted() || until <= now || (most > 0 && number.0 >= most) {
             return pool.not_sent(reactor, call, number);
         }
-        pool.send(reactor, (call, number), server, (until, whole_by));
+        let attempt = NewAttempt {
+            request: call,
+            number,
+            endpoint: server,
+            deadline: until,
+            send_by: whole_by,
+        };
+        pool.send(reactor, &attempt);
     }
 
     /// The one final answer that the decisions give.
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -1,329 +1,214 @@
-//! Connections to app servers: one upstream try at a time on each, the latest used first, closed before the
-//! app server would. Whether the last byte of a command was written decides if it may have run; nothing is
-//! sent again from here.
+//! Connections to endpoints: one upstream attempt at a time on each, the latest used first, closed before the endpoint
+//! would. Whether the last byte of a command was written decides if it may have run; nothing is sent again from here.
+
+mod attempt;
+mod endpoint_table;
+mod response;
+mod upstream_connection;
 
 use crate::calls::Calls;
 use crate::clients::Clients;
-use crate::discovery::Change;
+use crate::discovery::{Change, Lines};
 use crate::must;
-use crate::reactor::{Due, DueId, Notification, Reactor, Serial, Side};
+use crate::reactor::{Reactor, Serial, Side};
 use crate::resp::{self, Reply};
 use crate::stream::BufferedStream;
+use attempt::{advertised_timeout, report_end, result_without_response, Attempt, AttemptState};
+use endpoint_table::EndpointTable;
 use mio::event::Event;
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet};
-use std::io;
-use std::net::SocketAddr;
 use std::time::Duration;
+use upstream_connection::{idle_lifetime, outcome_on_open_error, UpstreamConnection};
 use wellcrank::port::*;
 
-/// The upstream try that a connection carries; left behind by the send, handed the answer.
-struct Job {
-    call: RequestId,
-    number: AttemptNumber,
-    sent: Duration,
-    until: Duration,
-    /// The command must have gone out whole by then.
-    whole_by: Duration,
-    due: DueId,
-    /// Its beginning was put off until the poll had been asked once more.
-    put_off: bool,
-    begun: bool,
-    whole: bool,
-    /// A part of the answer has come, and the rest must within a connection's time.
-    part: bool,
-}
-
-struct Upstream {
-    stream: BufferedStream,
-    server: EndpointId,
-    life: u32,
-    connection: Serial,
-    job: Option<Job>,
-    used: Duration,
-}
-
-struct Known {
-    at: SocketAddr,
-    started: Option<UnixTime>,
-    /// Counts its starts and moves: a connection belongs to one life of the server.
-    life: u32,
-    ready: bool,
-    /// Keys of connections that carry nothing, the latest used last.
-    idle: Vec<usize>,
-}
-
-#[derive(Default)]
-pub struct Pool {
-    connections: Slab<Upstream>,
-    known: BTreeMap<EndpointId, Known>,
-    /// Those of them that are to get nothing more.
-    unready: BTreeSet<EndpointId>,
-    out: BTreeMap<(RequestId, AttemptNumber), usize>,
-}
+/// A second response to an attempt may come some milliseconds behind the first: only a connection that has been idle
+/// for so long is used again. Trade-off: a busy gateway opens a few connections more.
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
 
-/// A second answer to a try may come some milliseconds behind the first: only a connection that has been idle for so
-/// long is used again. Harm: a busy gateway opens a connection more.
-const SETTLES: Duration = Duration::from_millis(20);
-
-/// A turn that has gone on for so long has not seen who has left since, nor what drains.
+/// A turn of the event loop that has gone on for so long has not seen which clients have left and which endpoints drain
+/// since: an attempt that is to begin is deferred until the poll has been asked again.
 const LONG_TURN: Duration = Duration::from_millis(50);
 
-/// So much of a client's time may have passed unseen, at the most; of little time, a quarter.
-const UNSEEN: Duration = Duration::from_millis(50);
-
-/// For how long an idle connection is used, if for a limited time: less than the server lets it stand by the time that
-/// one takes to come up, a quarter at most, since the server's end and a command may cross.
-fn stands(reactor: &Reactor) -> Option<Duration> {
-    let idle = reactor.settings.limits.idle_timeout;
-    let ahead = reactor.connect_timeout().min(idle / 4);
-    (!idle.is_zero()).then(|| idle - ahead)
+/// An attempt that is to be begun.
+pub(crate) struct NewAttempt<'a> {
+    pub(crate) request: &'a RequestId,
+    pub(crate) number: AttemptNumber,
+    pub(crate) endpoint: &'a EndpointId,
+    /// Until when its response is waited for.
+    pub(crate) deadline: Duration,
+    /// By when the whole command must have gone out.
+    pub(crate) send_by: Duration,
 }
 
-/// What a command says is left of its time. The client's clock began before its command was read, and the gateway may be
-/// held up once more before the command goes.
-fn told_wait(left: Duration) -> Duration {
-    left - UNSEEN.min(left / 4)
+/// All connections to endpoints and the attempts that they carry.
+#[derive(Default)]
+pub(crate) struct Pool {
+    connections: Slab<UpstreamConnection>,
+    endpoints: EndpointTable,
+    /// The connection that carries each attempt.
+    in_flight: BTreeMap<(RequestId, AttemptNumber), usize>,
 }
 
-fn ended(
+/// Gives a value to the client that asked for it, if it still waits.
+fn serve_client(
     reactor: &mut Reactor,
-    call: RequestId,
-    number: AttemptNumber,
-    outcome: AttemptOutcome,
-    sent: Duration,
+    request: &RequestId,
+    value: &[u8],
+    calls: &mut Calls,
+    clients: &mut Clients,
 ) {
-    let latency = reactor.now.saturating_sub(sent);
-    let end = AttemptResult {
-        outcome,
-        latency,
-        request_closed: false,
-        settled_units: None,
-        load: BTreeMap::new(),
-    };
-    reactor
-        .notifications
-        .push_back(Notification::Ended(call, number, end));
+    if let Some(open) = calls.get(request).filter(|open| !open.answered) {
+        open.answered = true;
+        reactor.tally.proxied += 1;
+        clients.answer(reactor, open.place, |out| resp::put_bulk(out, value));
+    }
 }
 
 impl Pool {
-    pub fn len(&self) -> usize {
+    /// How many connections are open.
+    pub(crate) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    pub fn not_sent(&mut self, reactor: &mut Reactor, call: &RequestId, number: AttemptNumber) {
-        ended(
-            reactor,
-            call.clone(),
-            number,
-            AttemptOutcome::NotSent,
-            reactor.now,
-        );
+    /// Reports that an attempt was not begun.
+    pub(crate) fn not_sent(
+        &mut self,
+        reactor: &mut Reactor,
+        request: &RequestId,
+        number: AttemptNumber,
+    ) {
+        let result = result_without_response(AttemptOutcome::NotSent, Duration::ZERO);
+        report_end(reactor, request.clone(), number, result);
     }
 
-    /// A server without an address that can be read keeps the one it has; one that never had one is left out. Where
-    /// entries of a whole list can't be read, their servers stay as they are, so the list becomes what changes.
-    pub fn complete(&self, change: &mut Change) {
-        change
-            .lines
-            .retain(|(line, at)| at.is_some() || self.known.contains_key(&line.id));
-        if !change.whole || change.kept.is_empty() {
-            return;
+    /// Makes an update of the endpoint list one that the controller and the pool can follow.
+    pub(crate) fn complete(&self, change: &mut Change) {
+        self.endpoints.complete(change);
+    }
+
+    /// Discovery has told: addresses are known, and what has not begun at an endpoint that drains or is gone is not
+    /// begun any more.
+    pub(crate) fn listed(&mut self, reactor: &mut Reactor, is_snapshot: bool, entries: Lines) {
+        let mut closing = self.endpoints.apply_update(is_snapshot, entries);
+        let unbegun = self.connections.iter().filter(|(_, connection)| {
+            connection.has_unbegun_attempt() && !self.endpoints.is_ready(&connection.endpoint)
+        });
+        closing.extend(unbegun.map(|(key, _)| key));
+        for key in closing {
+            self.fail_connection(reactor, key);
         }
-        let told: BTreeSet<&EndpointId> = change
-            .lines
+        let connected: BTreeSet<&EndpointId> = self
+            .connections
             .iter()
-            .map(|(line, _)| &line.id)
-            .chain(&change.kept)
+            .map(|(_, connection)| &connection.endpoint)
             .collect();
-        let missing: Vec<EndpointId> = self
-            .known
-            .keys()
-            .filter(|server| !told.contains(server))
-            .cloned()
-            .collect();
-        change.whole = false;
-        change.lines.extend(
-            missing
-                .into_iter()
-                .map(|server| (Endpoint::removed(server), None)),
-        );
+        self.endpoints.forget_unconnected(&connected);
     }
 
-    /// The server list has told: addresses are known, and what was not begun at a server that drains or is
-    /// gone is not begun any more.
-    pub fn listed(
+    /// Begins an upstream attempt. The one place every send passes: its end is reported in any case.
+    pub(crate) fn send(&mut self, reactor: &mut Reactor, attempt: &NewAttempt) {
+        match self.connection_to(reactor, attempt.endpoint) {
+            Ok(key) => self.assign(reactor, key, attempt),
+            Err(outcome) => {
+                let result = result_without_response(outcome, Duration::ZERO);
+                report_end(reactor, attempt.request.clone(), attempt.number, result);
+            }
+        }
+    }
+
+    /// A connection that carries nothing: the latest used idle one, or a new one.
+    fn connection_to(
         &mut self,
         reactor: &mut Reactor,
-        whole: bool,
-        lines: Vec<(Endpoint, Option<SocketAddr>)>,
-    ) {
-        let mut over: Vec<usize> = Vec::new();
-        if whole {
-            let told: BTreeSet<&EndpointId> = lines.iter().map(|(line, _)| &line.id).collect();
-            for (server, known) in &mut self.known {
-                known.ready &= told.contains(server);
-            }
-            let unready = self.known.iter().filter(|(_, known)| !known.ready);
-            self.unready = unready.map(|(server, _)| server.clone()).collect();
+        endpoint: &EndpointId,
+    ) -> Result<usize, AttemptOutcome> {
+        if !self.endpoints.is_ready(endpoint) {
+            return Err(AttemptOutcome::ConnectFailed);
         }
-        for (line, at) in lines {
-            let ready = line.state == EndpointState::Ready;
-            let started = line.started_at;
-            match ready || (at.is_none() && !self.known.contains_key(&line.id)) {
-                true => drop(self.unready.remove(&line.id)),
-                false => drop(self.unready.insert(line.id.clone())),
-            }
-            match (self.known.get_mut(&line.id), at) {
-                (Some(known), at) => {
-                    let at = at.unwrap_or(known.at);
-                    // A machine that was silent may be back without having ended its old connections.
-                    if (at, started) != (known.at, known.started) {
-                        known.life += 1;
-                        over.append(&mut known.idle);
-                    }
-                    (known.ready, known.at, known.started) = (ready, at, started);
-                }
-                (None, Some(at)) => {
-                    let known = Known {
-                        at,
-                        started,
-                        life: 0,
-                        ready,
-                        idle: vec![],
-                    };
-                    self.known.insert(line.id, known);
-                }
-                (None, None) => (),
-            }
+        if let Some(key) = self.reuse_idle_connection(reactor, endpoint) {
+            return Ok(key);
         }
-        // Thousands of servers are not looked through for a change of one.
-        let leaving = self.unready.iter().map(|server| &self.known[server]);
-        over.extend(leaving.flat_map(|known| known.idle.iter().copied()));
-        let unbegun = self.connections.iter().filter(|(_, connection)| {
-            connection.job.as_ref().is_some_and(|job| !job.begun)
-                && !self.known[&connection.server].ready
-        });
-        over.extend(unbegun.map(|(key, _)| key));
-        for key in over {
-            self.fail(reactor, key);
+        let is_full = self.connections.len() >= reactor.budget.upstream;
+        if is_full && !self.evict_idle_connection(reactor) {
+            return Err(AttemptOutcome::NotSent);
         }
-        let used: BTreeSet<&EndpointId> = self
-            .connections
-            .iter()
-            .map(|(_, connection)| &connection.server)
-            .collect();
-        let known = &mut self.known;
-        self.unready.retain(|server| {
-            let stays = used.contains(server);
-            if !stays {
-                known.remove(server);
-            }
-            stays
-        });
+        self.open_connection(reactor, endpoint)
     }
 
-    /// Begins an upstream try. The one place every send passes: its end is reported in any case.
-    pub fn send(
+    fn open_connection(
         &mut self,
         reactor: &mut Reactor,
-        (call, number): (&RequestId, AttemptNumber),
-        server: &EndpointId,
-        (until, whole_by): (Duration, Duration),
-    ) {
-        let now = reactor.now;
-        let over =
-            |reactor: &mut Reactor, outcome| ended(reactor, call.clone(), number, outcome, now);
-        let Some(known) = self.known.get_mut(server).filter(|known| known.ready) else {
-            return over(reactor, AttemptOutcome::ConnectFailed);
-        };
-        let (at, life) = (known.at, known.life);
-        let key = match self.idle(reactor, server) {
-            Some(key) => key,
-            None if !self.make_room(reactor) => return over(reactor, AttemptOutcome::NotSent),
-            None => {
-                let key = self.connections.vacant_key();
-                let stream = match BufferedStream::connect(reactor, at, Side::Upstream, key) {
-                    Ok(stream) => stream,
-                    Err(error) => {
-                        use io::ErrorKind::{
-                            ConnectionRefused, HostUnreachable, NetworkUnreachable,
-                        };
-                        let theirs = [ConnectionRefused, HostUnreachable, NetworkUnreachable];
-                        // Else no descriptor, no port: the gateway's own want.
-                        let theirs = theirs.contains(&error.kind());
-                        return over(
-                            reactor,
-                            if theirs {
-                                AttemptOutcome::ConnectFailed
-                            } else {
-                                AttemptOutcome::NotSent
-                            },
-                        );
-                    }
-                };
-                let connection = reactor.serial();
-                let (server, job) = (server.clone(), None);
-                self.connections.insert(Upstream {
-                    stream,
-                    server,
-                    life,
-                    connection,
-                    job,
-                    used: now,
-                })
-            }
+        endpoint: &EndpointId,
+    ) -> Result<usize, AttemptOutcome> {
+        let known = self
+            .endpoints
+            .get_mut(endpoint)
+            .ok_or(AttemptOutcome::ConnectFailed)?;
+        let key = self.connections.vacant_key();
+        let stream = BufferedStream::connect(reactor, known.address, Side::Upstream, key)
+            .map_err(|error| outcome_on_open_error(&error))?;
+        let connection = UpstreamConnection {
+            stream,
+            endpoint: endpoint.clone(),
+            incarnation: known.incarnation,
+            serial: reactor.serial(),
+            attempt: None,
+            last_used: reactor.now,
         };
-        let upstream = &mut self.connections[key];
+        Ok(self.connections.insert(connection))
+    }
+
+    /// Has a connection carry an attempt; its command is written when the turn ends and the connection is up.
+    fn assign(&mut self, reactor: &mut Reactor, key: usize, new: &NewAttempt) {
+        let connection = &mut self.connections[key];
         must!(
             reactor,
-            upstream.job.is_none(),
-            "one upstream try on a connection"
+            connection.attempt.is_none(),
+            "one upstream attempt on a connection"
         );
-        upstream.stream.flush_later(reactor);
-        let coming_up = if upstream.stream.up {
-            until
+        connection.stream.flush_later(reactor);
+        let connected_by = if connection.stream.up {
+            new.deadline
         } else {
-            now + reactor.connect_timeout()
+            reactor.now + reactor.connect_timeout()
         };
-        let due = reactor.at(
-            until.min(whole_by).min(coming_up),
-            Due::Try {
-                key,
-                connection: upstream.connection,
-            },
-        );
-        let (call, sent) = (call.clone(), now);
-        self.out.insert((call.clone(), number), key);
-        let (put_off, begun, whole, part) = (false, false, false, false);
-        upstream.job = Some(Job {
-            call,
-            number,
-            sent,
-            until,
-            whole_by,
-            due,
-            put_off,
-            begun,
-            whole,
-            part,
+        let first_deadline = new.deadline.min(new.send_by).min(connected_by);
+        let timer = reactor.at(first_deadline, connection.timer(key));
+        connection.attempt = Some(Attempt {
+            request: new.request.clone(),
+            number: new.number,
+            started_at: reactor.now,
+            deadline: new.deadline,
+            send_by: new.send_by,
+            timer,
+            state: AttemptState::Queued,
         });
+        self.in_flight
+            .insert((new.request.clone(), new.number), key);
     }
 
-    /// The connection to a server that was idle for the shortest time, but for `SETTLES` at least, and not for as long
-    /// as the server may let it stand. One on which anything has come since its last answer, or that has ended, is no
-    /// longer of use: what came would serve the next try.
-    fn idle(&mut self, reactor: &mut Reactor, server: &EndpointId) -> Option<usize> {
-        let stands = stands(reactor);
+    /// The connection to an endpoint that was idle for the shortest time, but for `MIN_IDLE_BEFORE_REUSE` at least, and
+    /// not for as long as the endpoint may keep it open. One on which anything has come since its last response, or that
+    /// has ended, is no longer of use: what came would serve the next attempt.
+    fn reuse_idle_connection(
+        &mut self,
+        reactor: &mut Reactor,
+        endpoint: &EndpointId,
+    ) -> Option<usize> {
+        let lifetime = idle_lifetime(reactor);
         loop {
-            let idle = &mut self.known.get_mut(server)?.idle;
-            let settled = |key: &usize| self.connections[*key].used + SETTLES <= reactor.now;
-            let key = idle.remove(idle.iter().rposition(settled)?);
-            let upstream = &mut self.connections[key];
-            let fresh = stands.is_none_or(|stands| reactor.now < upstream.used + stands);
-            if fresh
-                && upstream.stream.read(reactor, resp::WHOLE)
-                && upstream.stream.input.is_empty()
+            let idle = &mut self.endpoints.get_mut(endpoint)?.idle;
+            let position = idle.iter().rposition(|key| {
+                self.connections[*key].last_used + MIN_IDLE_BEFORE_REUSE <= reactor.now
+            })?;
+            let key = idle.remove(position);
+            let connection = &mut self.connections[key];
+            let is_fresh =
+                lifetime.is_none_or(|lifetime| reactor.now < connection.last_used + lifetime);
+            if is_fresh
+                && connection.stream.read(reactor, resp::WHOLE)
+                && connection.stream.input.is_empty()
             {
                 return Some(key);
             }
@@ -331,69 +216,59 @@
         }
     }
 
-    /// Whether one more connection may be opened, if need be in place of the longest idle one.
-    fn make_room(&mut self, reactor: &mut Reactor) -> bool {
-        if self.connections.len() < reactor.budget.upstream {
-            return true;
+    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    fn evict_idle_connection(&mut self, reactor: &mut Reactor) -> bool {
+        let longest_idle = self
+            .endpoints
+            .iter()
+            .filter_map(|known| known.idle.first().copied())
+            .min_by_key(|key| self.connections[*key].last_used);
+        if let Some(key) = longest_idle {
+            self.close(reactor, key);
         }
-        let longest = self.known.values().filter_map(|known| known.idle.first());
-        let longest = longest
-            .min_by_key(|key| self.connections[**key].used)
-            .copied();
-        longest.map(|key| self.close(reactor, key)).is_some()
+        longest_idle.is_some()
     }
 
-    /// Gives an upstream try up, by closing its connection.
-    pub fn cancel(&mut self, reactor: &mut Reactor, call: &RequestId, number: AttemptNumber) {
-        if let Some(key) = self.out.get(&(call.clone(), number)).copied() {
-            let begun = self.connections[key]
-                .job
-                .as_ref()
-                .is_some_and(|job| job.begun);
-            self.end(
-                reactor,
-                key,
-                if begun {
-                    AttemptOutcome::Cancelled
-                } else {
-                    AttemptOutcome::NotSent
-                },
-            );
+    /// Gives an upstream attempt up, by closing its connection.
+    pub(crate) fn cancel(
+        &mut self,
+        reactor: &mut Reactor,
+        request: &RequestId,
+        number: AttemptNumber,
+    ) {
+        if let Some(key) = self.in_flight.get(&(request.clone(), number)).copied() {
+            self.end_with(reactor, key, Attempt::outcome_on_cancel);
         }
     }
 
-    /// The time of a try is up, or that to connect for it, or that for its command to go out.
-    pub fn due(&mut self, reactor: &mut Reactor, key: usize, connection: Serial) {
-        let now = reactor.now;
-        let Some(upstream) = self
+    /// The time of an attempt is up, or that to connect for it, or that for its command to go out.
+    pub(crate) fn due(&mut self, reactor: &mut Reactor, key: usize, serial: Serial) {
+        let Some(connection) = self
             .connections
             .get_mut(key)
-            .filter(|it| it.connection == connection)
+            .filter(|connection| connection.serial == serial)
         else {
             return;
         };
-        let Some(job) = &mut upstream.job else { return };
-        let until = if job.whole {
-            job.until
-        } else {
-            job.until.min(job.whole_by)
-        };
-        if upstream.stream.up && now < until {
-            if job.part {
-                return self.spoilt(reactor, key);
-            }
-            job.due = reactor.at(until, Due::Try { key, connection });
+        let is_connected = connection.stream.up;
+        let timer = connection.timer(key);
+        let Some(attempt) = &mut connection.attempt else {
             return;
-        }
-        let outcome = match (job.whole, upstream.stream.up && !job.begun) {
-            (true, _) => AttemptOutcome::TimedOut,
-            (_, true) => AttemptOutcome::NotSent,
-            _ => AttemptOutcome::ConnectFailed,
         };
-        self.end(reactor, key, outcome);
+        let deadline = attempt.current_deadline();
+        if !is_connected || reactor.now >= deadline {
+            return self.end_with(reactor, key, |attempt| {
+                attempt.outcome_on_timeout(is_connected)
+            });
+        }
+        if attempt.state == AttemptState::ReadingResponse {
+            return self.end_malformed(reactor, key);
+        }
+        attempt.timer = reactor.at(deadline, timer);
     }
 
-    pub fn ready(
+    /// The poll tells of a connection.
+    pub(crate) fn ready(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
@@ -401,248 +276,229 @@
         calls: &mut Calls,
         clients: &mut Clients,
     ) {
-        let Some(upstream) = self.connections.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let unbegun = upstream.job.as_ref().is_some_and(|job| !job.begun);
-        if event.is_writable() && (unbegun || upstream.stream.left() > 0) {
-            if upstream.stream.opened().is_err() {
-                return self.fail(reactor, key);
+        let wants_to_write = connection.has_unbegun_attempt() || connection.stream.left() > 0;
+        if event.is_writable() && wants_to_write {
+            if connection.stream.opened().is_err() {
+                return self.fail_connection(reactor, key);
             }
             self.flush(reactor, key, calls);
         }
-        let Some(upstream) = self.connections.get_mut(key) else {
+        if event.is_readable() || event.is_read_closed() || event.is_error() {
+            self.read_response(reactor, key, calls, clients);
+        }
+    }
+
+    /// Reads what has come on a connection, if it is still there.
+    fn read_response(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        calls: &mut Calls,
+        clients: &mut Clients,
+    ) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if event.is_readable() || event.is_read_closed() || event.is_error() {
-            upstream.stream.drained = false;
-            let open = upstream.stream.read(reactor, resp::WHOLE);
-            let more = !upstream.stream.drained;
-            self.answered(reactor, key, calls, clients);
-            if !self.connections.contains(key) {
-                return;
-            }
-            if !open {
-                self.fail(reactor, key);
-            } else if more {
-                // It goes on beyond what an answer can be.
-                self.spoilt(reactor, key);
-            }
+        connection.stream.drained = false;
+        let is_open = connection.stream.read(reactor, resp::WHOLE);
+        let exceeds_a_response = !connection.stream.drained;
+        self.handle_input(reactor, key, calls, clients);
+        if !self.connections.contains(key) {
+            return;
+        }
+        if !is_open {
+            self.fail_connection(reactor, key);
+        } else if exceeds_a_response {
+            self.end_malformed(reactor, key);
         }
     }
 
-    /// Hands a whole answer to the try that waits for it.
-    fn answered(
+    /// Hands a whole response to the attempt that waits for it.
+    fn handle_input(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
         calls: &mut Calls,
         clients: &mut Clients,
     ) {
-        let upstream = &mut self.connections[key];
-        if upstream.stream.input.is_empty() {
+        let connection = &mut self.connections[key];
+        if connection.stream.input.is_empty() {
             return;
         }
-        // What comes before the command has gone out is no answer to it.
-        let Some(job) = upstream.job.as_mut().filter(|job| job.whole) else {
-            return self.fail(reactor, key);
+        // What comes before the command has gone out is no response to it.
+        let Some(attempt) = connection
+            .attempt
+            .as_ref()
+            .filter(|attempt| attempt.state.is_sent())
+        else {
+            return self.fail_connection(reactor, key);
         };
-        let (reply, took) = match resp::reply(&upstream.stream.input) {
-            Ok(Some(read)) => read,
-            Ok(None) => {
-                if !std::mem::replace(&mut job.part, true) {
-                    reactor.unset(job.due);
-                    let soon = job.until.min(reactor.now + reactor.connect_timeout());
-                    job.due = reactor.at(
-                        soon,
-                        Due::Try {
-                            key,
-                            connection: upstream.connection,
-                        },
-                    );
-                }
-                return;
-            }
-            Err(_) => return self.spoilt(reactor, key),
+        let (reply, length) = match resp::reply(&connection.stream.input) {
+            Ok(Some(parsed)) => parsed,
+            Ok(None) => return connection.await_rest_of_response(reactor, key),
+            Err(_) => return self.end_malformed(reactor, key),
         };
-        let (mut outcome, mut settled) = (AttemptOutcome::ServerError, None);
-        let load;
-        match reply {
-            Reply::Value {
-                value,
-                figures,
-                load: report,
-            } => {
-                (outcome, load) = (AttemptOutcome::Success, report);
-                let cost = resp::pairs(figures).find(|(name, _)| *name == "cost");
-                let most = crate::calls::most_units(&reactor.settings);
-                settled = cost.and_then(|(_, units)| units.parse().ok());
-                settled = settled.filter(|units: &f64| *units > 0.0 && *units <= most);
-                if let Some(open) = calls.get(&job.call).filter(|open| !open.answered) {
-                    open.answered = true;
-                    reactor.tally.proxied += 1;
-                    clients.answer(reactor, open.place, |out| resp::put_bulk(out, value));
-                }
-            }
-            Reply::Busy { load: report } => (outcome, load) = (AttemptOutcome::Rejected, report),
-            Reply::Failed { text, load: report } => {
-                must!(
-                    reactor,
-                    !text.starts_with("SYNTAX"),
-                    "an app server knows the commands it is sent"
-                );
-                load = report;
-            }
+        if let Reply::Value { value, .. } = &reply {
+            serve_client(reactor, &attempt.request, value, calls, clients);
         }
-        let load =
-            resp::pairs(load).filter_map(|(name, value)| Some((name.into(), value.parse().ok()?)));
-        let load = load
-            .filter(|(_, value): &(String, f64)| value.is_finite())
-            .collect();
-        let Some(job) = self.take_job(reactor, key) else {
+        let latency = reactor.now.saturating_sub(attempt.started_at);
+        let result = response::attempt_result(reactor, &reply, latency);
+        let Some(attempt) = self.detach_attempt(reactor, key) else {
             return;
         };
-        let latency = reactor.now.saturating_sub(job.sent);
-        let end = AttemptResult {
-            outcome,
-            latency,
-            request_closed: false,
-            settled_units: settled,
-            load,
-        };
-        reactor
-            .notifications
-            .push_back(Notification::Ended(job.call, job.number, end));
-        let upstream = &mut self.connections[key];
-        upstream.stream.take(reactor, took);
-        upstream.used = reactor.now;
-        let life = upstream.life;
+        report_end(reactor, attempt.request, attempt.number, result);
+        self.recycle(reactor, key, length);
+    }
+
+    /// Takes a whole response off a connection's input, and keeps the connection for the next attempt if it can carry
+    /// one.
+    fn recycle(&mut self, reactor: &mut Reactor, key: usize, response_length: usize) {
+        let connection = &mut self.connections[key];
+        connection.stream.take(reactor, response_length);
+        connection.last_used = reactor.now;
         let known = self
-            .known
-            .get_mut(&upstream.server)
-            .filter(|known| known.ready && known.life == life);
-        match known.filter(|_| upstream.stream.input.is_empty()) {
+            .endpoints
+            .usable(&connection.endpoint, connection.incarnation);
+        match known.filter(|_| connection.stream.input.is_empty()) {
             Some(known) => known.idle.push(key),
             None => self.close(reactor, key),
         }
     }
 
-    /// Writes what it can of a command. The one place where one begins, perhaps long after it was decided, since its
-    /// connection had to come up: the terms under which it was decided must hold still.
-    pub fn flush(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
-        let Some(upstream) = self.connections.get_mut(key) else {
+    /// Writes what it can of a command.
+    pub(crate) fn flush(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if let Some(job) = upstream.job.as_mut().filter(|job| !job.begun) {
-            if !upstream.stream.up {
-                return;
-            }
-            // The turn may have been long: what is left is asked of the clock, not of the turn, and what has happened
-            // since is met first, once.
-            let now = reactor.clock.now();
-            if now > reactor.polled + LONG_TURN && !job.put_off {
-                job.put_off = true;
-                return reactor.written_next.push(Side::Upstream.token(key));
-            }
-            let known = self.known.get(&upstream.server);
-            let fit = known.is_some_and(|known| known.ready && known.life == upstream.life);
-            let open = calls.get(&job.call).filter(|open| open.wanted() && fit);
-            let Some(open) = open.filter(|_| now < job.until.min(job.whole_by)) else {
-                reactor.tally.lapsed += 1;
-                return self.end(reactor, key, AttemptOutcome::NotSent);
-            };
-            let left = job.until - now;
-            upstream.stream.take_back(reactor);
-            upstream
-                .stream
-                .put(reactor, |out| open.api_call.put(out, told_wait(left)));
+        if connection.has_unbegun_attempt() && !self.begin_attempt(reactor, key, calls) {
+            return;
         }
-        match upstream.stream.flush(reactor) {
-            Ok(moved) => {
-                let left = upstream.stream.left();
-                if let Some(job) = &mut upstream.job {
-                    job.begun |= moved;
-                    job.whole = left == 0;
+        let connection = &mut self.connections[key];
+        match connection.stream.flush(reactor) {
+            Ok(has_progressed) => {
+                let pending_bytes = connection.stream.left();
+                if let Some(attempt) = &mut connection.attempt {
+                    attempt.state = attempt.state.after_write(has_progressed, pending_bytes);
                 }
             }
-            Err(_) => self.fail(reactor, key),
+            Err(_) => self.fail_connection(reactor, key),
+        }
+    }
+
+    /// Queues the command of an attempt of which nothing has gone out, perhaps long after it was decided, since its
+    /// connection had to come up: the terms under which it was decided must hold still. Returns whether there is
+    /// anything to write now.
+    fn begin_attempt(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) -> bool {
+        let connection = &mut self.connections[key];
+        let Some(attempt) = &mut connection.attempt else {
+            return false;
+        };
+        if !connection.stream.up {
+            return false;
+        }
+        // The turn may have been long: the remaining time is reckoned by the clock, not by the turn, and what has
+        // happened since is met first, once.
+        let now = reactor.clock.now();
+        if now > reactor.polled + LONG_TURN && attempt.state != AttemptState::Deferred {
+            attempt.state = AttemptState::Deferred;
+            reactor.written_next.push(Side::Upstream.token(key));
+            return false;
         }
+        let is_usable = self
+            .endpoints
+            .usable(&connection.endpoint, connection.incarnation)
+            .is_some();
+        let is_in_time = now < attempt.current_deadline();
+        let open = calls
+            .get(&attempt.request)
+            .filter(|open| open.wanted() && is_usable && is_in_time);
+        let Some(open) = open else {
+            reactor.tally.lapsed += 1;
+            self.end_with(reactor, key, |_| AttemptOutcome::NotSent);
+            return false;
+        };
+        let timeout = advertised_timeout(attempt.deadline - now);
+        connection.stream.take_back(reactor);
+        connection
+            .stream
+            .put(reactor, |out| open.api_call.put(out, timeout));
+        true
     }
 
-    /// What has come can't be read: an error of the server's, after the call may have run.
-    fn spoilt(&mut self, reactor: &mut Reactor, key: usize) {
+    /// What has come can't be read: an error of the endpoint's, after the command may have run.
+    fn end_malformed(&mut self, reactor: &mut Reactor, key: usize) {
         reactor.tally.spoilt += 1;
-        self.end(reactor, key, AttemptOutcome::ServerError);
+        self.end_with(reactor, key, |_| AttemptOutcome::ServerError);
     }
 
     /// The connection broke, ended or never came up.
-    fn fail(&mut self, reactor: &mut Reactor, key: usize) {
-        let whole = self.connections[key]
-            .job
-            .as_ref()
-            .is_some_and(|job| job.whole);
-        self.end(
-            reactor,
-            key,
-            if whole {
-                AttemptOutcome::Reset
-            } else {
-                AttemptOutcome::ConnectFailed
-            },
-        );
+    fn fail_connection(&mut self, reactor: &mut Reactor, key: usize) {
+        self.end_with(reactor, key, Attempt::outcome_on_disconnect);
     }
 
-    /// Ends the try that a connection carries, if any, and the connection with it.
-    fn end(&mut self, reactor: &mut Reactor, key: usize, outcome: AttemptOutcome) {
-        if let Some(job) = self.take_job(reactor, key) {
-            ended(reactor, job.call, job.number, outcome, job.sent);
+    /// Ends the attempt that a connection carries, if any, and the connection with it.
+    fn end_with(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        outcome: impl FnOnce(&Attempt) -> AttemptOutcome,
+    ) {
+        if let Some(attempt) = self.detach_attempt(reactor, key) {
+            let latency = reactor.now.saturating_sub(attempt.started_at);
+            let result = result_without_response(outcome(&attempt), latency);
+            report_end(reactor, attempt.request, attempt.number, result);
         }
         self.close(reactor, key);
     }
 
-    /// The try is no longer out.
-    fn take_job(&mut self, reactor: &mut Reactor, key: usize) -> Option<Job> {
-        let job = self.connections[key].job.take()?;
-        reactor.unset(job.due);
-        self.out.remove(&(job.call.clone(), job.number));
-        Some(job)
+    /// The attempt is no longer in flight.
+    fn detach_attempt(&mut self, reactor: &mut Reactor, key: usize) -> Option<Attempt> {
+        let attempt = self.connections[key].attempt.take()?;
+        reactor.unset(attempt.timer);
+        self.in_flight
+            .remove(&(attempt.request.clone(), attempt.number));
+        Some(attempt)
     }
 
     fn close(&mut self, reactor: &mut Reactor, key: usize) {
-        let upstream = self.connections.remove(key);
+        let connection = self.connections.remove(key);
         must!(
             reactor,
-            upstream.job.is_none(),
-            "a try's end is told before its connection closes"
+            connection.attempt.is_none(),
+            "an attempt's end is reported before its connection closes"
         );
-        if let Some(known) = self.known.get_mut(&upstream.server) {
+        if let Some(known) = self.endpoints.get_mut(&connection.endpoint) {
             known.idle.retain(|other| *other != key);
         }
-        upstream.stream.close(reactor);
+        connection.stream.close(reactor);
     }
 
-    /// Closes the connections to a server that carry nothing.
-    pub fn release(&mut self, reactor: &mut Reactor, server: &EndpointId) {
+    /// Closes the connections to an endpoint that carry nothing.
+    pub(crate) fn release(&mut self, reactor: &mut Reactor, endpoint: &EndpointId) {
         let idle = self
-            .known
-            .get_mut(server)
+            .endpoints
+            .get_mut(endpoint)
             .map(|known| std::mem::take(&mut known.idle));
         for key in idle.unwrap_or_default() {
             self.close(reactor, key);
         }
     }
 
-    /// Closes what has been idle for long, before the app server would.
-    pub fn sweep(&mut self, reactor: &mut Reactor) {
-        let Some(stands) = stands(reactor) else {
+    /// Closes what has been idle for long, before the endpoint would.
+    pub(crate) fn sweep(&mut self, reactor: &mut Reactor) {
+        let Some(lifetime) = idle_lifetime(reactor) else {
             return;
         };
-        let old = |key: &&usize| self.connections[**key].used + stands <= reactor.now;
-        let all = self.known.values();
-        let over: Vec<usize> = all
-            .flat_map(|known| known.idle.iter().take_while(old).copied())
+        let is_expired = |key: &&usize| self.connections[**key].last_used + lifetime <= reactor.now;
+        let expired: Vec<usize> = self
+            .endpoints
+            .iter()
+            .flat_map(|known| known.idle.iter().take_while(is_expired).copied())
             .collect();
-        for key in over {
+        for key in expired {
             self.close(reactor, key);
         }
     }
