--- a/edge/src/client.rs
+++ b/edge/src/client.rs
@@ -1,8 +1,8 @@
 //! One connection of a client: the commands that it has sent and that wait for their answers, in their order.
 
-use crate::calls::{self, ApiCall, Calls, Open, Place};
 use crate::must;
 use crate::reactor::{Notification, Reactor, Serial};
+use crate::requests::{request_id, OpenRequest, OpenRequests, RequestCommand, ResponseSlot};
 use crate::resp;
 use crate::stream::BufferedStream;
 use std::collections::VecDeque;
@@ -18,7 +18,7 @@
 
 /// What a command left behind: which API call it is, if any, and its answer if that came before its turn.
 pub struct Slot {
-    pub call: Option<Serial>,
+    pub request: Option<Serial>,
     pub answer: Option<Vec<u8>>,
 }
 
@@ -63,7 +63,7 @@
         self.slots.is_empty() && self.stream.left() == 0 && !self.held_up
     }
 
-    /// Between two API calls, as far as is seen: only then may a connection be closed. A client that has asked
+    /// Between two requests, as far as is seen: only then may a connection be closed. A client that has asked
     /// nothing yet may just be about to, and has as long as a connection may take to come up; so has the rest
     /// of a command, and of a known client's as long as a connection may stand idle.
     pub fn idle(&self, reactor: &Reactor) -> bool {
@@ -87,7 +87,7 @@
     /// A new command's place in the order; says its number.
     fn slot(&mut self) -> u64 {
         self.slots.push_back(Slot {
-            call: None,
+            request: None,
             answer: None,
         });
         self.first + self.slots.len() as u64 - 1
@@ -109,7 +109,7 @@
         key: usize,
         bytes: &[u8],
         words: resp::Words,
-        calls: &mut Calls,
+        requests: &mut OpenRequests,
         (ready, full): (bool, bool),
     ) {
         let number = self.slot();
@@ -119,10 +119,10 @@
                 .map_or(&[][..], |word| &bytes[word.clone()])
         };
         let said = match word(0).to_ascii_uppercase().as_slice() {
-            _ if ApiCall::is_named(bytes, &words) => {
-                match ApiCall::new(bytes, words, &reactor.settings, calls) {
-                    Ok(api_call) => {
-                        return self.call(reactor, (key, number), api_call, calls, full)
+            _ if RequestCommand::is_named(bytes, &words) => {
+                match RequestCommand::parse(bytes, words, &reactor.settings, requests) {
+                    Ok(command) => {
+                        return self.call(reactor, (key, number), command, requests, full)
                     }
                     Err(why) => format!("-ERR {why}\r\n"),
                 }
@@ -144,41 +144,34 @@
         &mut self,
         reactor: &mut Reactor,
         (key, number): (usize, u64),
-        api_call: ApiCall,
-        calls: &mut Calls,
+        command: RequestCommand,
+        requests: &mut OpenRequests,
         full: bool,
     ) {
         let serial = reactor.serial();
-        let until = reactor.now + api_call.wait;
+        let until = reactor.now + command.timeout;
         let arrival = Request {
-            id: calls::id(serial),
-            customer: api_call.customer.clone(),
-            plan: api_call.plan.clone(),
-            route: api_call.route.clone(),
-            units: api_call.units,
+            id: request_id(serial),
+            customer: command.customer.clone(),
+            plan: command.plan.clone(),
+            route: command.route.clone(),
+            units: command.units,
             deadline: until,
-            first_gateway: api_call.first,
-            gateway_count: api_call.spread,
+            first_gateway: command.first_gateway,
+            gateway_count: command.gateway_count,
         };
         self.known = true;
-        let place = Place {
+        let slot = ResponseSlot {
             key,
             connection: self.connection,
             number,
         };
-        self.slots.back_mut().expect("pushed for this command").call = Some(serial);
-        reactor.held += api_call.size();
-        calls.open(
-            serial,
-            Open {
-                api_call,
-                until,
-                tries: 0,
-                place,
-                answered: false,
-                left: false,
-            },
-        );
+        self.slots
+            .back_mut()
+            .expect("pushed for this command")
+            .request = Some(serial);
+        reactor.held += command.size();
+        requests.insert(serial, OpenRequest::new(command, until, slot));
         reactor
             .notifications
             .push_back(match full || self.half_closed {
--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -1,10 +1,10 @@
 //! Clients' connections: takes their commands as they come, piped or in pieces, and answers each in its
 //! order.
 
-use crate::calls::{Calls, Place};
 use crate::client::{Client, IDLE};
 use crate::lingering::Lingering;
 use crate::reactor::{Notification, Reactor, Serial, Side};
+use crate::requests::{OpenRequests, ResponseSlot};
 use crate::resp;
 use crate::stream::BufferedStream;
 use mio::net::TcpListener;
@@ -91,7 +91,7 @@
     }
 
     /// Accepts what waits; when short of sockets an idle connection makes room, else the rest waits on.
-    pub fn accept(&mut self, reactor: &mut Reactor, calls: &mut Calls) {
+    pub fn accept(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         self.waiting = false;
         loop {
             // What goes for a new connection is ended only when there is one.
@@ -99,7 +99,7 @@
                 clients.connections.len() >= reactor.budget.clients
             };
             let oldest = if full(self, reactor) {
-                self.idle_longest(reactor, calls)
+                self.idle_longest(reactor, requests)
             } else {
                 None
             };
@@ -127,7 +127,7 @@
             };
             self.refused = false;
             if let Some(key) = oldest {
-                self.end(reactor, key, calls);
+                self.end(reactor, key, requests);
             }
             while self.len() >= reactor.budget.clients + SPARE && self.lingering.give_up(reactor) {}
             let key = self.connections.vacant_key();
@@ -139,14 +139,18 @@
 
     /// The connection to go for another one: that of a client that has asked nothing yet, else one that has
     /// been idle longest.
-    fn idle_longest(&mut self, reactor: &mut Reactor, calls: &mut Calls) -> Option<usize> {
+    fn idle_longest(
+        &mut self,
+        reactor: &mut Reactor,
+        requests: &mut OpenRequests,
+    ) -> Option<usize> {
         loop {
             let idle = self
                 .connections
                 .iter()
                 .filter(|(_, client)| client.makes_room(reactor));
             let (key, _) = idle.min_by_key(|(_, client)| (client.known, client.used))?;
-            self.meet_unread(reactor, key, calls);
+            self.meet_unread(reactor, key, requests);
             if self
                 .connections
                 .get(key)
@@ -158,44 +162,49 @@
     }
 
     /// Takes what has come and not been told yet; says whether that was nothing.
-    fn stays_idle(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) -> bool {
-        self.meet_unread(reactor, key, calls);
+    fn stays_idle(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        requests: &mut OpenRequests,
+    ) -> bool {
+        self.meet_unread(reactor, key, requests);
         self.connections
             .get(key)
             .is_some_and(|client| client.idle(reactor))
     }
 
     /// Takes what has come on a connection and not been told yet.
-    fn meet_unread(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
+    fn meet_unread(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         self.connections[key].stream.drained = false;
-        self.pump(reactor, key, calls);
+        self.pump(reactor, key, requests);
     }
 
-    pub fn ready(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
+    pub fn ready(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         if reactor.broken {
-            return self.close(reactor, key, calls);
+            return self.close(reactor, key, requests);
         }
         let Some(client) = self.connections.get(key) else {
             return;
         };
         // Its end is told once. One that is not read any further must not be missed.
         if reactor.ending && (client.held_up || client.closing) {
-            self.sending_ended(reactor, key, calls);
+            self.sending_ended(reactor, key, requests);
         }
         let Some(client) = self.connections.get_mut(key) else {
             return;
         };
         client.stream.drained = false;
         if client.stream.left() > 0 {
-            self.flush(reactor, key, calls);
+            self.flush(reactor, key, requests);
         }
-        self.pump(reactor, key, calls);
+        self.pump(reactor, key, requests);
     }
 
     /// Takes commands and reads on, until there is no more or no room.
-    fn pump(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
+    fn pump(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         loop {
-            if !self.take(reactor, key, calls) {
+            if !self.take(reactor, key, requests) {
                 return;
             }
             let client = &mut self.connections[key];
@@ -205,8 +214,8 @@
             let begun = !client.stream.input.is_empty();
             if !client.stream.read(reactor, resp::WHOLE) {
                 return match client.stream.broken {
-                    true => self.close(reactor, key, calls),
-                    false => self.sending_ended(reactor, key, calls),
+                    true => self.close(reactor, key, requests),
+                    false => self.sending_ended(reactor, key, requests),
                 };
             }
             if !begun && !client.stream.input.is_empty() {
@@ -216,7 +225,7 @@
     }
 
     /// Takes the whole commands in the input. False if the connection is to be read no further now.
-    fn take(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) -> bool {
+    fn take(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) -> bool {
         let Some(client) = self.connections.get_mut(key) else {
             return false;
         };
@@ -231,7 +240,8 @@
                 Ok(Some((words, end))) => {
                     let most = reactor.settings.limits.max_open_requests as usize;
                     // Each open API call may yet bring a whole value.
-                    let crowded = reactor.held + calls.len() * resp::VALUE > reactor.budget.bytes;
+                    let crowded =
+                        reactor.held + requests.len() * resp::VALUE > reactor.budget.bytes;
                     // A client that takes no answers, or has asked much and not been answered, is read no further. What there is no room for is refused: it
                     // may not wait for others to end, past its own client's time.
                     let behind = client.stream.left() > resp::WHOLE || client.slots.len() >= PIPED;
@@ -239,13 +249,13 @@
                     if client.held_up {
                         break;
                     }
-                    let full = crowded || (most > 0 && calls.len() >= most);
+                    let full = crowded || (most > 0 && requests.len() >= most);
                     client.command(
                         reactor,
                         key,
                         &bytes[..end],
                         words,
-                        calls,
+                        requests,
                         (self.ready, full),
                     );
                     (took, client.used) = (took + end, reactor.now);
@@ -260,7 +270,7 @@
 
     /// The client has ended its sending: what has come whole is refused, what is out is given up, and the connection ends
     /// behind the last answer.
-    fn sending_ended(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
+    fn sending_ended(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         let Some(client) = self.connections.get_mut(key) else {
             return;
         };
@@ -268,19 +278,25 @@
             return;
         }
         client.half_closed = true;
-        let open: Vec<Serial> = client.slots.iter().filter_map(|slot| slot.call).collect();
-        self.take(reactor, key, calls);
+        let open: Vec<Serial> = client
+            .slots
+            .iter()
+            .filter_map(|slot| slot.request)
+            .collect();
+        self.take(reactor, key, requests);
         let Some(client) = self.connections.get_mut(key) else {
             return;
         };
         (client.closing, client.held_up) = (true, false);
         reactor.tally.gone += open.len() as u64;
-        let left = open.into_iter().filter_map(|call| calls.left(call));
+        let left = open
+            .into_iter()
+            .filter_map(|request| requests.mark_client_left(request));
         reactor
             .notifications
             .extend(left.map(Notification::Expired));
         if self.connections[key].quiet() {
-            self.end(reactor, key, calls);
+            self.end(reactor, key, requests);
         }
     }
 
@@ -288,21 +304,21 @@
     pub fn answer(
         &mut self,
         reactor: &mut Reactor,
-        place: Place,
+        slot: ResponseSlot,
         write: impl FnOnce(&mut Vec<u8>),
     ) {
         let client = self
             .connections
-            .get_mut(place.key)
-            .filter(|it| it.connection == place.connection);
+            .get_mut(slot.key)
+            .filter(|it| it.connection == slot.connection);
         let Some(client) = client else { return };
-        client.answer(reactor, place.number, write);
+        client.answer(reactor, slot.number, write);
         if client.held_up {
-            self.resume.push(place.key);
+            self.resume.push(slot.key);
         }
     }
 
-    pub fn flush(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
+    pub fn flush(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         let Some(client) = self.connections.get_mut(key) else {
             return;
         };
@@ -315,24 +331,25 @@
                 let quiet = client.quiet();
                 self.room |= quiet;
                 let leaves = reactor.closing() && client.idle(reactor);
-                if (client.closing && quiet) || (leaves && self.stays_idle(reactor, key, calls)) {
-                    self.end(reactor, key, calls);
+                if (client.closing && quiet) || (leaves && self.stays_idle(reactor, key, requests))
+                {
+                    self.end(reactor, key, requests);
                 }
             }
-            Err(_) => self.close(reactor, key, calls),
+            Err(_) => self.close(reactor, key, requests),
         }
     }
 
     /// Ends a connection with nothing open and all of its answers written.
-    fn end(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
-        if let Some(client) = self.remove(reactor, key, calls) {
+    fn end(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
+        if let Some(client) = self.remove(reactor, key, requests) {
             self.lingering.end(reactor, client.stream);
         }
     }
 
     /// The client has gone, or does not take its answers.
-    fn close(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
-        if let Some(client) = self.remove(reactor, key, calls) {
+    fn close(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
+        if let Some(client) = self.remove(reactor, key, requests) {
             client.stream.close(reactor);
         }
     }
@@ -343,12 +360,20 @@
         self.room = true;
     }
 
-    /// Open API calls of a connection that goes have nobody to answer any more.
-    fn remove(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) -> Option<Client> {
+    /// Open requests of a connection that goes have nobody to answer any more.
+    fn remove(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        requests: &mut OpenRequests,
+    ) -> Option<Client> {
         let mut client = self.connections.try_remove(key)?;
         for slot in client.slots.drain(..) {
             reactor.freed(slot.answer.map_or(0, |answer| answer.len()));
-            if let Some(call) = slot.call.and_then(|call| calls.left(call)) {
+            if let Some(call) = slot
+                .request
+                .and_then(|request| requests.mark_client_left(request))
+            {
                 reactor.notifications.push_back(Notification::Gone(call));
             }
         }
@@ -359,9 +384,9 @@
     /// Lets connections go on that an answer, a write or an end has made room for: those held up, and those
     /// not accepted yet. The one place for it: to accept may close a connection, which may not accept again
     /// from within. Says if there were any.
-    pub fn resume(&mut self, reactor: &mut Reactor, calls: &mut Calls) -> bool {
+    pub fn resume(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) -> bool {
         if std::mem::take(&mut self.room) && self.waiting {
-            self.accept(reactor, calls);
+            self.accept(reactor, requests);
             return true;
         }
         let keys = std::mem::take(&mut self.resume);
@@ -371,15 +396,15 @@
                 .get(*key)
                 .is_some_and(|client| client.held_up)
             {
-                self.pump(reactor, *key, calls);
+                self.pump(reactor, *key, requests);
             }
         }
         !keys.is_empty()
     }
 
     /// At each tick: who has asked nothing that can be taken for so long, or has left a command unfinished, is
-    /// told so and closed; so are clients between two API calls, where they hold most of the connections.
-    pub fn sweep_idle(&mut self, reactor: &mut Reactor, calls: &mut Calls) {
+    /// told so and closed; so are clients between two requests, where they hold most of the connections.
+    pub fn sweep_idle(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         // Who waits to be accepted is looked at again: some may have stood idle for long enough by now to make room.
         self.room |= self.lingering.sweep(reactor) || self.waiting;
         for (_, client) in &mut self.connections {
@@ -395,9 +420,9 @@
             client.quiet() && client.used + IDLE <= now && (crowded || !done)
         };
         for key in self.keys(over) {
-            self.meet_unread(reactor, key, calls);
+            self.meet_unread(reactor, key, requests);
             match self.connections.get_mut(key).filter(|client| over(client)) {
-                Some(client) if client.stream.input.is_empty() => self.end(reactor, key, calls),
+                Some(client) if client.stream.input.is_empty() => self.end(reactor, key, requests),
                 Some(client) => client.malformed(reactor, "too slow a command"),
                 None => (),
             }
@@ -407,13 +432,13 @@
     /// Once a second: who does not take its answers for longer than any client waits is closed, and, when
     /// memory is short, the largest half commands of clients with nothing open; others held up get a new
     /// chance.
-    pub fn sweep(&mut self, reactor: &mut Reactor, calls: &mut Calls) {
+    pub fn sweep(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         // A client waits no longer for an answer.
         let longest = reactor.settings.longest_timeout().max(IDLE);
         let stuck =
             |client: &Client| client.stream.left() > 0 && client.used + longest < reactor.now;
         for key in self.keys(stuck) {
-            self.close(reactor, key, calls);
+            self.close(reactor, key, requests);
         }
         while reactor.held > reactor.budget.bytes {
             let stalled = reactor.now.saturating_sub(reactor.connect_timeout());
@@ -424,34 +449,34 @@
                 break;
             };
             slog::warn!(reactor.log, "memory is short: a half command is dropped"; "held" => reactor.held);
-            self.end(reactor, key, calls);
+            self.end(reactor, key, requests);
         }
         self.resume = self.keys(|client| client.held_up);
         self.room = true;
     }
 
     /// The gateway stops: connections with nothing open are ended, unless something has just come.
-    pub fn end_idle(&mut self, reactor: &mut Reactor, calls: &mut Calls) {
+    pub fn end_idle(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         for key in self.keys(|client| client.idle(reactor)) {
-            if self.connections.contains(key) && self.stays_idle(reactor, key, calls) {
-                self.end(reactor, key, calls);
+            if self.connections.contains(key) && self.stays_idle(reactor, key, requests) {
+                self.end(reactor, key, requests);
             }
         }
     }
 
     /// The gateway is at its end: what has come whole by now is taken, nothing is read any more, and each connection
     /// ends behind its last answer.
-    pub fn last_answers(&mut self, reactor: &mut Reactor, calls: &mut Calls) {
+    pub fn last_answers(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         for key in self.keys(|client| !client.closing) {
             if self.connections.contains(key) {
-                self.meet_unread(reactor, key, calls);
+                self.meet_unread(reactor, key, requests);
             }
             if let Some(client) = self.connections.get_mut(key) {
                 client.closing |= !client.held_up;
             }
         }
         for key in self.keys(|client| client.closing && client.quiet()) {
-            self.end(reactor, key, calls);
+            self.end(reactor, key, requests);
         }
     }
 
--- a/edge/src/event_loop.rs
+++ b/edge/src/event_loop.rs
@@ -73,7 +73,7 @@
             // Its client may have left in the same turn: nothing is begun for it.
             Notification::Arrived(arrival) => {
                 gateway.borrow_mut().reactor.tally.calls += 1;
-                let open = gateway.borrow().calls.is_open(&arrival.id);
+                let open = gateway.borrow().calls.is_wanted(&arrival.id);
                 match open {
                     true => control.on_request(arrival),
                     false => control.reject_unadmitted(&arrival.id),
@@ -90,7 +90,7 @@
             Notification::Expired(call) => control.on_deadline_moved_up(&call),
             Notification::Ended(call, number, mut end) => {
                 gateway.borrow_mut().reactor.tally.ended(end.outcome);
-                end.request_closed |= !gateway.borrow().calls.is_owed(&call);
+                end.request_closed |= !gateway.borrow().calls.is_unanswered(&call);
                 let closed = end.request_closed;
                 control.on_attempt_end(&call, number, end);
                 if closed {
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -1,13 +1,13 @@
 //! All that one gateway owns beside its decisions: the sides, the open API calls and the reactor they share.
 //! Tells each event of the poll and each due time to the side that it belongs to.
 
-use crate::calls::Calls;
 use crate::clients::Clients;
 use crate::counter::Counter;
 use crate::discovery::{self, Discovery};
 use crate::peers::Peers;
 use crate::pool::{NewAttempt, Pool};
 use crate::reactor::{Due, Notification, Reactor, Side};
+use crate::requests::OpenRequests;
 use crate::shutdown::GracefulShutdown;
 use crate::StartupOnly;
 use mio::event::Event;
@@ -25,7 +25,7 @@
 
 pub struct Gateway {
     pub reactor: Reactor,
-    pub calls: Calls,
+    pub calls: OpenRequests,
     pub clients: Clients,
     pub pool: Pool,
     pub counter: Counter,
@@ -147,7 +147,7 @@
             clients.last_answers(reactor, calls);
             reactor
                 .notifications
-                .extend(calls.unanswered().map(Notification::Expired));
+                .extend(calls.wanted().map(Notification::Expired));
         } else if reactor.closing() {
             clients.end_idle(reactor, calls);
         }
@@ -231,15 +231,17 @@
             ..
         } = self;
         let (now, most) = (reactor.now, reactor.settings.limits.max_attempts);
-        let Some(open) = calls.get(call) else { return };
-        let number = AttemptNumber(open.tries);
-        open.tries += 1;
+        let Some(open) = calls.get_mut(call) else {
+            return;
+        };
+        let number = AttemptNumber(open.attempts);
+        open.attempts += 1;
         let until = if timeout.is_zero() {
-            open.until
+            open.deadline
         } else {
-            open.until.min(now + timeout)
+            open.deadline.min(now + timeout)
         };
-        if !open.wanted() || until <= now || (most > 0 && number.0 >= most) {
+        if !open.is_wanted() || until <= now || (most > 0 && number.0 >= most) {
             return pool.not_sent(reactor, call, number);
         }
         let attempt = NewAttempt {
@@ -256,9 +258,9 @@
     pub fn answer(&mut self, call: &RequestId, write: impl FnOnce(&mut Vec<u8>)) {
         let place = self
             .calls
-            .get(call)
+            .get_mut(call)
             .filter(|open| !open.answered)
-            .map(|open| open.place);
+            .map(|open| open.slot);
         self.forget(call);
         if let Some(place) = place {
             self.clients.answer(&mut self.reactor, place, write);
@@ -274,7 +276,7 @@
     /// The API call is over and the decisions know.
     pub fn forget(&mut self, call: &RequestId) {
         if let Some(open) = self.calls.remove(call) {
-            self.reactor.freed(open.api_call.size());
+            self.reactor.freed(open.command.size());
         }
     }
 }
--- a/edge/src/lib.rs
+++ b/edge/src/lib.rs
@@ -2,7 +2,6 @@
 //! been followed. `wellcrank-edge` is this and nothing else; the operators' command has it built in.
 
 mod budget;
-mod calls;
 mod client;
 mod clients;
 mod clock;
@@ -14,6 +13,7 @@
 mod peers;
 mod pool;
 mod reactor;
+mod requests;
 mod resp;
 mod shutdown;
 mod startup;
@@ -163,7 +163,7 @@
     let discovery = discovery::Discovery::new(told.discovery, known, seed ^ 0x5eed_d15c, &reactor);
     let gateway = Rc::new(RefCell::new(gateway::Gateway {
         reactor,
-        calls: calls::Calls::default(),
+        calls: requests::OpenRequests::default(),
         clients,
         pool: pool::Pool::default(),
         counter,
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -6,11 +6,11 @@
 mod response;
 mod upstream_connection;
 
-use crate::calls::Calls;
 use crate::clients::Clients;
 use crate::discovery::{Change, Lines};
 use crate::must;
 use crate::reactor::{Reactor, Serial, Side};
+use crate::requests::OpenRequests;
 use crate::resp::{self, Reply};
 use crate::stream::BufferedStream;
 use attempt::{advertised_timeout, report_end, result_without_response, Attempt, AttemptState};
@@ -55,13 +55,13 @@
     reactor: &mut Reactor,
     request: &RequestId,
     value: &[u8],
-    calls: &mut Calls,
+    requests: &mut OpenRequests,
     clients: &mut Clients,
 ) {
-    if let Some(open) = calls.get(request).filter(|open| !open.answered) {
+    if let Some(open) = requests.get_mut(request).filter(|open| !open.answered) {
         open.answered = true;
         reactor.tally.proxied += 1;
-        clients.answer(reactor, open.place, |out| resp::put_bulk(out, value));
+        clients.answer(reactor, open.slot, |out| resp::put_bulk(out, value));
     }
 }
 
@@ -273,7 +273,7 @@
         reactor: &mut Reactor,
         key: usize,
         event: &Event,
-        calls: &mut Calls,
+        requests: &mut OpenRequests,
         clients: &mut Clients,
     ) {
         let Some(connection) = self.connections.get_mut(key) else {
@@ -284,10 +284,10 @@
             if connection.stream.opened().is_err() {
                 return self.fail_connection(reactor, key);
             }
-            self.flush(reactor, key, calls);
+            self.flush(reactor, key, requests);
         }
         if event.is_readable() || event.is_read_closed() || event.is_error() {
-            self.read_response(reactor, key, calls, clients);
+            self.read_response(reactor, key, requests, clients);
         }
     }
 
@@ -296,7 +296,7 @@
         &mut self,
         reactor: &mut Reactor,
         key: usize,
-        calls: &mut Calls,
+        requests: &mut OpenRequests,
         clients: &mut Clients,
     ) {
         let Some(connection) = self.connections.get_mut(key) else {
@@ -305,7 +305,7 @@
         connection.stream.drained = false;
         let is_open = connection.stream.read(reactor, resp::WHOLE);
         let exceeds_a_response = !connection.stream.drained;
-        self.handle_input(reactor, key, calls, clients);
+        self.handle_input(reactor, key, requests, clients);
         if !self.connections.contains(key) {
             return;
         }
@@ -321,7 +321,7 @@
         &mut self,
         reactor: &mut Reactor,
         key: usize,
-        calls: &mut Calls,
+        requests: &mut OpenRequests,
         clients: &mut Clients,
     ) {
         let connection = &mut self.connections[key];
@@ -342,7 +342,7 @@
             Err(_) => return self.end_malformed(reactor, key),
         };
         if let Reply::Value { value, .. } = &reply {
-            serve_client(reactor, &attempt.request, value, calls, clients);
+            serve_client(reactor, &attempt.request, value, requests, clients);
         }
         let latency = reactor.now.saturating_sub(attempt.started_at);
         let result = response::attempt_result(reactor, &reply, latency);
@@ -369,11 +369,11 @@
     }
 
     /// Writes what it can of a command.
-    pub(crate) fn flush(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
+    pub(crate) fn flush(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if connection.has_unbegun_attempt() && !self.begin_attempt(reactor, key, calls) {
+        if connection.has_unbegun_attempt() && !self.begin_attempt(reactor, key, requests) {
             return;
         }
         let connection = &mut self.connections[key];
@@ -391,7 +391,12 @@
     /// Queues the command of an attempt of which nothing has gone out, perhaps long after it was decided, since its
     /// connection had to come up: the terms under which it was decided must hold still. Returns whether there is
     /// anything to write now.
-    fn begin_attempt(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) -> bool {
+    fn begin_attempt(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        requests: &mut OpenRequests,
+    ) -> bool {
         let connection = &mut self.connections[key];
         let Some(attempt) = &mut connection.attempt else {
             return false;
@@ -412,9 +417,9 @@
             .usable(&connection.endpoint, connection.incarnation)
             .is_some();
         let is_in_time = now < attempt.current_deadline();
-        let open = calls
-            .get(&attempt.request)
-            .filter(|open| open.wanted() && is_usable && is_in_time);
+        let open = requests
+            .get_mut(&attempt.request)
+            .filter(|open| open.is_wanted() && is_usable && is_in_time);
         let Some(open) = open else {
             reactor.tally.lapsed += 1;
             self.end_with(reactor, key, |_| AttemptOutcome::NotSent);
@@ -424,7 +429,7 @@
         connection.stream.take_back(reactor);
         connection
             .stream
-            .put(reactor, |out| open.api_call.put(out, timeout));
+            .put(reactor, |out| open.command.write_for_endpoint(out, timeout));
         true
     }
 
--- a/edge/src/pool/response.rs
+++ b/edge/src/pool/response.rs
@@ -2,6 +2,7 @@
 
 use crate::must;
 use crate::reactor::Reactor;
+use crate::requests::max_request_units;
 use crate::resp::{self, Reply};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,7 +19,7 @@
 ) -> AttemptResult {
     let (outcome, settled_units, load) = match reply {
         Reply::Value { figures, load, .. } => {
-            let most = crate::calls::most_units(&reactor.settings);
+            let most = max_request_units(&reactor.settings);
             (AttemptOutcome::Success, settled_units(figures, most), load)
         }
         Reply::Busy { load } => (AttemptOutcome::Rejected, None, load),
--- /dev/null
+++ b/edge/src/requests/command/tests.rs
@@ -0,0 +1,153 @@
+use super::*;
+use crate::resp::command as parse_words;
+use serde_json::json;
+
+const CUSTOMER: &str = "000000000000000a";
+const ID: &str = "00000000000000ff";
+
+fn settings() -> Settings {
+    wellcrank_settings::decode(&json!({
+        "balancers": 4,
+        "classes": [
+            {"name": "read", "repeat": "repeatable"},
+            {"name": "order", "repeat": "by_key"},
+            {"name": "stamp", "repeat": "once"},
+        ],
+        "contracts": [{"name": "basic"}],
+    }))
+    .expect("the settings of this test")
+}
+
+/// The bytes of a command on the wire.
+fn encode(words: &[&str]) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    resp::put_array(&mut bytes, words.len());
+    for word in words {
+        resp::put_bulk(&mut bytes, word.as_bytes());
+    }
+    bytes
+}
+
+fn parse(words: &[&str]) -> Result<RequestCommand, InvalidCommand> {
+    let bytes = encode(words);
+    let (ranges, _) = parse_words(&bytes)
+        .expect("RESP2")
+        .expect("a whole command");
+    RequestCommand::parse(&bytes, ranges, &settings(), &OpenRequests::default())
+}
+
+#[test]
+fn each_thing_that_is_wrong_with_a_command_has_its_error_line() {
+    let query = |parameters| parse(&["SVC.QUERY", CUSTOMER, ID, parameters]).map(|_| ());
+    let submit = |parameters| parse(&["SVC.SUBMIT", CUSTOMER, ID, parameters, "body"]).map(|_| ());
+    let too_long = format!("c=read,t=basic,d=1,x={}", "y".repeat(1024));
+    let cases = [
+        (
+            parse(&["SVC.QUERY", CUSTOMER, ID]).map(|_| ()),
+            "wrong number of words",
+        ),
+        (
+            parse(&["SVC.SUBMIT", CUSTOMER, ID, "c=stamp"]).map(|_| ()),
+            "wrong number of words",
+        ),
+        (
+            parse(&["SVC.QUERY", "a", ID, "c=read"]).map(|_| ()),
+            "no customer",
+        ),
+        (
+            parse(&["SVC.QUERY", "f00000000000000a", ID, "c=read"]).map(|_| ()),
+            "no customer",
+        ),
+        (
+            parse(&["SVC.QUERY", CUSTOMER, "+0000000000000ff", "c=read"]).map(|_| ()),
+            "no id",
+        ),
+        (query("c=read, t=basic"), "an unreadable list"),
+        (query(&too_long), "an unreadable list"),
+        (query(""), "not a list of names and values"),
+        (query("c=read,t"), "not a list of names and values"),
+        (query("c=read,c=order"), "a name twice"),
+        (query("c=read,t=basic,d=0"), "a wrong number"),
+        (query("c=read,t=basic,d=600001"), "a wrong number"),
+        (query("c=read,t=basic,d=1e3"), "a wrong number"),
+        (query("c=read,t=basic,d=1,units=0"), "a wrong number"),
+        (query("c=read,t=basic,d=1,first=4"), "a wrong number"),
+        (query("c=read,t=basic,d=1,spread=5"), "a wrong number"),
+        (query("c=none,t=basic,d=1"), "no such route"),
+        (
+            query("c=order,t=basic,d=1"),
+            "not the command for this route",
+        ),
+        (
+            submit("c=read,t=basic,d=1"),
+            "not the command for this route",
+        ),
+        (submit("c=order,t=basic,d=1"), "no key"),
+        (query("c=read,t=none,d=1"), "no such plan"),
+        (query("c=read,t=basic"), "no time to answer"),
+        (query("c=read,t=basic,d=1,first=0.5"), "no set of gateways"),
+    ];
+    for (result, text) in cases {
+        let error = result.expect_err(text);
+        assert_eq!(error.to_string(), text);
+    }
+}
+
+#[test]
+fn an_id_is_refused_as_long_as_a_request_of_that_id_is_open() {
+    let parameters = "c=read,t=basic,d=1";
+    let words = ["SVC.QUERY", CUSTOMER, ID, parameters];
+    let command = parse(&words).expect("a request");
+    let mut requests = OpenRequests::default();
+    let slot = super::super::ResponseSlot {
+        key: 0,
+        connection: 1,
+        number: 0,
+    };
+    let request = super::super::OpenRequest::new(command, Duration::from_secs(1), slot);
+    requests.insert(7, request);
+    let bytes = encode(&words);
+    let (ranges, _) = parse_words(&bytes).expect("RESP2").expect("whole");
+    let again = RequestCommand::parse(&bytes, ranges.clone(), &settings(), &requests);
+    assert_eq!(again.expect_err("in use"), InvalidCommand::IdInUse);
+    requests.remove(&"7".into());
+    assert!(RequestCommand::parse(&bytes, ranges, &settings(), &requests).is_ok());
+}
+
+#[test]
+fn a_command_says_what_is_asked_and_what_it_leaves_out_has_its_default() {
+    let plain = parse(&["svc.query", CUSTOMER, ID, "c=read,t=basic,d=1500,new=x"]).expect("plain");
+    assert_eq!(plain.client_id, 255);
+    assert_eq!(plain.customer, CUSTOMER.into());
+    assert_eq!((plain.route, plain.plan), ("read".into(), "basic".into()));
+    assert_eq!(plain.timeout, Duration::from_millis(1500));
+    assert_eq!(
+        (plain.units, plain.first_gateway, plain.gateway_count),
+        (1.0, 0, 1)
+    );
+    let full = "k=k1,d=2,c=order,t=basic,units=2.5,first=3,spread=4";
+    let full = parse(&["SVC.SUBMIT", CUSTOMER, ID, full, "body"]).expect("full");
+    assert_eq!(
+        (full.units, full.first_gateway, full.gateway_count),
+        (2.5, 3, 4)
+    );
+}
+
+#[test]
+fn an_endpoint_gets_the_command_as_it_came_but_for_the_name_and_the_timeout() {
+    let cases = [
+        ("d=1500,c=order,t=basic,k=1", "d=20,c=order,t=basic,k=1"),
+        ("c=order,d=1500,t=basic,k=1", "c=order,d=20,t=basic,k=1"),
+        ("c=order,t=basic,k=1,d=1500", "c=order,t=basic,k=1,d=20"),
+    ];
+    for (came, goes) in cases {
+        let command = parse(&["svc.submit", CUSTOMER, ID, came, "body"]).expect(came);
+        let mut out = Vec::new();
+        command.write_for_endpoint(&mut out, Duration::from_micros(20_900));
+        assert_eq!(out, encode(&["SVC.SUBMIT", CUSTOMER, ID, goes, "body"]));
+        out.clear();
+        command.write_for_endpoint(&mut out, Duration::ZERO);
+        let least = goes.replace("d=20", "d=1");
+        assert_eq!(out, encode(&["SVC.SUBMIT", CUSTOMER, ID, &least, "body"]));
+    }
+}
