--- a/edge/src/client.rs
+++ b/edge/src/client.rs
@@ -60,7 +60,7 @@
 
     /// Nothing that was taken waits for an answer.
     pub fn quiet(&self) -> bool {
-        self.slots.is_empty() && self.stream.left() == 0 && !self.held_up
+        self.slots.is_empty() && self.stream.pending_bytes() == 0 && !self.held_up
     }
 
     /// Between two requests, as far as is seen: only then may a connection be closed. A client that has asked
@@ -198,13 +198,13 @@
             slot.answer = Some(answer);
             return;
         }
-        self.stream.put(reactor, write);
+        self.stream.queue(reactor, write);
         self.slots.pop_front();
         self.first += 1;
         while let Some(answer) = self.slots.front_mut().and_then(|slot| slot.answer.take()) {
             reactor.freed(answer.len());
             self.stream
-                .put(reactor, |out| out.extend_from_slice(&answer));
+                .queue(reactor, |out| out.extend_from_slice(&answer));
             self.slots.pop_front();
             self.first += 1;
         }
--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -176,7 +176,7 @@
 
     /// Takes what has come on a connection and not been told yet.
     fn meet_unread(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
-        self.connections[key].stream.drained = false;
+        self.connections[key].stream.read_would_block = false;
         self.pump(reactor, key, requests);
     }
 
@@ -194,8 +194,8 @@
         let Some(client) = self.connections.get_mut(key) else {
             return;
         };
-        client.stream.drained = false;
-        if client.stream.left() > 0 {
+        client.stream.read_would_block = false;
+        if client.stream.pending_bytes() > 0 {
             self.flush(reactor, key, requests);
         }
         self.pump(reactor, key, requests);
@@ -208,12 +208,12 @@
                 return;
             }
             let client = &mut self.connections[key];
-            if client.stream.drained {
+            if client.stream.read_would_block {
                 return;
             }
             let begun = !client.stream.input.is_empty();
             if !client.stream.read(reactor, resp::WHOLE) {
-                return match client.stream.broken {
+                return match client.stream.has_failed {
                     true => self.close(reactor, key, requests),
                     false => self.sending_ended(reactor, key, requests),
                 };
@@ -244,7 +244,8 @@
                         reactor.held + requests.len() * resp::VALUE > reactor.budget.bytes;
                     // A client that takes no answers, or has asked much and not been answered, is read no further. What there is no room for is refused: it
                     // may not wait for others to end, past its own client's time.
-                    let behind = client.stream.left() > resp::WHOLE || client.slots.len() >= PIPED;
+                    let behind =
+                        client.stream.pending_bytes() > resp::WHOLE || client.slots.len() >= PIPED;
                     client.held_up = !client.half_closed && behind;
                     if client.held_up {
                         break;
@@ -264,7 +265,7 @@
             }
         }
         client.stream.input = input;
-        client.stream.take(reactor, took);
+        client.stream.consume(reactor, took);
         !client.closing && !client.held_up
     }
 
@@ -435,8 +436,9 @@
     pub fn sweep(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         // A client waits no longer for an answer.
         let longest = reactor.settings.longest_timeout().max(IDLE);
-        let stuck =
-            |client: &Client| client.stream.left() > 0 && client.used + longest < reactor.now;
+        let stuck = |client: &Client| {
+            client.stream.pending_bytes() > 0 && client.used + longest < reactor.now
+        };
         for key in self.keys(stuck) {
             self.close(reactor, key, requests);
         }
--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -149,7 +149,7 @@
             return counted(reactor, name, CounterReply::NotApplied);
         };
         let keep = keep.as_millis().clamp(1, 60_000);
-        line.put += stream.put(reactor, |out| {
+        line.put += stream.queue(reactor, |out| {
             drop(write!(out, "incr {} {add} {keep}\r\n", name.0))
         });
         let number = reactor.serial();
@@ -193,8 +193,8 @@
         else {
             return;
         };
-        if event.is_writable() && (!stream.up || stream.left() > 0) {
-            if stream.opened().is_err() {
+        if event.is_writable() && (!stream.is_connected || stream.pending_bytes() > 0) {
+            if stream.check_connected().is_err() {
                 return self.end(reactor, place);
             }
             self.flush(reactor, place);
@@ -203,9 +203,9 @@
             return;
         };
         if event.is_readable() || event.is_read_closed() || event.is_error() {
-            stream.drained = false;
+            stream.read_would_block = false;
             let open = stream.read(reactor, reactor.scratch.len());
-            let more = !stream.drained;
+            let more = !stream.read_would_block;
             if !self.answered(reactor, place) || !open {
                 return self.end(reactor, place);
             }
@@ -257,7 +257,7 @@
             }
         }
         if took > 0 {
-            stream.take(reactor, took);
+            stream.consume(reactor, took);
         }
         true
     }
@@ -295,10 +295,10 @@
     /// Once a second: a connection on which nothing waits is kept open by a ping, which costs nothing.
     pub fn sweep(&mut self, reactor: &mut Reactor) {
         for line in self.lines.iter_mut().filter(|line| line.waiting.is_empty()) {
-            let Some(stream) = line.stream.as_mut().filter(|stream| stream.up) else {
+            let Some(stream) = line.stream.as_mut().filter(|stream| stream.is_connected) else {
                 continue;
             };
-            line.put += stream.put(reactor, |out| out.extend_from_slice(b"ping\r\n"));
+            line.put += stream.queue(reactor, |out| out.extend_from_slice(b"ping\r\n"));
             let (number, due) = (reactor.serial(), (reactor.now, 0));
             line.waiting.push_back(Waiting {
                 number,
@@ -323,6 +323,10 @@
     }
 
     fn written(&self) -> usize {
-        self.put - self.stream.as_ref().map_or(0, BufferedStream::left)
+        self.put
+            - self
+                .stream
+                .as_ref()
+                .map_or(0, BufferedStream::pending_bytes)
     }
 }
--- a/edge/src/discovery.rs
+++ b/edge/src/discovery.rs
@@ -306,7 +306,7 @@
         };
         let host = &self.host;
         let call = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {host}\r\n\r\n");
-        stream.put(reactor, |out| out.extend_from_slice(call.as_bytes()));
+        stream.queue(reactor, |out| out.extend_from_slice(call.as_bytes()));
         (self.asking, self.asked) = (true, reactor.now);
     }
 
@@ -321,7 +321,10 @@
 
     /// Until when the call that is out may go unanswered, with the wait that it asks for.
     fn patience(&self) -> Duration {
-        let up = self.stream.as_ref().is_some_and(|stream| stream.up);
+        let up = self
+            .stream
+            .as_ref()
+            .is_some_and(|stream| stream.is_connected);
         let wait = match self.rev {
             _ if !up => self.recall.connect_timeout(),
             Some(_) => self.wait() + self.recall.response_timeout(false),
@@ -338,13 +341,13 @@
         event: &Event,
     ) -> Option<ListUpdate> {
         let stream = self.stream.as_mut().filter(|_| key == self.key)?;
-        if event.is_writable() && stream.left() > 0 {
+        if event.is_writable() && stream.pending_bytes() > 0 {
             self.flush(reactor, key);
         }
         let stream = self.stream.as_mut()?;
         let most = reactor.budget.bytes.max(LIST);
         let open = stream.read(reactor, most);
-        let ended = !open && !stream.broken;
+        let ended = !open && !stream.has_failed;
         let read = match answer(&stream.input, ended, most) {
             Ok(None) if stream.input.len() >= most => Err(TOO_LONG.to_string()),
             read => read,
@@ -352,7 +355,7 @@
         let mut soon = false;
         let news = match read {
             Ok(Some((news, took))) => {
-                stream.take(reactor, took);
+                stream.consume(reactor, took);
                 if self.recall.failures() > 0 {
                     slog::info!(reactor.log, "discovery answers again"; "after" => self.recall.failures(),
                         "connection" => self.key, "asked" => ?reactor.now.saturating_sub(self.asked),
@@ -425,7 +428,10 @@
             if reactor.now < self.patience() {
                 return;
             }
-            let up = self.stream.as_ref().is_some_and(|stream| stream.up);
+            let up = self
+                .stream
+                .as_ref()
+                .is_some_and(|stream| stream.is_connected);
             self.failed(
                 reactor,
                 DiscoveryFailure::Timeout,
--- a/edge/src/lingering.rs
+++ b/edge/src/lingering.rs
@@ -36,7 +36,10 @@
     /// Ends a connection on which all is written: the one way in which the gateway ends one that a client holds.
     pub fn end(&mut self, reactor: &mut Reactor, mut stream: BufferedStream) {
         let key = self.connections.vacant_key();
-        if stream.half_close(reactor, Side::Lingering, key).is_err() {
+        if stream
+            .shut_down_sending(reactor, Side::Lingering, key)
+            .is_err()
+        {
             return stream.close(reactor);
         }
         let wait = reactor.connect_timeout().clamp(LEAST, MOST);
@@ -53,7 +56,7 @@
         let Some(ending) = self.connections.get_mut(key) else {
             return;
         };
-        if !ending.stream.discard(reactor, &mut ending.bytes) {
+        if !ending.stream.discard_input(reactor, &mut ending.bytes) {
             self.close(reactor, key);
         }
     }
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -167,8 +167,8 @@
             connection.attempt.is_none(),
             "one upstream attempt on a connection"
         );
-        connection.stream.flush_later(reactor);
-        let connected_by = if connection.stream.up {
+        connection.stream.schedule_flush(reactor);
+        let connected_by = if connection.stream.is_connected {
             new.deadline
         } else {
             reactor.now + reactor.connect_timeout()
@@ -250,7 +250,7 @@
         else {
             return;
         };
-        let is_connected = connection.stream.up;
+        let is_connected = connection.stream.is_connected;
         let timer = connection.timer(key);
         let Some(attempt) = &mut connection.attempt else {
             return;
@@ -279,9 +279,10 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let wants_to_write = connection.has_unbegun_attempt() || connection.stream.left() > 0;
+        let wants_to_write =
+            connection.has_unbegun_attempt() || connection.stream.pending_bytes() > 0;
         if event.is_writable() && wants_to_write {
-            if connection.stream.opened().is_err() {
+            if connection.stream.check_connected().is_err() {
                 return self.fail_connection(reactor, key);
             }
             self.flush(reactor, key, requests);
@@ -302,9 +303,9 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        connection.stream.drained = false;
+        connection.stream.read_would_block = false;
         let is_open = connection.stream.read(reactor, resp::WHOLE);
-        let exceeds_a_response = !connection.stream.drained;
+        let exceeds_a_response = !connection.stream.read_would_block;
         self.handle_input(reactor, key, requests, clients);
         if !self.connections.contains(key) {
             return;
@@ -357,7 +358,7 @@
     /// one.
     fn recycle(&mut self, reactor: &mut Reactor, key: usize, response_length: usize) {
         let connection = &mut self.connections[key];
-        connection.stream.take(reactor, response_length);
+        connection.stream.consume(reactor, response_length);
         connection.last_used = reactor.now;
         let known = self
             .endpoints
@@ -379,7 +380,7 @@
         let connection = &mut self.connections[key];
         match connection.stream.flush(reactor) {
             Ok(has_progressed) => {
-                let pending_bytes = connection.stream.left();
+                let pending_bytes = connection.stream.pending_bytes();
                 if let Some(attempt) = &mut connection.attempt {
                     attempt.state = attempt.state.after_write(has_progressed, pending_bytes);
                 }
@@ -401,7 +402,7 @@
         let Some(attempt) = &mut connection.attempt else {
             return false;
         };
-        if !connection.stream.up {
+        if !connection.stream.is_connected {
             return false;
         }
         // The turn may have been long: the remaining time is reckoned by the clock, not by the turn, and what has
@@ -426,10 +427,10 @@
             return false;
         };
         let timeout = advertised_timeout(attempt.deadline - now);
-        connection.stream.take_back(reactor);
+        connection.stream.clear_queue(reactor);
         connection
             .stream
-            .put(reactor, |out| open.command.write_for_endpoint(out, timeout));
+            .queue(reactor, |out| open.command.write_for_endpoint(out, timeout));
         true
     }
 
--- a/edge/src/stream.rs
+++ b/edge/src/stream.rs
@@ -1,5 +1,5 @@
-//! One buffered TCP connection: reads until the socket is empty, collects what is to be written until the end
-//! of the turn, and tells whether all of it was.
+//! One buffered TCP connection: reads until the socket is empty, queues what is to be written until the end of the turn
+//! of the event loop, and tells how much of it is pending.
 
 use crate::must;
 use crate::reactor::{Reactor, Side};
@@ -8,61 +8,77 @@
 use mio::{Interest, Token};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr};
-use std::os::fd::AsRawFd;
+use std::os::fd::{AsRawFd, RawFd};
 
 const BOTH_WAYS: Interest = Interest::READABLE.add(Interest::WRITABLE);
 
-/// So often a connection is tried at once.
-const CONNECTS: u32 = 3;
+/// So often a connection is tried at once: what fails for want of something of this machine's own, or since a signal
+/// came, may not fail a moment later.
+const MAX_CONNECT_ATTEMPTS: u32 = 3;
 
-/// Buffers that have grown past this are given back once they are empty.
-const KEPT: usize = 4096;
+/// Buffers that have grown past this many bytes are given back once they are empty.
+const MAX_KEPT_CAPACITY: usize = 4096;
 
-pub struct BufferedStream {
+/// A connection with its buffers; their bytes are counted in [`Reactor::held`].
+pub(crate) struct BufferedStream {
     socket: TcpStream,
+    descriptor: RawFd,
     token: Token,
     /// The poll tells of it.
-    registered: bool,
-    /// Connected, as far as a write or the poll has told.
-    pub up: bool,
-    /// Nothing more is to be read until the poll says so.
-    pub drained: bool,
-    /// It was reset, or failed otherwise: no end that the other side has put.
-    pub broken: bool,
-    /// What has come and was not taken yet.
-    pub input: Vec<u8>,
+    is_registered: bool,
+    /// Connected, as far as a read, a write or the poll has told.
+    pub(crate) is_connected: bool,
+    /// The last read found nothing more: there is nothing to read until the poll says so. Whoever is told by the poll
+    /// resets it.
+    pub(crate) read_would_block: bool,
+    /// It was reset, or failed otherwise: no end that the other side has sent.
+    pub(crate) has_failed: bool,
+    /// What has come and was not consumed yet.
+    pub(crate) input: Vec<u8>,
     output: Vec<u8>,
-    done: usize,
-    marked: bool,
+    /// How much of the output is written.
+    written: usize,
+    /// It is flushed at the end of the turn.
+    is_flush_scheduled: bool,
 }
 
 impl BufferedStream {
-    /// Opens a connection. What fails for want of something of this machine's own, or since a signal came, may not fail a
-    /// moment later.
-    pub fn connect(
+    /// Opens a connection.
+    pub(crate) fn connect(
         reactor: &mut Reactor,
-        at: SocketAddr,
+        address: SocketAddr,
         side: Side,
         key: usize,
     ) -> io::Result<BufferedStream> {
-        let mut tried = 1;
+        let mut attempts = 1;
         loop {
-            let opened = TcpStream::connect(at).and_then(|socket| {
-                let mut stream = BufferedStream::new(socket, side, key, false);
-                stream.register(reactor).map(|()| stream)
-            });
-            match opened {
-                Err(error) if error.kind() != ErrorKind::ConnectionRefused && tried < CONNECTS => {
-                    tried += 1
+            match BufferedStream::try_connect(reactor, address, side, key) {
+                Err(error)
+                    if error.kind() != ErrorKind::ConnectionRefused
+                        && attempts < MAX_CONNECT_ATTEMPTS =>
+                {
+                    attempts += 1;
                 }
-                opened => return opened,
+                result => return result,
             }
         }
     }
 
+    fn try_connect(
+        reactor: &mut Reactor,
+        address: SocketAddr,
+        side: Side,
+        key: usize,
+    ) -> io::Result<BufferedStream> {
+        let socket = TcpStream::connect(address)?;
+        let mut stream = BufferedStream::new(socket, side, key, false);
+        stream.register(reactor)?;
+        Ok(stream)
+    }
+
     /// A connection that was accepted. It is kept where the poll can't take it yet: it may hold a command. Whoever owns it
     /// registers it then.
-    pub fn accepted(
+    pub(crate) fn accepted(
         reactor: &mut Reactor,
         socket: TcpStream,
         side: Side,
@@ -73,139 +89,131 @@
         stream
     }
 
-    fn new(socket: TcpStream, side: Side, key: usize, up: bool) -> BufferedStream {
+    fn new(socket: TcpStream, side: Side, key: usize, is_connected: bool) -> BufferedStream {
         // Without it small answers would wait for the other side's acknowledgement.
         let _ = socket.set_nodelay(true);
-        let (input, output, done) = (Vec::new(), Vec::new(), 0);
         BufferedStream {
+            descriptor: socket.as_raw_fd(),
             socket,
             token: side.token(key),
-            registered: false,
-            up,
-            drained: false,
-            broken: false,
-            input,
-            output,
-            done,
-            marked: false,
+            is_registered: false,
+            is_connected,
+            read_would_block: false,
+            has_failed: false,
+            input: Vec::new(),
+            output: Vec::new(),
+            written: 0,
+            is_flush_scheduled: false,
         }
     }
 
+    /// The socket for the poll, by its number: mio's own record of a registration outlives one that failed.
+    fn source(&self) -> SourceFd<'_> {
+        SourceFd(&self.descriptor)
+    }
+
     /// Has the poll tell of it from now on, if it does not yet.
-    pub fn register(&mut self, reactor: &mut Reactor) -> io::Result<()> {
-        // By its number: mio's own record of a registration outlives one that failed.
-        if !self.registered {
-            reactor.registry.register(
-                &mut SourceFd(&self.socket.as_raw_fd()),
-                self.token,
-                BOTH_WAYS,
-            )?;
-            self.registered = true;
+    pub(crate) fn register(&mut self, reactor: &mut Reactor) -> io::Result<()> {
+        if !self.is_registered {
+            reactor
+                .registry
+                .register(&mut self.source(), self.token, BOTH_WAYS)?;
+            self.is_registered = true;
         }
         Ok(())
     }
 
     /// Whether a read or write that failed is only to be done again later: when the poll tells, or, where the system had
     /// no memory for it, as soon as the poll is asked again.
-    fn pauses(&mut self, reactor: &Reactor, error: &io::Error) -> bool {
-        let short = error
+    fn should_retry_later(&self, reactor: &Reactor, error: &io::Error) -> bool {
+        let is_short_of_memory = error
             .raw_os_error()
             .is_some_and(|number| [libc::ENOBUFS, libc::ENOMEM].contains(&number));
         // The poll tells what it was just told of again.
-        let again = short
+        let is_told_again = is_short_of_memory
             && reactor
                 .registry
-                .reregister(
-                    &mut SourceFd(&self.socket.as_raw_fd()),
-                    self.token,
-                    BOTH_WAYS,
-                )
+                .reregister(&mut self.source(), self.token, BOTH_WAYS)
                 .is_ok();
-        again || error.kind() == ErrorKind::WouldBlock
+        is_told_again || error.kind() == ErrorKind::WouldBlock
     }
 
-    /// Has `write` add to the output; it goes out at the end of the turn. Says how many bytes it added.
-    pub fn put(&mut self, reactor: &mut Reactor, write: impl FnOnce(&mut Vec<u8>)) -> usize {
-        let before = self.output.len();
+    /// Has `write` add to the output; it goes out at the end of the turn. Returns how many bytes it added.
+    pub(crate) fn queue(
+        &mut self,
+        reactor: &mut Reactor,
+        write: impl FnOnce(&mut Vec<u8>),
+    ) -> usize {
+        let length_before = self.output.len();
         write(&mut self.output);
-        let added = self.output.len() - before;
+        let added = self.output.len() - length_before;
         reactor.held += added;
-        self.flush_later(reactor);
+        self.schedule_flush(reactor);
         added
     }
 
-    /// It is flushed at the end of the turn.
-    pub fn flush_later(&mut self, reactor: &mut Reactor) {
-        if !self.marked {
-            self.marked = true;
+    /// Has it flushed at the end of the turn.
+    pub(crate) fn schedule_flush(&mut self, reactor: &mut Reactor) {
+        if !self.is_flush_scheduled {
+            self.is_flush_scheduled = true;
             reactor.written.push(self.token);
         }
     }
 
-    /// Takes back what was put, where none of it has gone out.
-    pub fn take_back(&mut self, reactor: &mut Reactor) {
+    /// Drops what was queued, where none of it has gone out.
+    pub(crate) fn clear_queue(&mut self, reactor: &mut Reactor) {
         must!(
             reactor,
-            self.done == 0,
+            self.written == 0,
             "only what has not begun to go out is taken back"
         );
         reactor.freed(self.output.len());
         self.output.clear();
     }
 
-    /// Bytes not written yet.
-    pub fn left(&self) -> usize {
-        self.output.len() - self.done
+    /// How many bytes are queued and not written yet.
+    pub(crate) fn pending_bytes(&self) -> usize {
+        self.output.len() - self.written
     }
 
-    /// Writes what it can. Says whether any of it went.
-    pub fn flush(&mut self, reactor: &mut Reactor) -> io::Result<bool> {
-        self.marked = false;
-        let before = self.done;
-        while self.done < self.output.len() {
-            match self.socket.write(&self.output[self.done..]) {
+    /// Writes what it can. Returns whether any of it went.
+    pub(crate) fn flush(&mut self, reactor: &mut Reactor) -> io::Result<bool> {
+        self.is_flush_scheduled = false;
+        let written_before = self.written;
+        while self.written < self.output.len() {
+            match self.socket.write(&self.output[self.written..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(some) => self.done += some,
+                Ok(count) => self.written += count,
                 Err(error) if error.kind() == ErrorKind::Interrupted => (),
-                Err(error) if self.pauses(reactor, &error) => break,
+                Err(error) if self.should_retry_later(reactor, &error) => break,
                 Err(error) => return Err(error),
             }
         }
-        let moved = self.done > before;
-        self.up |= moved;
-        if self.left() == 0 {
+        let has_progressed = self.written > written_before;
+        self.is_connected |= has_progressed;
+        if self.pending_bytes() == 0 {
             reactor.freed(self.output.len());
-            shrink(&mut self.output);
-            self.done = 0;
+            clear_buffer(&mut self.output);
+            self.written = 0;
         }
-        Ok(moved)
+        Ok(has_progressed)
     }
 
-    /// Reads what has come, as long as the input holds less than `most`. False once the other side has ended
-    /// or the connection broke.
-    pub fn read(&mut self, reactor: &mut Reactor, most: usize) -> bool {
+    /// Reads what has come, as long as the input holds less than `most` bytes. Returns false once the other side has ended
+    /// or the connection failed.
+    pub(crate) fn read(&mut self, reactor: &mut Reactor, most: usize) -> bool {
         while self.input.len() < most {
-            let room = reactor.scratch.len().min(most - self.input.len());
-            match self.socket.read(&mut reactor.scratch[..room]) {
+            let capacity = reactor.scratch.len().min(most - self.input.len());
+            match self.socket.read(&mut reactor.scratch[..capacity]) {
                 Ok(0) => return false,
-                Ok(some) => {
-                    self.up = true;
-                    // Many half commands must not take twice their size.
-                    self.input.reserve_exact(if self.input.is_empty() {
-                        some
-                    } else {
-                        some.max(KEPT)
-                    });
-                    self.input.extend_from_slice(&reactor.scratch[..some]);
-                    reactor.held += some;
-                }
+                Ok(count) => self.append_input(reactor, count),
                 Err(error) if error.kind() == ErrorKind::Interrupted => (),
-                Err(error) if self.pauses(reactor, &error) => {
-                    self.drained = true;
+                Err(error) if self.should_retry_later(reactor, &error) => {
+                    self.read_would_block = true;
                     return true;
                 }
                 Err(_) => {
-                    self.broken = true;
+                    self.has_failed = true;
                     return false;
                 }
             }
@@ -213,52 +221,69 @@
         true
     }
 
+    /// Adds so many bytes of the scratch buffer to the input.
+    fn append_input(&mut self, reactor: &mut Reactor, count: usize) {
+        self.is_connected = true;
+        // Many half commands must not take twice their size.
+        let growth = if self.input.is_empty() {
+            count
+        } else {
+            count.max(MAX_KEPT_CAPACITY)
+        };
+        self.input.reserve_exact(growth);
+        self.input.extend_from_slice(&reactor.scratch[..count]);
+        reactor.held += count;
+    }
+
     /// Takes bytes off the front of the input.
-    pub fn take(&mut self, reactor: &mut Reactor, count: usize) {
+    pub(crate) fn consume(&mut self, reactor: &mut Reactor, count: usize) {
         reactor.freed(count);
         if count == self.input.len() {
-            shrink(&mut self.input);
+            clear_buffer(&mut self.input);
         } else {
             self.input.drain(..count);
         }
     }
 
-    /// The poll says that it can be written to: a connection that was opened is up or has failed.
-    pub fn opened(&mut self) -> io::Result<()> {
+    /// The poll says that it can be written to: a connection that was opened is connected, or has failed.
+    pub(crate) fn check_connected(&mut self) -> io::Result<()> {
         match self.socket.take_error()? {
             Some(error) => Err(error),
             None => {
-                self.up |= self.socket.peer_addr().is_ok();
+                self.is_connected |= self.socket.peer_addr().is_ok();
                 Ok(())
             }
         }
     }
 
     /// Shuts down sending; from now on the poll tells of it by another token. All must be written.
-    pub fn half_close(&mut self, reactor: &mut Reactor, side: Side, key: usize) -> io::Result<()> {
+    pub(crate) fn shut_down_sending(
+        &mut self,
+        reactor: &mut Reactor,
+        side: Side,
+        key: usize,
+    ) -> io::Result<()> {
         must!(
             reactor,
-            self.left() == 0,
+            self.pending_bytes() == 0,
             "what was answered goes out before the end"
         );
-        self.take(reactor, self.input.len());
+        self.consume(reactor, self.input.len());
         self.token = side.token(key);
-        reactor.registry.reregister(
-            &mut SourceFd(&self.socket.as_raw_fd()),
-            self.token,
-            Interest::READABLE,
-        )?;
+        reactor
+            .registry
+            .reregister(&mut self.source(), self.token, Interest::READABLE)?;
         self.socket.shutdown(Shutdown::Write)
     }
 
-    /// Reads and drops what has come, `most` bytes in all. False once the other side has ended, the connection broke
-    /// or that is reached.
-    pub fn discard(&mut self, reactor: &mut Reactor, most: &mut usize) -> bool {
-        while *most > 0 {
-            let room = reactor.scratch.len().min(*most);
-            match self.socket.read(&mut reactor.scratch[..room]) {
+    /// Reads and drops what has come, `allowance` bytes in all, of which it takes off what came. Returns false once the
+    /// other side has ended, the connection failed or the allowance is used up.
+    pub(crate) fn discard_input(&mut self, reactor: &mut Reactor, allowance: &mut usize) -> bool {
+        while *allowance > 0 {
+            let capacity = reactor.scratch.len().min(*allowance);
+            match self.socket.read(&mut reactor.scratch[..capacity]) {
                 Ok(0) => return false,
-                Ok(some) => *most -= some,
+                Ok(count) => *allowance -= count,
                 Err(error) if error.kind() == ErrorKind::Interrupted => (),
                 Err(error) => return error.kind() == ErrorKind::WouldBlock,
             }
@@ -267,16 +292,15 @@
     }
 
     /// Closes at once. What has come and was not read resets the connection.
-    pub fn close(self, reactor: &mut Reactor) {
+    pub(crate) fn close(self, reactor: &mut Reactor) {
         reactor.freed(self.input.len() + self.output.len());
-        let _ = reactor
-            .registry
-            .deregister(&mut SourceFd(&self.socket.as_raw_fd()));
+        let _ = reactor.registry.deregister(&mut self.source());
     }
 }
 
-fn shrink(buffer: &mut Vec<u8>) {
-    if buffer.capacity() > KEPT {
+/// Empties a buffer, and gives it back where it is large.
+fn clear_buffer(buffer: &mut Vec<u8>) {
+    if buffer.capacity() > MAX_KEPT_CAPACITY {
         *buffer = Vec::new();
     }
     buffer.clear();
