--- a/edge/src/event_loop.rs
+++ b/edge/src/event_loop.rs
@@ -87,7 +87,7 @@
                 gateway.borrow_mut().left(&call);
                 control.on_client_disconnect(&call);
             }
-            Notification::Expired(call) => control.on_deadline_moved_up(&call),
+            Notification::Expired(call) => control.expire_request(&call),
             Notification::Ended(call, number, mut end) => {
                 gateway.borrow_mut().reactor.tally.ended(end.outcome);
                 end.request_closed |= !gateway.borrow().calls.is_owed(&call);
--- /dev/null
+++ b/src/control/customer_quotas.rs
@@ -0,0 +1,555 @@
+//! What each customer may do, kept on the shared counter: concurrency leases (steps 2 to 4 of the design) and the rate
+//! quota. A decision that needs the counter's reply is [`Decision::Pending`], and comes back by
+//! [`CustomerQuotas::on_counter_reply`].
+
+use super::ceiling;
+use super::context::Context;
+use super::counter_client::{CallPurpose, CounterCall, CounterClient, LeaseRenewal};
+use super::counter_names::{interval_at, lease_counter, window_counter};
+use super::customers::{Customer, CustomerTable};
+use super::leases::{
+    LeaseAcquisition, LeaseDecision, LeaseId, LeasePurpose, LEASE_PERIOD, LEASE_TTL, RENEW_AHEAD,
+};
+use super::quota::{
+    BlockAcquisition, BlockDecision, CallBudget, RateTerms, Reservation, UnitReports,
+    WaitingRequest, SCARCE_BLOCK_WINDOWS,
+};
+use crate::port::{CounterName, CounterReply, CustomerId, Request, RequestId};
+use crate::settings::{Plan, Settings};
+use std::time::Duration;
+
+/// The counter keeps the name of a window for so many windows.
+const WINDOW_TTL_WINDOWS: u32 = 3;
+
+/// What a request was decided to get.
+pub(super) enum Decision<Grant, Denial> {
+    /// It has it.
+    Granted(Grant),
+    /// It does not get it.
+    Denied(Denial),
+    /// The counter was asked.
+    Pending,
+}
+
+/// The lease of an attempt; none where the plan states no cap.
+pub(super) type GrantedLease = Option<LeaseId>;
+
+/// How many attempts are ahead of one whose lease was denied.
+pub(super) struct LeaseDenial {
+    /// Attempts beyond the cap.
+    pub(super) ahead: f64,
+}
+
+/// A request's units were denied by the local quota, as the counter could not be asked.
+pub(super) struct QuotaDenial;
+
+/// How a request's units were reserved.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Reserved {
+    /// With the counter's word.
+    Counted,
+    /// Without it.
+    Uncounted,
+}
+
+/// What a reply of the counter has decided.
+pub(super) enum Resumption {
+    /// The lease of a request.
+    Lease {
+        /// Which request.
+        request: RequestId,
+        /// Whose it is.
+        customer: CustomerId,
+        /// For which of its attempts.
+        purpose: LeasePurpose,
+        /// The lease, or why there is none.
+        decision: Result<GrantedLease, LeaseDenial>,
+    },
+    /// The block for which requests of a customer have waited.
+    Block {
+        /// Whose requests.
+        customer: CustomerId,
+        /// They may reserve their units again; else they are rejected.
+        granted: bool,
+        /// Which requests.
+        waiting: Vec<WaitingRequest>,
+    },
+}
+
+/// The leases and quotas of all customers at this gateway.
+pub(super) struct CustomerQuotas {
+    customers: CustomerTable,
+    counter: CounterClient,
+    unit_reports: UnitReports,
+    last_lease: LeaseId,
+}
+
+/// The cap on a customer's attempts that are out at once; a plan may state none.
+fn concurrency_limit(plan: &Plan) -> Option<f64> {
+    (plan.concurrency_limit > 0.0).then_some(plan.concurrency_limit)
+}
+
+/// What a request is worth: the value of its route, times the price of its plan, times its units.
+pub(super) fn value_of(settings: &Settings, request: &Request) -> f64 {
+    let price = settings.plan(&request.plan).price;
+    settings.route(&request.route).value * price * request.units
+}
+
+/// The number of a customer's lease period at a moment.
+fn lease_period_at(customer: &CustomerId, at: Duration) -> u64 {
+    interval_at(customer, LEASE_PERIOD, at).number
+}
+
+impl CustomerQuotas {
+    /// No customer is known yet.
+    pub(super) fn new(settings: &Settings, now: Duration) -> CustomerQuotas {
+        CustomerQuotas {
+            customers: CustomerTable::default(),
+            counter: CounterClient::new(settings, now),
+            unit_reports: UnitReports::default(),
+            last_lease: LeaseId(0),
+        }
+    }
+
+    /// New settings say whether there is a counter.
+    pub(super) fn set_counter_present(&mut self, is_present: bool) {
+        self.counter.set_present(is_present);
+    }
+
+    /// Whether the counter is left alone.
+    pub(super) fn is_circuit_open(&self, now: Duration) -> bool {
+        self.counter.is_circuit_open(now)
+    }
+
+    /// Records what a request asks for; says whether its customer's quota is known to be spent.
+    pub(super) fn record_request(&mut self, context: &Context, request: &Request) -> bool {
+        let settings = &context.settings;
+        let plan = settings.plan(&request.plan);
+        let terms = RateTerms::of(plan);
+        let first_gateway = f64::from(request.first_gateway);
+        let gateway_rank = (f64::from(settings.gateway_index) - first_gateway)
+            .rem_euclid(settings.gateway_count());
+        let quota = if terms.rate > 0.0 {
+            terms.burst
+        } else {
+            concurrency_limit(plan).unwrap_or(f64::INFINITY)
+        };
+        let customer = self.customers.get_or_insert(&request.customer);
+        customer.record_request(context.now, request, gateway_rank, terms.window);
+        let even_split = quota / customer.gateway_count;
+        let has_small_quota = even_split < request.units;
+        self.counter
+            .pacer
+            .record_request(has_small_quota, value_of(settings, request));
+        customer.quota.rejected_until() > context.now
+    }
+
+    /// Until when a customer's requests are rejected, as far as that is known.
+    pub(super) fn rejected_until(&self, customer: &CustomerId) -> Duration {
+        self.customers
+            .get(customer)
+            .map_or(Duration::ZERO, |known| known.quota.rejected_until())
+    }
+
+    /// Acquires a lease for a request's next attempt: adds one on the counter and waits for the total. A plan without a
+    /// cap has nothing to hold its customers under. `baseline_latency` is that of the route, in seconds.
+    pub(super) fn acquire_lease(
+        &mut self,
+        context: &mut Context,
+        request: &Request,
+        purpose: LeasePurpose,
+        baseline_latency: Option<f64>,
+    ) -> Decision<GrantedLease, LeaseDenial> {
+        let plan = context.settings.plan(&request.plan);
+        let Some(limit) = concurrency_limit(plan) else {
+            return Decision::Granted(None);
+        };
+        let now = context.now;
+        let customer_id = &request.customer;
+        let terms = RateTerms::of(plan);
+        let value = value_of(&context.settings, request);
+        let cheapness = self.counter.pacer.cheapness(value, 1.0);
+        let is_spared = self.is_lease_call_spared(now, customer_id, &terms, limit);
+        let is_silent = is_spared || !self.counter.may_call(now, cheapness);
+        self.last_lease = LeaseId(self.last_lease.0 + 1);
+        let acquisition = LeaseAcquisition {
+            request: request.id.clone(),
+            purpose,
+            lease: self.last_lease,
+            period: lease_period_at(customer_id, now),
+            limit,
+            units: request.units,
+            window: terms.window,
+            seconds_per_unit: baseline_latency.unwrap_or(0.0) / request.units.max(1.0),
+            is_spared,
+        };
+        if is_silent {
+            let reply = CounterReply::NotApplied;
+            return match self.decide_lease(context, customer_id, &acquisition, reply) {
+                Ok(lease) => Decision::Granted(lease),
+                Err(denial) => Decision::Denied(denial),
+            };
+        }
+        let call = CounterCall {
+            name: lease_counter(customer_id, acquisition.period),
+            amount: 1.0,
+            ttl: LEASE_TTL,
+            purpose: CallPurpose::AcquireLease(customer_id.clone(), acquisition),
+        };
+        self.counter.call(context, call);
+        Decision::Pending
+    }
+
+    /// Calls being scarce where quotas are small, a cap goes uncounted until the units seen in this window could fill
+    /// it: two calls for a lease leave none to ask for the units. Trade-off: others' attempts under a cap are seen late.
+    fn is_lease_call_spared(
+        &mut self,
+        now: Duration,
+        customer: &CustomerId,
+        terms: &RateTerms,
+        limit: f64,
+    ) -> bool {
+        let may_be_spared = terms.rate > 0.0
+            && self.counter.pacer.quotas_are_small()
+            && !self.counter.is_circuit_open(now);
+        if !may_be_spared {
+            return false;
+        }
+        let window = interval_at(customer, terms.window_length(), now).number;
+        let could_be_full = self
+            .customers
+            .get(customer)
+            .is_some_and(|known| known.quota.has_seen(window, limit));
+        !could_be_full && !self.counter.has_spare_calls(now)
+    }
+
+    /// Decides on a lease by the counter's reply, or by [`CounterReply::NotApplied`] where it was not asked.
+    fn decide_lease(
+        &mut self,
+        context: &mut Context,
+        customer_id: &CustomerId,
+        acquisition: &LeaseAcquisition,
+        reply: CounterReply,
+    ) -> Result<GrantedLease, LeaseDenial> {
+        let period = lease_period_at(customer_id, context.now);
+        let customer = self.customers.get_or_insert(customer_id);
+        let local_limit = acquisition.local_limit(
+            customer.gateway_rank,
+            customer.gateway_count,
+            customer.demand_without(acquisition.units, acquisition.window),
+            period,
+        );
+        let decision = customer
+            .leases
+            .on_acquire_reply(acquisition, reply, period, local_limit);
+        match decision {
+            LeaseDecision::Granted { renew_into } => {
+                if let Some(later_period) = renew_into {
+                    self.add_leases(context, customer_id, later_period, vec![acquisition.lease]);
+                }
+                Ok(Some(acquisition.lease))
+            }
+            LeaseDecision::Denied { ahead, was_counted } => {
+                if was_counted {
+                    self.take_off_leases(context, customer_id, acquisition.period, 1.0);
+                }
+                Err(LeaseDenial { ahead })
+            }
+        }
+    }
+
+    /// Adds leases to a further period's name.
+    fn add_leases(
+        &mut self,
+        context: &mut Context,
+        customer: &CustomerId,
+        period: u64,
+        leases: Vec<LeaseId>,
+    ) {
+        let amount = leases.len() as f64;
+        let renewal = LeaseRenewal {
+            customer: customer.clone(),
+            period,
+            leases,
+        };
+        let call = CounterCall {
+            name: lease_counter(customer, period),
+            amount,
+            ttl: LEASE_TTL,
+            purpose: CallPurpose::RenewLeases(renewal),
+        };
+        self.counter.call(context, call);
+    }
+
+    /// Leases were added to a further period's name; those that have ended since are taken off again.
+    fn on_renewal_reply(
+        &mut self,
+        context: &mut Context,
+        renewal: &LeaseRenewal,
+        reply: CounterReply,
+    ) {
+        if !reply.is_applied() {
+            return;
+        }
+        let customer = self.customers.get_or_insert(&renewal.customer);
+        let ended = customer.leases.on_renewed(&renewal.leases, renewal.period);
+        if ended > 0 {
+            self.take_off_leases(context, &renewal.customer, renewal.period, ended as f64);
+        }
+    }
+
+    fn take_off_leases(
+        &mut self,
+        context: &mut Context,
+        customer: &CustomerId,
+        period: u64,
+        count: f64,
+    ) {
+        let call = CounterCall {
+            name: lease_counter(customer, period),
+            amount: -count,
+            ttl: LEASE_TTL,
+            purpose: CallPurpose::GiveBack,
+        };
+        self.counter.call(context, call);
+    }
+
+    /// Before a period's edge the open leases go into the next name, once, uncounted ones too.
+    pub(super) fn renew_leases(&mut self, context: &mut Context) {
+        if !self.counter.has_spare_calls(context.now) {
+            return;
+        }
+        for id in self.customers.lease_holders() {
+            let period = lease_period_at(&id, context.now + RENEW_AHEAD);
+            let customer = self.customers.get_or_insert(&id);
+            let leases = customer.leases.start_renewal(period);
+            if !leases.is_empty() {
+                self.add_leases(context, &id, period, leases);
+            }
+        }
+    }
+
+    /// Any end of an attempt takes its lease off every live name in which it was counted, and off no other.
+    pub(super) fn release_lease(
+        &mut self,
+        context: &mut Context,
+        customer_id: &CustomerId,
+        lease: GrantedLease,
+    ) {
+        let Some(lease) = lease else {
+            return;
+        };
+        let current_period = lease_period_at(customer_id, context.now);
+        let customer = self.customers.get_or_insert(customer_id);
+        let periods = customer.leases.release(lease);
+        if self.counter.is_circuit_open(context.now) {
+            return;
+        }
+        for period in periods {
+            if period >= current_period {
+                self.take_off_leases(context, customer_id, period, 1.0);
+            }
+        }
+    }
+
+    /// Reserves the units of a request that has its lease: from the block in hand, from a new block, or by the local
+    /// quota.
+    pub(super) fn reserve_units(
+        &mut self,
+        context: &mut Context,
+        request: &Request,
+        lease: GrantedLease,
+    ) -> Decision<Reserved, QuotaDenial> {
+        let now = context.now;
+        let units = request.units;
+        let terms = RateTerms::of(context.settings.plan(&request.plan));
+        let recent = self
+            .customers
+            .get(&request.customer)
+            .map_or(0.0, |known| known.demand);
+        let requests_per_block = (recent * terms.window * SCARCE_BLOCK_WINDOWS / units).max(1.0);
+        let value = value_of(&context.settings, request);
+        let cheapness = self.counter.pacer.cheapness(value, requests_per_block);
+        let calls_are_scarce = !self.counter.has_spare_calls(now);
+        let is_silent = !self.counter.may_call(now, cheapness);
+        let customer = self.customers.get_or_insert(&request.customer);
+        let demand = customer.unit_demand(units, &terms);
+        let reservation = customer
+            .quota
+            .reserve(now, &terms, demand, is_silent, calls_are_scarce);
+        match reservation {
+            Reservation::Unlimited | Reservation::FromBlock => Decision::Granted(Reserved::Counted),
+            Reservation::Uncounted { allowed: true } => {
+                self.unit_reports.add_unreported(units);
+                Decision::Granted(Reserved::Uncounted)
+            }
+            Reservation::Uncounted { allowed: false } => Decision::Denied(QuotaDenial),
+            Reservation::NeedsBlock => {
+                let waiting = WaitingRequest {
+                    request: request.id.clone(),
+                    lease,
+                };
+                if customer.quota.wait_for_block(waiting) {
+                    self.lease_block(context, &request.customer, &terms, units);
+                }
+                Decision::Pending
+            }
+        }
+    }
+
+    /// One add to the window's name leases a block; what the customer's bucket can't give goes back.
+    fn lease_block(
+        &mut self,
+        context: &mut Context,
+        customer_id: &CustomerId,
+        terms: &RateTerms,
+        units: f64,
+    ) {
+        let has_spare_calls = self.counter.has_spare_calls(context.now);
+        let window = interval_at(customer_id, terms.window_length(), context.now);
+        let customer = self.customers.get_or_insert(customer_id);
+        let size = size_block(
+            customer,
+            context.now,
+            window.number,
+            terms,
+            units,
+            has_spare_calls,
+        );
+        let unreported = self.unit_reports.report_block(size, has_spare_calls);
+        let name = window_counter(customer_id, window.number);
+        let block = BlockAcquisition {
+            units,
+            size,
+            unreported,
+            terms: *terms,
+            counter: name,
+            window_starts_at: window.starts_at,
+        };
+        let call = CounterCall {
+            name,
+            amount: size + unreported,
+            ttl: terms.window_length() * WINDOW_TTL_WINDOWS,
+            purpose: CallPurpose::LeaseBlock(customer_id.clone(), block),
+        };
+        self.counter.call(context, call);
+    }
+
+    /// The counter has told of a block: what overshot goes back.
+    fn on_block_reply(
+        &mut self,
+        context: &mut Context,
+        customer_id: &CustomerId,
+        block: &BlockAcquisition,
+        reply: CounterReply,
+    ) -> BlockDecision {
+        let calls = CallBudget {
+            quotas_are_small: self.counter.pacer.quotas_are_small(),
+            has_spare_calls: self.counter.has_spare_calls(context.now),
+        };
+        let customer = self.customers.get_or_insert(customer_id);
+        let decision = customer
+            .quota
+            .on_block_reply(context.now, block, reply, calls);
+        if !decision.granted {
+            self.unit_reports
+                .offset_unreported(decision.left_on_counter);
+        }
+        if decision.give_back > 0.0 {
+            let call = CounterCall {
+                name: block.counter,
+                amount: -decision.give_back,
+                ttl: block.terms.window_length() * WINDOW_TTL_WINDOWS,
+                purpose: CallPurpose::GiveBack,
+            };
+            self.counter.call(context, call);
+        }
+        decision
+    }
+
+    /// The counter has answered the oldest call on a name: gives what is decided by it, if anything waits for it.
+    pub(super) fn on_counter_reply(
+        &mut self,
+        context: &mut Context,
+        name: CounterName,
+        reply: CounterReply,
+    ) -> Option<Resumption> {
+        match self.counter.on_reply(context, name, reply)? {
+            CallPurpose::AcquireLease(customer, acquisition) => {
+                let decision = self.decide_lease(context, &customer, &acquisition, reply);
+                Some(Resumption::Lease {
+                    request: acquisition.request,
+                    customer,
+                    purpose: acquisition.purpose,
+                    decision,
+                })
+            }
+            CallPurpose::LeaseBlock(customer, block) => {
+                let granted = self
+                    .on_block_reply(context, &customer, &block, reply)
+                    .granted;
+                let waiting = self.customers.get_or_insert(&customer).quota.take_waiting();
+                Some(Resumption::Block {
+                    customer,
+                    granted,
+                    waiting,
+                })
+            }
+            CallPurpose::RenewLeases(renewal) => {
+                self.on_renewal_reply(context, &renewal, reply);
+                None
+            }
+            CallPurpose::GiveBack => None,
+        }
+    }
+
+    /// Charges `units` more (below zero: gives them back), against what the request was charged to.
+    pub(super) fn settle_units(&mut self, customer: &CustomerId, units: f64, is_uncounted: bool) {
+        self.customers
+            .get_or_insert(customer)
+            .quota
+            .settle(units, is_uncounted);
+    }
+
+    /// Takes a request's units from the hard ceiling of its plan, if there is one; says whether they were there.
+    /// `started_at` is when the gateway started.
+    pub(super) fn try_pass_ceiling(
+        &mut self,
+        context: &Context,
+        request: &Request,
+        is_uncounted: bool,
+        started_at: Duration,
+    ) -> bool {
+        let plan = context.settings.plan(&request.plan);
+        let customer = self.customers.get_or_insert(&request.customer);
+        ceiling::try_pass(
+            customer,
+            plan,
+            request.units,
+            is_uncounted,
+            started_at,
+            context.now,
+        )
+    }
+
+    /// Forgets the customers that have not been heard of for long.
+    pub(super) fn forget_idle_customers(&mut self, now: Duration) {
+        self.customers.forget_idle(now);
+    }
+}
+
+/// Enters the window and sizes the block that a customer leases in it.
+fn size_block(
+    customer: &mut Customer,
+    now: Duration,
+    window: u64,
+    terms: &RateTerms,
+    units: f64,
+    has_spare_calls: bool,
+) -> f64 {
+    let demand = customer.unit_demand(units, terms);
+    let recent_demand = customer.demand * terms.window_length().as_secs_f64();
+    customer
+        .quota
+        .size_block(now, window, terms, demand, recent_demand, has_spare_calls)
+}
--- /dev/null
+++ b/src/control/endpoint_picker.rs
@@ -0,0 +1,192 @@
+//! Which endpoint an attempt goes to: power of two choices among the eligible ones that fail least.
+
+use super::endpoints::{EndpointRecord, EndpointTable};
+use super::failure_rate::FailureRates;
+use super::machine_types::MachineTypeLatencies;
+use super::retries::EffectGuard;
+use super::slow_start::SlowStartView;
+use crate::port::{EndpointId, EndpointState, RouteName};
+use nanorand::{Rng, WyRand};
+
+/// Draws from the subset, before all of it is looked through.
+const DRAWS: usize = 12;
+
+/// Draws from all endpoints where none of the subset is eligible; fewer endpoints are all looked through.
+const DRAWS_OUTSIDE_SUBSET: usize = 256;
+
+/// Endpoints are ranked by their failure rate in steps of one over this of the route's.
+const FAILURE_STEPS: f64 = 2.0;
+
+/// A failure rate that is this much above the route's is no reason to rank an endpoint lower.
+const TOLERATED_FAILURE_RATE: f64 = 0.05;
+
+/// The highest failure rate that counts for an endpoint's cost: quotients stay sound.
+const MAX_FAILURE_RATE: f64 = 0.95;
+
+/// The least weight of an endpoint, whatever discovery says.
+const MIN_WEIGHT: f64 = 0.1;
+
+/// What the choice of an endpoint follows from.
+pub(super) struct EndpointPicker<'a> {
+    /// The endpoint list.
+    pub(super) endpoints: &'a EndpointTable,
+    /// What endpoints in slow start bear.
+    pub(super) slow_start: SlowStartView<'a>,
+    /// The failure rates of the routes at all endpoints.
+    pub(super) failures: &'a FailureRates,
+    /// The latency ratios of machine types.
+    pub(super) machine_types: &'a MachineTypeLatencies,
+    /// This gateway's limit on attempts that are out.
+    pub(super) concurrency_limit: f64,
+}
+
+impl EndpointPicker<'_> {
+    /// Picks an endpoint for an attempt of a route. The last endpoint of the request is taken only where no other is
+    /// eligible.
+    pub(super) fn pick(
+        &self,
+        rng: &mut WyRand,
+        guard: &EffectGuard,
+        last: Option<&EndpointId>,
+        route: &RouteName,
+    ) -> Option<EndpointId> {
+        let is_eligible = |id: &EndpointId| {
+            self.endpoints
+                .get(id)
+                .is_some_and(|endpoint| self.is_eligible(endpoint, guard))
+        };
+        let mut candidates = self.candidates(rng, |id| Some(id) != last && is_eligible(id));
+        let route_rate = self.failures.of_route(route, self.slow_start.now);
+        let rank = |id: &EndpointId| {
+            let rate = self.failure_rate(id, route, route_rate);
+            (rate / (route_rate + TOLERATED_FAILURE_RATE) * FAILURE_STEPS) as u32
+        };
+        candidates.sort_by_cached_key(|id| rank(id));
+        match candidates[..] {
+            [] => last.filter(|id| is_eligible(id)).cloned(),
+            [only] => Some(only.clone()),
+            [one, other, ..] => {
+                let picked = self.cheaper(rng, one, other, route, route_rate);
+                Some(picked.clone())
+            }
+        }
+    }
+
+    /// Whether an attempt may go to an endpoint at all: the rules on drains, effects and slow starts.
+    fn is_eligible(&self, endpoint: &EndpointRecord, guard: &EffectGuard) -> bool {
+        endpoint.entry.state == EndpointState::Ready
+            && guard.allows(endpoint, self.slow_start.now)
+            && self.has_capacity(endpoint)
+    }
+
+    /// Whether an endpoint has capacity for one more attempt of this gateway: by an even part of the concurrency limit,
+    /// one at least, and in slow start by its budget.
+    fn has_capacity(&self, endpoint: &EndpointRecord) -> bool {
+        let subset_size = self.endpoints.subset().len().max(1) as f64;
+        let even_part = self.concurrency_limit / subset_size * self.slow_start.factor(endpoint);
+        self.slow_start.permits(endpoint) && f64::from(endpoint.in_flight) < even_part.max(1.0)
+    }
+
+    /// Endpoints that fit, at random: from a few draws, or all of the subset where these find fewer than two, or all
+    /// endpoints where the subset has none.
+    fn candidates(&self, rng: &mut WyRand, fits: impl Fn(&EndpointId) -> bool) -> Vec<&EndpointId> {
+        let subset = self.endpoints.subset();
+        let mut drawn = draw(rng, subset, DRAWS, &fits);
+        drawn.dedup();
+        if drawn.len() >= 2 {
+            return drawn;
+        }
+        let mut candidates: Vec<&EndpointId> = subset.iter().filter(|id| fits(id)).collect();
+        if candidates.is_empty() {
+            candidates = self.candidates_outside_subset(rng, &fits);
+        }
+        rng.shuffle(&mut candidates);
+        candidates
+    }
+
+    /// Endpoints that fit and are past their slow start, which is shared out among those whose subset they are in. Of
+    /// thousands a few hundred at random are as good as all.
+    fn candidates_outside_subset(
+        &self,
+        rng: &mut WyRand,
+        fits: impl Fn(&EndpointId) -> bool,
+    ) -> Vec<&EndpointId> {
+        let ring = self.endpoints.ring();
+        let fits_warmed_up = |id: &EndpointId| self.is_warmed_up(id) && fits(id);
+        if ring.len() > DRAWS_OUTSIDE_SUBSET {
+            let drawn = draw(rng, ring, DRAWS_OUTSIDE_SUBSET, fits_warmed_up);
+            if !drawn.is_empty() {
+                return drawn;
+            }
+        }
+        ring.iter().filter(|id| fits_warmed_up(id)).collect()
+    }
+
+    fn is_warmed_up(&self, id: &EndpointId) -> bool {
+        self.endpoints
+            .get(id)
+            .is_some_and(|endpoint| self.slow_start.factor(endpoint) >= 1.0)
+    }
+
+    /// The one of two endpoints that this gateway's own counts favour. With nothing in flight at both, as in a gateway
+    /// of many, they say little: it goes by chance, in proportion, else all gateways crowd what looks a little better.
+    fn cheaper<'b>(
+        &self,
+        rng: &mut WyRand,
+        one: &'b EndpointId,
+        other: &'b EndpointId,
+        route: &RouteName,
+        route_rate: f64,
+    ) -> &'b EndpointId {
+        let (Some(first), Some(second)) = (self.endpoints.get(one), self.endpoints.get(other))
+        else {
+            return one;
+        };
+        let first_cost = self.cost(first, self.failure_rate(one, route, route_rate));
+        let second_cost = self.cost(second, self.failure_rate(other, route, route_rate));
+        let both_idle = first.in_flight + second.in_flight == 0;
+        let chance = if both_idle {
+            rng.generate::<f64>()
+        } else {
+            0.5
+        };
+        if first_cost * chance <= second_cost * (1.0 - chance) {
+            one
+        } else {
+            other
+        }
+    }
+
+    /// The share of a route's attempts that is likely to fail at an endpoint.
+    fn failure_rate(&self, id: &EndpointId, route: &RouteName, route_rate: f64) -> f64 {
+        let now = self.slow_start.now;
+        self.endpoints.get(id).map_or(route_rate, |endpoint| {
+            endpoint.failures.at_endpoint(route, now, route_rate)
+        })
+    }
+
+    /// Load against capacity; a failure costs all that a queue can cost and more.
+    fn cost(&self, endpoint: &EndpointRecord, failure_rate: f64) -> f64 {
+        let capacity = endpoint.entry.weight.max(MIN_WEIGHT) * self.slow_start.factor(endpoint);
+        let type_ratio = self.machine_types.ratio(&endpoint.entry.machine_type);
+        let load =
+            (f64::from(endpoint.in_flight) + 1.0) * type_ratio * endpoint.latency_ratio / capacity;
+        load / (1.0 - failure_rate.min(MAX_FAILURE_RATE)).powi(3)
+    }
+}
+
+/// Those of `count` random draws from `ids` that fit; one may be there twice.
+fn draw<'a>(
+    rng: &mut WyRand,
+    ids: &'a [EndpointId],
+    count: usize,
+    fits: impl Fn(&EndpointId) -> bool,
+) -> Vec<&'a EndpointId> {
+    if ids.is_empty() {
+        return Vec::new();
+    }
+    (0..count)
+        .map(|_| &ids[rng.generate_range(0..ids.len())])
+        .filter(|id| fits(id))
+        .collect()
+}
--- /dev/null
+++ b/src/control/load_balancer.rs
@@ -0,0 +1,229 @@
+//! The gateway's side of the endpoints: which of them it uses, what it has learnt of them, and how many attempts may be
+//! out at them.
+
+use super::concurrency_limit::{ConcurrencyLimiter, FleetShare, INITIAL_LIMIT_PER_ENDPOINT};
+use super::context::Context;
+use super::endpoint_picker::EndpointPicker;
+use super::endpoints::{EndpointTable, SubsetLoad};
+use super::failure_rate::{failure_weight, FailureRates};
+use super::latency::BaselineLatencies;
+use super::machine_types::MachineTypeLatencies;
+use super::requests::SentAttempt;
+use super::retries::EffectGuard;
+use super::slow_start::{self, SlowStartView};
+use super::throughput::{AnswerRate, AttemptRate};
+use crate::port::{
+    AttemptOutcome, AttemptResult, EndpointId, EndpointUpdate, RouteName, UpdateTiming,
+};
+use nanorand::WyRand;
+use std::time::Duration;
+
+/// All that is known of the endpoints.
+pub(super) struct LoadBalancer {
+    endpoints: EndpointTable,
+    /// Failure rates of the routes at all endpoints together.
+    failures: FailureRates,
+    /// Baseline latencies of the routes.
+    latencies: BaselineLatencies,
+    machine_types: MachineTypeLatencies,
+    /// How many attempts may be out.
+    limiter: ConcurrencyLimiter,
+    attempt_rate: AttemptRate,
+    answer_rate: AnswerRate,
+}
+
+/// An attempt that was registered at its endpoint.
+pub(super) struct StartedAttempt {
+    /// When and where.
+    pub(super) sent: SentAttempt,
+    /// It must have gone out whole by then; [`Duration::MAX`]: at any time.
+    pub(super) send_by: Duration,
+}
+
+impl LoadBalancer {
+    /// No endpoint is known yet.
+    pub(super) fn new() -> LoadBalancer {
+        LoadBalancer {
+            endpoints: EndpointTable::default(),
+            failures: FailureRates::default(),
+            latencies: BaselineLatencies::default(),
+            machine_types: MachineTypeLatencies::default(),
+            limiter: ConcurrencyLimiter::new(),
+            attempt_rate: AttemptRate::new(),
+            answer_rate: AnswerRate::default(),
+        }
+    }
+
+    /// The baseline latency of a route in seconds, once one of its attempts has ended.
+    pub(super) fn baseline_latency(&self, route: &RouteName) -> Option<f64> {
+        self.latencies.seconds(route)
+    }
+
+    /// How many attempts are out, and may be.
+    pub(super) fn limiter(&self) -> &ConcurrencyLimiter {
+        &self.limiter
+    }
+
+    /// News from discovery.
+    pub(super) fn on_endpoint_update(
+        &mut self,
+        context: &Context,
+        timing: UpdateTiming,
+        update: EndpointUpdate,
+    ) {
+        self.endpoints
+            .update(context.now, context.settings.gateway_index, timing, update);
+        self.refresh_subset(context);
+    }
+
+    /// Chooses the subset of endpoints anew.
+    pub(super) fn refresh_subset(&mut self, context: &Context) {
+        let load = SubsetLoad {
+            attempt_rate: self.attempt_rate.per_second(),
+            in_flight: self.limiter.in_flight(),
+            concurrency_limit: self.limiter.limit(),
+            max_per_endpoint: INITIAL_LIMIT_PER_ENDPOINT,
+        };
+        self.endpoints
+            .refresh_subset(context.now, &context.settings, load);
+    }
+
+    /// What is done once a second.
+    pub(super) fn on_second(&mut self, context: &Context) {
+        self.attempt_rate.end_second();
+        self.refresh_subset(context);
+        self.endpoints.forget_removed(context.now);
+    }
+
+    /// Picks the endpoint of a request's next attempt, if there is an eligible one.
+    pub(super) fn pick(
+        &self,
+        context: &Context,
+        rng: &mut WyRand,
+        guard: &EffectGuard,
+        last: Option<&EndpointId>,
+        route: &RouteName,
+    ) -> Option<EndpointId> {
+        let picker = EndpointPicker {
+            endpoints: &self.endpoints,
+            slow_start: self.slow_start(context),
+            failures: &self.failures,
+            machine_types: &self.machine_types,
+            concurrency_limit: self.limiter.limit(),
+        };
+        picker.pick(rng, guard, last, route)
+    }
+
+    fn slow_start<'a>(&'a self, context: &'a Context) -> SlowStartView<'a> {
+        let settings = &context.settings;
+        let warmed_up = self.endpoints.warmed_up_in_subset().max(1.0);
+        SlowStartView {
+            settings,
+            now: context.now,
+            gateways_per_endpoint: self
+                .endpoints
+                .gateways_per_endpoint(settings.gateway_count()),
+            answers_per_endpoint: self.answer_rate.per_second() / warmed_up,
+            latencies: &self.latencies,
+        }
+    }
+
+    /// An attempt begins at an endpoint that was picked; none where it is not listed any more. In slow start it uses a
+    /// permit, and has to go out before it could arrive with later ones.
+    pub(super) fn start_attempt(
+        &mut self,
+        context: &Context,
+        endpoint: &EndpointId,
+    ) -> Option<StartedAttempt> {
+        let now = context.now;
+        let view = self.slow_start(context);
+        let budget = view.budget(self.endpoints.get(endpoint)?);
+        let record = self.endpoints.get_mut(endpoint)?;
+        record.in_flight += 1;
+        if let Some(budget) = budget {
+            record.permits.take_one(now, budget);
+        }
+        let sent = SentAttempt {
+            at: now,
+            zone: record.entry.zone.clone(),
+            cell: record.entry.cell,
+        };
+        self.limiter.on_attempt_start();
+        self.attempt_rate.record();
+        let send_by = budget.map_or(Duration::MAX, |budget| now + budget.permit_lifetime / 2);
+        Some(StartedAttempt { sent, send_by })
+    }
+
+    /// An attempt has ended: what it tells of its endpoint, its route and the load is recorded.
+    pub(super) fn on_attempt_end(
+        &mut self,
+        context: &Context,
+        endpoint: &EndpointId,
+        route: &RouteName,
+        result: &AttemptResult,
+    ) {
+        let settings = &context.settings;
+        let latency_target = settings.route(route).latency_target;
+        self.record_failure(context.now, endpoint, route, result, latency_target);
+        let fleet = FleetShare {
+            endpoints: self.endpoints.len() as f64,
+            gateway_share: 1.0 / settings.gateway_count(),
+        };
+        self.limiter.on_attempt_end(result, latency_target, fleet);
+        self.record_latency(context, endpoint, route, result);
+    }
+
+    /// An endpoint that can't be reached is so for every route.
+    fn record_failure(
+        &mut self,
+        now: Duration,
+        endpoint: &EndpointId,
+        route: &RouteName,
+        result: &AttemptResult,
+        latency_target: Duration,
+    ) {
+        let Some(weight) = failure_weight(result, latency_target) else {
+            return;
+        };
+        self.failures.record(route, now, weight);
+        let Some(record) = self.endpoints.get_mut(endpoint) else {
+            return;
+        };
+        record.failures.record(route, now, weight);
+        if matches!(
+            result.outcome,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset
+        ) {
+            record.failures.record_for_all_routes(now, weight);
+        }
+    }
+
+    /// The attempt is no longer out at its endpoint; its latency moves that of the endpoint, its machine type and route.
+    fn record_latency(
+        &mut self,
+        context: &Context,
+        endpoint: &EndpointId,
+        route: &RouteName,
+        result: &AttemptResult,
+    ) {
+        let baseline = self.latencies.get_or_assume(route, result.latency);
+        let Some(record) = self.endpoints.get_mut(endpoint) else {
+            return;
+        };
+        record.in_flight = record.in_flight.saturating_sub(1);
+        if matches!(
+            result.outcome,
+            AttemptOutcome::Success | AttemptOutcome::TimedOut
+        ) {
+            let ratio = result.latency.as_secs_f64() / baseline.seconds();
+            self.machine_types
+                .record(&record.entry.machine_type, &mut record.latency_ratio, ratio);
+        }
+        if result.outcome == AttemptOutcome::Success {
+            self.latencies.record_answer(route, result.latency);
+            if slow_start::factor(record, &context.settings.rules, context.now) >= 1.0 {
+                self.answer_rate.record(context.now);
+            }
+        }
+    }
+}
