--- a/edge/tests/scenarios.rs
+++ b/edge/tests/scenarios.rs
@@ -66,12 +66,14 @@
 
 #[path = "../../faults/src/handle.rs"]
 mod faults;
-#[path = "../../tests/plays/mod.rs"]
-mod plays;
+#[path = "../../tests/scenario_runner/mod.rs"]
+mod scenario_runner;
 
 use faults::Faults;
+use scenario_runner::Scenario;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::collections::{BTreeMap, VecDeque};
+use std::convert::Infallible;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -382,6 +384,7 @@
 
 #[derive(Default)]
 struct Stage {
+    scenario: String,
     host: Host,
     limits: Option<(usize, usize)>,
     settings: Vec<(String, serde_json::Value)>,
@@ -1003,11 +1006,32 @@
     }
 }
 
+impl Scenario for Stage {
+    type Step = String;
+    type ParseError = Infallible;
+
+    fn new(name: &str) -> Self {
+        let mut stage = Self::default();
+        stage.scenario = name.to_string();
+        stage
+    }
+
+    fn parse_line(line: &str) -> Result<Vec<String>, Infallible> {
+        Ok(vec![line.to_string()])
+    }
+
+    fn run_step(&mut self, step: &String) {
+        match step.as_str() {
+            "node" => {
+                let scenario = self.scenario.clone();
+                self.start(&scenario);
+            }
+            step => self.step(step),
+        }
+    }
+}
+
 #[test]
 fn every_scenario() {
-    plays::every_scenario(|stage: &mut Stage, path, step| match step {
-        "node" => stage.start(&path.file_stem().unwrap().to_string_lossy()),
-        "end" => (),
-        step => stage.step(step),
-    });
+    scenario_runner::run_all::<Stage>();
 }
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -17,9 +17,11 @@
 //!
 //! The engine on loopback is played by the scenarios of the command, in `tool/tests`.
 
-#[path = "../../tests/plays/mod.rs"]
-mod plays;
+#[path = "../../tests/scenario_runner/mod.rs"]
+mod scenario_runner;
 
+use scenario_runner::Scenario;
+use std::convert::Infallible;
 use wellcrank_lab::experiment::{Experiment, Trouble, Variant};
 use wellcrank_lab::measure::Results;
 use wellcrank_lab::referee::Rule;
@@ -183,10 +185,24 @@
     }
 }
 
+impl Scenario for Stage {
+    type Step = String;
+    type ParseError = Infallible;
+
+    fn new(_: &str) -> Self {
+        Self::default()
+    }
+
+    fn parse_line(line: &str) -> Result<Vec<String>, Infallible> {
+        Ok(vec![line.to_string()])
+    }
+
+    fn run_step(&mut self, step: &String) {
+        self.step(step);
+    }
+}
+
 #[test]
 fn every_scenario() {
-    plays::every_scenario(|stage: &mut Stage, _, line| match line {
-        "end" => (),
-        line => stage.step(line),
-    });
+    scenario_runner::run_all::<Stage>();
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -21,12 +21,13 @@
 //!
 //! A label is bound to a counter name where it is first seen; `send r1 *` takes any server.
 
-#[path = "plays/named_settings.rs"]
 mod named_settings;
-mod plays;
+mod scenario_runner;
 
+use scenario_runner::Scenario;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
+use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
 use wellcrank::control::AdmissionController;
@@ -328,17 +329,29 @@
     }
 }
 
+impl Scenario for Stage {
+    type Step = String;
+    type ParseError = Infallible;
+
+    fn new(_: &str) -> Self {
+        Self::default()
+    }
+
+    fn parse_line(line: &str) -> Result<Vec<String>, Infallible> {
+        Ok(line.split(';').map(str::to_string).collect())
+    }
+
+    fn run_step(&mut self, step: &String) {
+        self.step(&step.split_whitespace().collect::<Vec<&str>>());
+    }
+
+    fn finish(&mut self) {
+        let actions = &self.seen.0.borrow().actions;
+        assert!(actions.is_empty(), "left over: {actions:?}");
+    }
+}
+
 #[test]
 fn every_scenario() {
-    plays::every_scenario(|stage: &mut Stage, _, line| match line {
-        "end" => {
-            let seen = &stage.seen.0.borrow().actions;
-            assert!(seen.is_empty(), "left over: {seen:?}");
-        }
-        line => {
-            for step in line.split(';') {
-                stage.step(&step.split_whitespace().collect::<Vec<&str>>());
-            }
-        }
-    });
+    scenario_runner::run_all::<Stage>();
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -2,7 +2,6 @@
 //! under any: it does not fall over, each API call gets one final answer in time and nothing is sent for it afterwards,
 //! never two tries are out, and what may have run is repeated or refused only as its route permits.
 
-#[path = "plays/named_settings.rs"]
 mod named_settings;
 
 use nanorand::{Rng, WyRand};
--- a/tool/tests/scenarios.rs
+++ b/tool/tests/scenarios.rs
@@ -16,9 +16,11 @@
 //! tapped N                 in place of a gateway: a server that answers N commands behind 'lab record'
 //! ```
 
-#[path = "../../tests/plays/mod.rs"]
-mod plays;
+#[path = "../../tests/scenario_runner/mod.rs"]
+mod scenario_runner;
 
+use scenario_runner::Scenario;
+use std::convert::Infallible;
 use std::fs;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -267,10 +269,24 @@
     }
 }
 
+impl Scenario for Stage {
+    type Step = String;
+    type ParseError = Infallible;
+
+    fn new(_: &str) -> Self {
+        Self::default()
+    }
+
+    fn parse_line(line: &str) -> Result<Vec<String>, Infallible> {
+        Ok(vec![line.to_string()])
+    }
+
+    fn run_step(&mut self, step: &String) {
+        self.step(step);
+    }
+}
+
 #[test]
 fn every_scenario() {
-    plays::every_scenario(|stage: &mut Stage, _, line| match line {
-        "end" => (),
-        line => stage.step(line),
-    });
+    scenario_runner::run_all::<Stage>();
 }
