--- a/tests/named_settings/mod.rs
+++ b/tests/named_settings/mod.rs
@@ -1,84 +1,122 @@
-//! Sets one setting by its name, for scenarios: `plans.NAME.rate 2`, `rules.cold 10` and so on; spans in seconds.
+//! Sets one setting of the controller by its name, for tests: `plans.NAME.rate 2`, `rules.drain_grace 0.5` and so on.
+//! The names are those of the fields in `src/settings.rs`; spans are in seconds.
 
 use wellcrank::port::seconds;
-use wellcrank::settings::*;
+use wellcrank::settings::{DeduplicationScope, DiscoveryMode, Idempotency, Plan, Route, Settings};
 
-fn number(value: &str) -> f64 {
-    value
-        .parse()
-        .unwrap_or_else(|_| panic!("'{value}' is no number"))
+/// Sets the setting of that name; panics where there is no such setting or it can't have the value.
+pub(crate) fn set(settings: &mut Settings, name: &str, value: &str) {
+    let parts: Vec<&str> = name.splitn(3, '.').collect();
+    match parts[..] {
+        [field] => set_top_level(settings, field, value),
+        ["limits", field] => set_limit(settings, field, value),
+        ["rules", field] => set_rule(settings, field, value),
+        ["counter", field] => set_counter(settings, field, value),
+        ["plans", name, field] => {
+            let plan = settings.plans.entry(name.into()).or_default();
+            set_plan(plan, field, value);
+        }
+        ["routes", name, field] => {
+            let route = settings.routes.entry(name.into()).or_default();
+            set_route(route, field, value);
+        }
+        _ => panic!("no such setting: {name}"),
+    }
 }
 
-fn plan(plan: &mut Plan, field: &str, value: f64) {
+fn set_top_level(settings: &mut Settings, field: &str, value: &str) {
     match field {
-        "rate" => plan.rate = value,
-        "burst" => plan.burst = value,
-        "cap" => plan.concurrency_limit = value,
-        "price" => plan.price = value,
-        "ceiling_rate" => plan.ceiling_rate = value,
-        "ceiling_burst" => plan.ceiling_burst = value,
-        other => panic!("no such figure of a plan: {other}"),
+        "gateways" => settings.gateways = number(value) as u32,
+        "gateway_index" => settings.gateway_index = number(value) as u32,
+        "timer_resolution" => settings.timer_resolution = span(value),
+        "discovery" if value == "subscribe" => settings.discovery = DiscoveryMode::Subscribe,
+        other => panic!("no such setting: {other} {value}"),
     }
 }
 
-fn route(route: &mut Route, field: &str, value: &str) {
-    match (field, value) {
-        ("repeat", "idempotent") => route.idempotency = Idempotency::Idempotent,
-        ("repeat", "tokened") => route.idempotency = Idempotency::Keyed,
-        ("repeat", _) => route.idempotency = Idempotency::NonIdempotent,
-        ("group", "all") => route.deduplication_scope = DeduplicationScope::All,
-        ("group", "zone") => route.deduplication_scope = DeduplicationScope::Zone,
-        ("group", _) => route.deduplication_scope = DeduplicationScope::Cell,
-        ("memory_span", span) => route.deduplication_window = seconds(number(span)),
-        ("latency_target", span) => route.latency_target = seconds(number(span)),
-        ("client_timeout", span) => route.client_timeout = seconds(number(span)),
-        ("billed_value", value) => route.value = number(value),
-        ("late_worth", value) => route.late_value_ratio = number(value),
-        (other, _) => panic!("no such figure of a route: {other}"),
+fn set_limit(settings: &mut Settings, field: &str, value: &str) {
+    let limits = &mut settings.limits;
+    match field {
+        "max_attempts" => limits.max_attempts = number(value) as u32,
+        "connect_timeout" => limits.connect_timeout = span(value),
+        "idle_timeout" => limits.idle_timeout = span(value),
+        "may_cancel" => limits.may_cancel = value == "true",
+        other => panic!("no such limit: {other}"),
     }
 }
 
-pub fn set(settings: &mut Settings, name: &str, value: &str) {
-    let parts: Vec<&str> = name.splitn(3, '.').collect();
-    match (&parts[..], value) {
-        (["gateways"], value) => settings.gateways = number(value) as u32,
-        (["index"], value) => settings.gateway_index = number(value) as u32,
-        (["resolution"], value) => settings.timer_resolution = seconds(number(value)),
-        (["registry_mode"], "subscribe") => settings.discovery = DiscoveryMode::Subscribe,
-        (["limits", "max_attempts"], value) => settings.limits.max_attempts = number(value) as u32,
-        (["limits", "connect_timeout"], value) => {
-            settings.limits.connect_timeout = seconds(number(value))
-        }
-        (["limits", "idle_close"], value) => settings.limits.idle_timeout = seconds(number(value)),
-        (["limits", "cancelling"], value) => settings.limits.may_cancel = value == "true",
-        (["rules", "cold_from"], value) => settings.rules.slow_start_floor = number(value),
-        (["rules", "cold"], value) => settings.rules.slow_start_window = seconds(number(value)),
-        (["rules", "fall_multiple"], value) => settings.rules.overload_factor = number(value),
-        (["rules", "overload_for"], value) => {
-            settings.rules.overload_window = seconds(number(value))
-        }
-        (["rules", "stop_sending_within"], value) => {
-            settings.rules.drain_grace = seconds(number(value));
-        }
-        (["counter", "present"], value) => settings.counter.present = value == "true",
-        (["counter", "counter_timeout"], value) => {
-            settings.counter.timeout = seconds(number(value))
-        }
-        (["counter", "units_top"], value) => settings.counter.max_request_units = number(value),
-        (["plans", name, field], value) => {
-            plan(
-                settings.plans.entry((*name).into()).or_default(),
-                field,
-                number(value),
-            );
-        }
-        (["routes", name, field], value) => {
-            route(
-                settings.routes.entry((*name).into()).or_default(),
-                field,
-                value,
-            );
-        }
-        _ => panic!("no such setting: {name} {value}"),
+fn set_rule(settings: &mut Settings, field: &str, value: &str) {
+    let rules = &mut settings.rules;
+    match field {
+        "slow_start_floor" => rules.slow_start_floor = number(value),
+        "slow_start_window" => rules.slow_start_window = span(value),
+        "overload_factor" => rules.overload_factor = number(value),
+        "overload_window" => rules.overload_window = span(value),
+        "drain_grace" => rules.drain_grace = span(value),
+        other => panic!("no such rule: {other}"),
     }
 }
+
+fn set_counter(settings: &mut Settings, field: &str, value: &str) {
+    let counter = &mut settings.counter;
+    match field {
+        "present" => counter.present = value == "true",
+        "timeout" => counter.timeout = span(value),
+        "max_request_units" => counter.max_request_units = number(value),
+        other => panic!("no such setting of the counter: {other}"),
+    }
+}
+
+fn set_plan(plan: &mut Plan, field: &str, value: &str) {
+    let figure = number(value);
+    match field {
+        "rate" => plan.rate = figure,
+        "burst" => plan.burst = figure,
+        "concurrency_limit" => plan.concurrency_limit = figure,
+        "price" => plan.price = figure,
+        "ceiling_rate" => plan.ceiling_rate = figure,
+        "ceiling_burst" => plan.ceiling_burst = figure,
+        other => panic!("no such setting of a plan: {other}"),
+    }
+}
+
+fn set_route(route: &mut Route, field: &str, value: &str) {
+    match field {
+        "idempotency" => route.idempotency = idempotency(value),
+        "deduplication_scope" => route.deduplication_scope = deduplication_scope(value),
+        "deduplication_window" => route.deduplication_window = span(value),
+        "latency_target" => route.latency_target = span(value),
+        "client_timeout" => route.client_timeout = span(value),
+        "value" => route.value = number(value),
+        "late_value_ratio" => route.late_value_ratio = number(value),
+        other => panic!("no such setting of a route: {other}"),
+    }
+}
+
+/// An unknown word reads as the strictest one, as in the settings that adapters decode.
+fn idempotency(word: &str) -> Idempotency {
+    match word {
+        "idempotent" => Idempotency::Idempotent,
+        "keyed" => Idempotency::Keyed,
+        _ => Idempotency::NonIdempotent,
+    }
+}
+
+/// An unknown word reads as the smallest scope, as in the settings that adapters decode.
+fn deduplication_scope(word: &str) -> DeduplicationScope {
+    match word {
+        "all" => DeduplicationScope::All,
+        "zone" => DeduplicationScope::Zone,
+        _ => DeduplicationScope::Cell,
+    }
+}
+
+fn number(value: &str) -> f64 {
+    value
+        .parse()
+        .unwrap_or_else(|_| panic!("'{value}' is not a number"))
+}
+
+fn span(value: &str) -> std::time::Duration {
+    seconds(number(value))
+}
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -156,18 +156,18 @@
     };
     for (name, usual) in [
         ("gateways", 3.0),
-        ("index", 1.0),
-        ("resolution", 0.004),
+        ("gateway_index", 1.0),
+        ("timer_resolution", 0.004),
         ("limits.max_attempts", 3.0),
         ("limits.connect_timeout", 0.25),
-        ("limits.idle_close", 30.0),
-        ("counter.counter_timeout", 0.08),
-        ("counter.units_top", 4.0),
-        ("rules.cold_from", 0.2),
-        ("rules.cold", 10.0),
-        ("rules.fall_multiple", 3.0),
-        ("rules.overload_for", 1.0),
-        ("rules.stop_sending_within", 0.5),
+        ("limits.idle_timeout", 30.0),
+        ("counter.timeout", 0.08),
+        ("counter.max_request_units", 4.0),
+        ("rules.slow_start_floor", 0.2),
+        ("rules.slow_start_window", 10.0),
+        ("rules.overload_factor", 3.0),
+        ("rules.overload_window", 1.0),
+        ("rules.drain_grace", 0.5),
     ] {
         put(rng, name.to_string(), usual);
     }
@@ -175,7 +175,7 @@
         for (name, usual) in [
             ("rate", 4.0),
             ("burst", 8.0),
-            ("cap", 3.0),
+            ("concurrency_limit", 3.0),
             ("price", 1.0),
             ("ceiling_rate", 9.0),
             ("ceiling_burst", 9.0),
@@ -186,9 +186,9 @@
     for route in ROUTES {
         for (name, usual) in [
             ("latency_target", 0.5),
-            ("late_worth", 0.2),
-            ("billed_value", 2.0),
-            ("memory_span", 0.6),
+            ("late_value_ratio", 0.2),
+            ("value", 2.0),
+            ("deduplication_window", 0.6),
             ("client_timeout", 2.0),
         ] {
             put(rng, format!("routes.{route}.{name}"), usual);
@@ -196,12 +196,20 @@
     }
     for route in ROUTES {
         let repeat =
-            ["idempotent", "tokened", "non-idempotent", "other"][rng.generate_range(0..4usize)];
+            ["idempotent", "keyed", "non_idempotent", "other"][rng.generate_range(0..4usize)];
         let group = ["all", "cell", "zone", ""][rng.generate_range(0..4usize)];
-        named_settings::set(&mut settings, &format!("routes.{route}.repeat"), repeat);
-        named_settings::set(&mut settings, &format!("routes.{route}.group"), group);
+        named_settings::set(
+            &mut settings,
+            &format!("routes.{route}.idempotency"),
+            repeat,
+        );
+        named_settings::set(
+            &mut settings,
+            &format!("routes.{route}.deduplication_scope"),
+            group,
+        );
     }
-    for flag in ["counter.present", "limits.cancelling"] {
+    for flag in ["counter.present", "limits.may_cancel"] {
         let on = rng.generate_range(0..4u32) > 0;
         named_settings::set(&mut settings, flag, &on.to_string());
     }
