--- a/lab/src/loopback/clients.rs
+++ b/lab/src/loopback/clients.rs
@@ -3,10 +3,9 @@
 
 use super::wire::{bulk, Wire};
 use super::{Place, Stage};
+use crate::events::{ClientOutcome, ClientRequestId};
 use crate::experiment::Repeat;
 use crate::record::Recorded;
-use crate::referee::Verdict;
-use crate::world::AskId;
 use mio::Token;
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
@@ -29,7 +28,7 @@
 }
 
 struct Sent {
-    ask: AskId,
+    ask: ClientRequestId,
     /// Where its last byte stands among all that is put.
     end: u64,
     taken: bool,
@@ -45,7 +44,7 @@
 }
 
 /// What a server makes for an API call.
-pub fn value(ask: AskId) -> String {
+pub fn value(ask: ClientRequestId) -> String {
     format!("rendered {:016x}", u64::from(ask.0) + 1)
 }
 
@@ -107,7 +106,7 @@
 
     /// A client asks: on a connection that is free, a new one, or behind others. `first`: not sent again after a
     /// connection was closed under it.
-    pub(super) fn ask(&mut self, ask: AskId, first: bool) -> Result<(), String> {
+    pub(super) fn ask(&mut self, ask: ClientRequestId, first: bool) -> Result<(), String> {
         let it = &self.world.asks[ask.0 as usize];
         let (gateway, origin) = (
             it.gateway,
@@ -217,7 +216,7 @@
     }
 
     /// The client of an API call has no patience left: its connection is closed, unless others wait there too.
-    pub(super) fn leave(&mut self, ask: AskId) -> Result<(), String> {
+    pub(super) fn leave(&mut self, ask: ClientRequestId) -> Result<(), String> {
         let Some(key) = self.asking.remove(&ask) else {
             return Ok(());
         };
@@ -301,8 +300,8 @@
         let right = |value: &OwnedFrame| matches!(value, OwnedFrame::BulkString(it) if *it == value_bytes(sent.ask));
         let (verdict, advice) = match &frame {
             OwnedFrame::BulkString(_) => (
-                Verdict::Served {
-                    right: right(&frame),
+                ClientOutcome::Served {
+                    correct: right(&frame),
                 },
                 None,
             ),
@@ -310,17 +309,17 @@
                 if matches!(parts.first(), Some(OwnedFrame::BulkString(_))) =>
             {
                 (
-                    Verdict::Served {
-                        right: right(&parts[0]),
+                    ClientOutcome::Served {
+                        correct: right(&parts[0]),
                     },
                     None,
                 )
             }
             OwnedFrame::Error(said) if said.split(' ').next() == Some("BUSY") => {
                 let wait = said.split(' ').nth(1).and_then(|it| it.parse().ok());
-                (Verdict::Limited, wait.map(Duration::from_millis))
+                (ClientOutcome::Rejected, wait.map(Duration::from_millis))
             }
-            _ => (Verdict::Errored, None),
+            _ => (ClientOutcome::Failed, None),
         };
         if free {
             self.gateways[gateway].idle.push(key);
@@ -357,7 +356,8 @@
                 // The gateway closed it between two calls, as it may; this one crossed that.
                 self.ask(sent.ask, false)?;
             } else {
-                self.world.answered(now, sent.ask, Verdict::Cut, None);
+                self.world
+                    .answered(now, sent.ask, ClientOutcome::Disconnected, None);
             }
         }
         Ok(())
@@ -379,6 +379,6 @@
     }
 }
 
-fn value_bytes(ask: AskId) -> Vec<u8> {
+fn value_bytes(ask: ClientRequestId) -> Vec<u8> {
     value(ask).into_bytes()
 }
--- a/lab/src/loopback/counter.rs
+++ b/lab/src/loopback/counter.rs
@@ -2,8 +2,8 @@
 
 use super::wire::{Turns, Wire};
 use super::{Place, Stage};
+use crate::events::CounterCallId;
 use crate::world::counter::CounterSays;
-use crate::world::CountId;
 use std::time::Duration;
 
 pub struct Line {
@@ -11,7 +11,7 @@
     gateway: usize,
     pub door: usize,
     /// None: a ping.
-    pub turns: Turns<Option<CountId>>,
+    pub turns: Turns<Option<CounterCallId>>,
 }
 
 impl Line {
@@ -91,13 +91,13 @@
         Ok(())
     }
 
-    fn line_asked(&mut self, key: usize, id: Option<CountId>) {
+    fn line_asked(&mut self, key: usize, id: Option<CounterCallId>) {
         if let Some(Place::Counter(line)) = self.places.get_mut(key) {
             line.turns.asked(id);
         }
     }
 
-    fn line_says(&mut self, key: usize, id: Option<CountId>, said: Vec<u8>) {
+    fn line_says(&mut self, key: usize, id: Option<CounterCallId>, said: Vec<u8>) {
         if let Some(Place::Counter(line)) = self.places.get_mut(key) {
             let out = line.turns.answered(id, said);
             line.wire.put(&out);
@@ -105,7 +105,7 @@
         }
     }
 
-    pub(super) fn counted(&mut self, id: CountId, says: CounterSays) -> Result<(), String> {
+    pub(super) fn counted(&mut self, id: CounterCallId, says: CounterSays) -> Result<(), String> {
         let Some(key) = self.counting.remove(&id) else {
             return Ok(());
         };
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -13,11 +13,12 @@
 pub use tap::tap;
 
 use crate::clock::Clock;
+use crate::events::{AttemptId, ClientRequestId, CounterCallId, ServerId};
 use crate::experiment::{Experiment, Variant};
 use crate::measure::{Results, Second};
 use crate::record::{Recorded, Recorder};
 use crate::told;
-use crate::world::{Act, AskId, CountId, GatewayState, ServerNo, TryId, World};
+use crate::world::{Act, GatewayState, World};
 use mio::net::{TcpListener, UdpSocket};
 use mio::{Events, Interest, Poll, Registry, Token};
 use nanorand::{Rng, WyRand};
@@ -69,7 +70,7 @@
     Signals,
     ServerDoor {
         gateway: usize,
-        server: ServerNo,
+        server: ServerId,
         door: TcpListener,
     },
     CounterDoor {
@@ -99,7 +100,7 @@
     counter: Option<usize>,
     discovery: Option<usize>,
     /// Doors of its servers, by server, and where they are.
-    doors: BTreeMap<ServerNo, (usize, SocketAddr)>,
+    doors: BTreeMap<ServerId, (usize, SocketAddr)>,
     /// Peer sockets: to each other gateway, and to all.
     peers: Vec<(usize, SocketAddr)>,
     all: Option<(usize, SocketAddr)>,
@@ -127,9 +128,9 @@
     seeds: WyRand,
     /// Connections with something to write.
     written: Vec<usize>,
-    trying: BTreeMap<TryId, usize>,
-    counting: BTreeMap<CountId, usize>,
-    asking: BTreeMap<AskId, usize>,
+    trying: BTreeMap<AttemptId, usize>,
+    counting: BTreeMap<CounterCallId, usize>,
+    asking: BTreeMap<ClientRequestId, usize>,
     /// Doors and connections that are closed then.
     closing: Vec<(Duration, usize)>,
     /// Datagrams under way: when, to whom, by whom, what.
@@ -257,7 +258,7 @@
                 ping: None,
             });
             for server in 0..self.world.servers.len() as u32 {
-                self.open_door(gateway, ServerNo(server))?;
+                self.open_door(gateway, ServerId(server))?;
             }
             self.open_platform(gateway)?;
         }
--- a/lab/src/loopback/servers.rs
+++ b/lab/src/loopback/servers.rs
@@ -2,9 +2,10 @@
 
 use super::wire::{bulk, encoded, Turns, Wire};
 use super::{clients, Place, Stage};
+use crate::events::{AttemptId, ClientRequestId, ServerId};
 use crate::told::{self, ListedServer};
 use crate::world::server::Listing;
-use crate::world::{AskId, Change, Says, ServerNo, TryId};
+use crate::world::{Change, Says};
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
 use serde_json::Value;
@@ -13,16 +14,16 @@
 pub struct Upstream {
     pub wire: Wire,
     gateway: usize,
-    pub server: ServerNo,
+    pub server: ServerId,
     /// Nothing has come on it yet: the first command pays for the handshake.
     fresh: bool,
-    turns: Turns<TryId>,
+    turns: Turns<AttemptId>,
     /// When something came or went on it last.
     used: Duration,
 }
 
 impl Upstream {
-    pub fn new(wire: Wire, gateway: usize, server: ServerNo, used: Duration) -> Upstream {
+    pub fn new(wire: Wire, gateway: usize, server: ServerId, used: Duration) -> Upstream {
         Upstream {
             wire,
             gateway,
@@ -46,14 +47,14 @@
 }
 
 /// The API call that a command carries.
-fn asked(words: &[Vec<u8>]) -> Option<AskId> {
+fn asked(words: &[Vec<u8>]) -> Option<ClientRequestId> {
     let id = std::str::from_utf8(words.get(2)?).ok()?;
     let number = u64::from_str_radix(id, 16).ok()?.checked_sub(1)?;
-    u32::try_from(number).ok().map(AskId)
+    u32::try_from(number).ok().map(ClientRequestId)
 }
 
 /// What a server writes.
-fn said(says: Says, ask: AskId) -> Vec<u8> {
+fn said(says: Says, ask: ClientRequestId) -> Vec<u8> {
     let value = clients::value(ask);
     let good = |units: Option<f64>, load: String| {
         let figures = units.map_or(OwnedFrame::Null, |units| bulk(format!("cost={units}")));
@@ -84,7 +85,7 @@
 }
 
 impl Stage {
-    pub(super) fn open_door(&mut self, gateway: usize, server: ServerNo) -> Result<(), String> {
+    pub(super) fn open_door(&mut self, gateway: usize, server: ServerId) -> Result<(), String> {
         let (key, at) = self.door(|door| Place::ServerDoor {
             gateway,
             server,
@@ -123,7 +124,7 @@
     }
 
     /// A server's process has ended: its doors are shut and its connections end.
-    pub(super) fn down(&mut self, server: ServerNo) -> Result<(), String> {
+    pub(super) fn down(&mut self, server: ServerId) -> Result<(), String> {
         for gateway in 0..self.gateways.len() {
             if let Some((key, _)) = self.gateways[gateway].doors.remove(&server) {
                 self.close(key)?;
@@ -179,7 +180,7 @@
         &mut self,
         key: usize,
         gateway: usize,
-        server: ServerNo,
+        server: ServerId,
         words: &[Vec<u8>],
     ) -> Result<bool, String> {
         let verb = words
@@ -233,7 +234,7 @@
     }
 
     /// A probe: answered with the server's load where the settings allow that.
-    fn probed(&mut self, key: usize, server: ServerNo) -> bool {
+    fn probed(&mut self, key: usize, server: ServerId) -> bool {
         let said = match self.world.probed(self.now, server) {
             Some(load) => encoded(&bulk(load.to_string())),
             None => b"-NOPERM\r\n".to_vec(),
@@ -245,7 +246,7 @@
         true
     }
 
-    pub(super) fn reply(&mut self, of: TryId, says: Says) -> Result<(), String> {
+    pub(super) fn reply(&mut self, of: AttemptId, says: Says) -> Result<(), String> {
         let ask = self.world.tries[of.0 as usize].ask;
         let Some(key) = self.trying.remove(&of) else {
             return Ok(());
--- a/lab/src/measure.rs
+++ b/lab/src/measure.rs
@@ -1,7 +1,7 @@
 //! What a run has brought: by second, in all, and as quantiles. Everything is serialised as it stands, so that
 //! reports and comparisons read what was written.
 
-use crate::referee::Broken;
+use crate::events::RuleViolation;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -99,7 +99,7 @@
     pub first_try_ms: Quantiles,
     /// Share of its cores' time that each server was busy, by second.
     pub server_load: Vec<(String, Vec<f32>)>,
-    pub broken: Vec<Broken>,
+    pub broken: Vec<RuleViolation>,
     pub broken_count: u64,
     pub lateness: Lateness,
     /// Bad clients that were owed an error or a close and got neither in time, of all.
--- a/lab/src/referee.rs
+++ b/lab/src/referee.rs
@@ -1,74 +1,18 @@
 //! The referee: checks the five rules from what the stand-ins saw. It shares no code with the program and
 //! knows nothing of how it decides. A broken rule names rule, time, API call and gateway.
 
+use crate::events::{
+    AttemptEnd, AttemptId, ClientOutcome, ClientRequestId, Rule, RuleViolation, ServerId,
+};
 use crate::experiment::{Experiment, Group, Repeat};
-use crate::world::{AskId, ServerNo, TryId};
-use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Rule {
-    /// One final answer, in time, and nothing sent afterwards.
-    OneAnswer,
-    /// No effect twice, never two tries out.
-    NoEffectTwice,
-    Drains,
-    ColdServers,
-    Ceilings,
-}
-
-#[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct Broken {
-    pub rule: Rule,
-    /// Seconds since the start of the day.
-    pub at: f64,
-    pub call: Option<u32>,
-    pub gateway: Option<usize>,
-    pub what: String,
-}
-
-impl std::fmt::Display for Broken {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(out, "{:?} broken at {:.3} s", self.rule, self.at)?;
-        if let Some(call) = self.call {
-            write!(out, ", API call {call}")?;
-        }
-        if let Some(gateway) = self.gateway {
-            write!(out, ", gateway {gateway}")?;
-        }
-        write!(out, ": {}", self.what)
-    }
-}
-
-/// How a try ended, as its server saw it.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum TryEnd {
-    Answered,
-    TurnedAway,
-    /// Given up by the gateway, or its connection has gone.
-    GivenUp,
-}
-
-/// A client's final answer, as the client saw it.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Verdict {
-    /// The value that a server made for this API call, or another one.
-    Served {
-        right: bool,
-    },
-    Limited,
-    Errored,
-    /// The gateway ended the connection with no whole answer.
-    Cut,
-}
-
 struct TrySeen {
-    of: TryId,
-    server: ServerNo,
+    of: AttemptId,
+    server: ServerId,
     came: Duration,
-    end: Option<(Duration, TryEnd)>,
+    end: Option<(Duration, AttemptEnd)>,
 }
 
 struct Seen {
@@ -95,17 +39,17 @@
 pub struct Referee {
     terms: Experiment,
     slack: Duration,
-    asks: BTreeMap<AskId, Seen>,
-    open: Vec<BTreeSet<AskId>>,
+    asks: BTreeMap<ClientRequestId, Seen>,
+    open: Vec<BTreeSet<ClientRequestId>>,
     /// Since when a gateway knows that a server drains or is gone.
-    told: BTreeMap<(usize, ServerNo), Duration>,
+    told: BTreeMap<(usize, ServerId), Duration>,
     /// Cell and zone of each server.
-    places: BTreeMap<ServerNo, (u64, usize)>,
+    places: BTreeMap<ServerId, (u64, usize)>,
     ceilings: BTreeMap<u32, Ceiling>,
     plan_of: BTreeMap<u32, usize>,
     /// A second try came while one was out: to be ended by then.
-    overlaps: BTreeMap<(AskId, TryId), Duration>,
-    pub broken: Vec<Broken>,
+    overlaps: BTreeMap<(ClientRequestId, AttemptId), Duration>,
+    pub broken: Vec<RuleViolation>,
     /// All of them; the list ends at some.
     pub count: u64,
 }
@@ -139,24 +83,23 @@
         &mut self,
         rule: Rule,
         now: Duration,
-        call: Option<AskId>,
+        call: Option<ClientRequestId>,
         gateway: Option<usize>,
         what: String,
     ) {
         self.count += 1;
         if self.broken.len() < KEPT {
-            let (at, call) = (now.as_secs_f64(), call.map(|id| id.0));
-            self.broken.push(Broken {
+            self.broken.push(RuleViolation {
                 rule,
-                at,
-                call,
+                at_seconds: now.as_secs_f64(),
+                request: call.map(|id| id.0),
                 gateway,
-                what,
+                description: what,
             });
         }
     }
 
-    pub fn server(&mut self, server: ServerNo, cell: u64, zone: usize) {
+    pub fn server(&mut self, server: ServerId, cell: u64, zone: usize) {
         self.places.insert(server, (cell, zone));
     }
 
@@ -165,7 +108,7 @@
     }
 
     /// A gateway was told of a server, at the moment when that was written to it.
-    pub fn told(&mut self, now: Duration, gateway: usize, server: ServerNo, wanted: bool) {
+    pub fn told(&mut self, now: Duration, gateway: usize, server: ServerId, wanted: bool) {
         if wanted {
             self.told.remove(&(gateway, server));
         } else {
@@ -181,7 +124,7 @@
     /// A gateway has taken an API call, to be answered by then.
     pub fn asked(
         &mut self,
-        ask: AskId,
+        ask: ClientRequestId,
         gateway: usize,
         route: usize,
         account: u32,
@@ -207,7 +150,7 @@
     }
 
     /// The client has closed its connection.
-    pub fn left(&mut self, now: Duration, ask: AskId) {
+    pub fn left(&mut self, now: Duration, ask: ClientRequestId) {
         if let Some(seen) = self.asks.get_mut(&ask) {
             (seen.excused, seen.left) = (true, Some(now));
             self.open[seen.gateway].remove(&ask);
@@ -216,8 +159,9 @@
 
     /// A gateway that was told to stop is killed, at the earliest: all that came before has its answer.
     pub fn stopped(&mut self, now: Duration, gateway: usize) {
-        let late = |ask: &AskId| self.asks[ask].asked + self.slack < now;
-        let unanswered: Vec<AskId> = self.open[gateway].iter().copied().filter(late).collect();
+        let late = |ask: &ClientRequestId| self.asks[ask].asked + self.slack < now;
+        let unanswered: Vec<ClientRequestId> =
+            self.open[gateway].iter().copied().filter(late).collect();
         for ask in unanswered {
             let what = format!(
                 "unanswered at the kill, {:?} after it was taken",
@@ -229,7 +173,7 @@
     }
 
     /// No process took it after all.
-    pub fn not_taken(&mut self, ask: AskId) {
+    pub fn not_taken(&mut self, ask: ClientRequestId) {
         if let Some(seen) = self.asks.get_mut(&ask) {
             seen.excused = true;
             self.open[seen.gateway].remove(&ask);
@@ -237,7 +181,13 @@
     }
 
     /// A try says how long the gateway waits: no longer than the client does.
-    pub fn told_wait(&mut self, now: Duration, ask: AskId, gateway: usize, wait: Duration) {
+    pub fn told_wait(
+        &mut self,
+        now: Duration,
+        ask: ClientRequestId,
+        gateway: usize,
+        wait: Duration,
+    ) {
         let Some(seen) = self.asks.get(&ask) else {
             return;
         };
@@ -257,7 +207,14 @@
     }
 
     /// A try has come to a server whole.
-    pub fn came(&mut self, now: Duration, of: TryId, ask: AskId, gateway: usize, server: ServerNo) {
+    pub fn came(
+        &mut self,
+        now: Duration,
+        of: AttemptId,
+        ask: ClientRequestId,
+        gateway: usize,
+        server: ServerId,
+    ) {
         let slack = self.slack;
         if let Some(since) = self.told.get(&(gateway, server)) {
             let late = now.saturating_sub(*since);
@@ -286,10 +243,10 @@
         let ran = seen
             .tries
             .iter()
-            .find(|it| it.end.is_none_or(|(_, end)| end != TryEnd::TurnedAway));
+            .find(|it| it.end.is_none_or(|(_, end)| end != AttemptEnd::Rejected));
         if let Some(ran) = ran {
             let known = ran.came + Duration::from_secs_f64(route.memory) + slack >= now;
-            let place = |server: &ServerNo| places.get(server).copied().unwrap_or_default();
+            let place = |server: &ServerId| places.get(server).copied().unwrap_or_default();
             let (one, two) = (place(&ran.server), place(&server));
             let dropped = match route.group {
                 Group::All => true,
@@ -327,7 +284,14 @@
     }
 
     /// Each first try takes its units from the ceiling of its customer.
-    fn ceiling(&mut self, now: Duration, ask: AskId, gateway: usize, account: u32, units: f64) {
+    fn ceiling(
+        &mut self,
+        now: Duration,
+        ask: ClientRequestId,
+        gateway: usize,
+        account: u32,
+        units: f64,
+    ) {
         let Some(plan) = self
             .plan_of
             .get(&account)
@@ -361,7 +325,7 @@
     }
 
     /// A try is no longer out.
-    pub fn over(&mut self, now: Duration, of: TryId, ask: AskId, end: TryEnd) {
+    pub fn over(&mut self, now: Duration, of: AttemptId, ask: ClientRequestId, end: AttemptEnd) {
         let Some(seen) = self.asks.get_mut(&ask) else {
             return;
         };
@@ -378,7 +342,7 @@
     }
 
     /// A client has an answer, or the end of its connection.
-    pub fn answered(&mut self, now: Duration, ask: AskId, verdict: Verdict) {
+    pub fn answered(&mut self, now: Duration, ask: ClientRequestId, verdict: ClientOutcome) {
         let slack = self.slack;
         let Some(seen) = self.asks.get_mut(&ask) else {
             return;
@@ -399,7 +363,7 @@
         let may_have_run = seen
             .tries
             .iter()
-            .any(|it| it.end.is_none_or(|(_, end)| end != TryEnd::TurnedAway));
+            .any(|it| it.end.is_none_or(|(_, end)| end != AttemptEnd::Rejected));
         let harmless = match route.repeat {
             Repeat::Idempotent => true,
             // A client's next try is a new API call, but has the key that is known.
@@ -407,17 +371,17 @@
             Repeat::NonIdempotent => !may_have_run,
         };
         match verdict {
-            Verdict::Served { right: false } => {
+            ClientOutcome::Served { correct: false } => {
                 wrongs.push((
                     Rule::OneAnswer,
                     "served with what no server made for it".into(),
                 ));
             }
-            Verdict::Cut => wrongs.push((
+            ClientOutcome::Disconnected => wrongs.push((
                 Rule::OneAnswer,
                 "the connection ended with no answer".into(),
             )),
-            Verdict::Limited if !harmless => {
+            ClientOutcome::Rejected if !harmless => {
                 let what = "called harmless to try again though a try may have run".to_string();
                 wrongs.push((Rule::NoEffectTwice, what));
             }
@@ -429,7 +393,7 @@
     }
 
     /// The time of an API call is over, slack and all.
-    pub fn time_up(&mut self, now: Duration, ask: AskId) {
+    pub fn time_up(&mut self, now: Duration, ask: ClientRequestId) {
         let Some(seen) = self.asks.get(&ask) else {
             return;
         };
@@ -446,7 +410,7 @@
         }
     }
 
-    pub fn fell(&mut self, now: Duration, server: ServerNo) {
+    pub fn fell(&mut self, now: Duration, server: ServerId) {
         let what = format!(
             "cold server {} was pushed over by all gateways together",
             server.0
--- a/lab/src/report/tests.rs
+++ b/lab/src/report/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_page_says_what_was_run_and_hides_no_broken_rule() {
-    use crate::referee::{Broken, Rule};
+    use crate::events::{Rule, RuleViolation};
     let mut one = Results {
         variant: "a<b".into(),
         engine: "simulated".into(),
@@ -18,12 +18,12 @@
         };
         4
     ];
-    one.broken = vec![Broken {
+    one.broken = vec![RuleViolation {
         rule: Rule::Drains,
-        at: 2.5,
-        call: Some(7),
+        at_seconds: 2.5,
+        request: Some(7),
         gateway: Some(1),
-        what: "sent".into(),
+        description: "sent".into(),
     }];
     one.broken_count = 1;
     let page = page("Title", "About & more", &[one]).expect("a page");
--- a/lab/src/simulated.rs
+++ b/lab/src/simulated.rs
@@ -6,14 +6,14 @@
 use crate::decision_engine::{
     DecisionEngine, ExternalEngine, GatewayAction, GatewayEvent, InProcess,
 };
+use crate::events::{AttemptId, ClientOutcome, ClientRequestId, CounterCallId, ServerId};
 use crate::experiment::{Experiment, Variant};
 use crate::measure::Results;
 use crate::record::Recorded;
-use crate::referee::Verdict;
 use crate::told;
 use crate::world::counter::CounterSays;
 use crate::world::server::Listing;
-use crate::world::{Act, AskId, Change, CountId, Says, ServerNo, TryId, World};
+use crate::world::{Act, Change, Says, World};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -51,19 +51,19 @@
 }
 
 enum Event {
-    Arrives(usize, AskId),
-    ClientLeft(usize, AskId),
+    Arrives(usize, ClientRequestId),
+    ClientLeft(usize, ClientRequestId),
     Heard {
-        ask: AskId,
-        verdict: Verdict,
+        ask: ClientRequestId,
+        verdict: ClientOutcome,
         advice: Option<Duration>,
     },
     TryArrives {
         key: TryKey,
-        server: ServerNo,
+        server: ServerId,
         fresh: bool,
     },
-    TryLeft(TryId),
+    TryLeft(AttemptId),
     Replied {
         key: TryKey,
         says: Says,
@@ -101,13 +101,13 @@
 }
 
 /// A try by the gateway's life, the API call and its number there.
-type TryKey = (usize, u32, AskId, u32);
+type TryKey = (usize, u32, ClientRequestId, u32);
 
 struct Out {
-    server: ServerNo,
+    server: ServerId,
     sent: Duration,
     /// As the server knows it, once it has come.
-    there: Option<TryId>,
+    there: Option<AttemptId>,
     /// The connection is up, as far as the gateway knows.
     fresh: bool,
 }
@@ -129,17 +129,17 @@
 struct Gateway {
     life: u32,
     up: bool,
-    calls: BTreeMap<AskId, OpenCall>,
-    tries: BTreeMap<(AskId, u32), Out>,
+    calls: BTreeMap<ClientRequestId, OpenCall>,
+    tries: BTreeMap<(ClientRequestId, u32), Out>,
     counts: BTreeMap<u64, CountOut>,
     next_count: u64,
     /// When idle connections were last used, by server, the latest last; and how many there are in all.
-    idle: BTreeMap<ServerNo, Vec<Duration>>,
+    idle: BTreeMap<ServerId, Vec<Duration>>,
     connections: usize,
     /// The changes of the list that it was told, up to and without this one.
     told: usize,
     /// Servers that the list lets it send to.
-    ready: BTreeMap<ServerNo, bool>,
+    ready: BTreeMap<ServerId, bool>,
 }
 
 struct Day<'a> {
@@ -150,14 +150,14 @@
     what: BTreeMap<u64, Event>,
     last: u64,
     now: Duration,
-    servers: BTreeMap<String, ServerNo>,
-    counting: BTreeMap<CountId, (usize, u32, u64)>,
-    trying: BTreeMap<TryId, TryKey>,
+    servers: BTreeMap<String, ServerId>,
+    counting: BTreeMap<CounterCallId, (usize, u32, u64)>,
+    trying: BTreeMap<AttemptId, TryKey>,
     told: toml::Table,
     seeds: WyRand,
     fault: Option<Fault>,
     answers: u64,
-    twice: BTreeSet<AskId>,
+    twice: BTreeSet<ClientRequestId>,
 }
 
 /// Plays one day of an experiment, as a variant has it.
@@ -200,12 +200,12 @@
         .results("simulated", &experiment.title, &variant.name, seed))
 }
 
-fn call_id(ask: AskId) -> RequestId {
+fn call_id(ask: ClientRequestId) -> RequestId {
     ask.0.to_string().as_str().into()
 }
 
-fn ask_id(call: &RequestId) -> Option<AskId> {
-    call.0.parse().ok().map(AskId)
+fn ask_id(call: &RequestId) -> Option<ClientRequestId> {
+    call.0.parse().ok().map(ClientRequestId)
 }
 
 impl Day<'_> {
@@ -404,7 +404,7 @@
     }
 
     /// A server's connections are reset, its tries with them.
-    fn reset(&mut self, server: ServerNo) {
+    fn reset(&mut self, server: ServerId) {
         for at in 0..self.gateways.len() {
             let it = &mut self.gateways[at];
             let idle = it.idle.remove(&server).map_or(0, |idle| idle.len());
@@ -570,7 +570,7 @@
         self.at(self.now + Duration::from_secs(1), Event::Sweep);
     }
 
-    fn arrives(&mut self, gateway: usize, ask: AskId) -> Result<(), String> {
+    fn arrives(&mut self, gateway: usize, ask: ClientRequestId) -> Result<(), String> {
         let now = self.now;
         if !self.gateways[gateway].up {
             self.world.not_taken(now, ask);
@@ -634,9 +634,9 @@
                 }
             }
             GatewayAction::Limit(call, after) => {
-                self.answer(gateway, &call, Verdict::Limited, Some(after))
+                self.answer(gateway, &call, ClientOutcome::Rejected, Some(after))
             }
-            GatewayAction::Error(call) => self.answer(gateway, &call, Verdict::Errored, None),
+            GatewayAction::Error(call) => self.answer(gateway, &call, ClientOutcome::Failed, None),
             GatewayAction::Count(name, add, keep) => {
                 let it = &mut self.gateways[gateway];
                 it.next_count += 1;
@@ -691,7 +691,7 @@
         &mut self,
         gateway: usize,
         call: &RequestId,
-        verdict: Verdict,
+        verdict: ClientOutcome,
         advice: Option<Duration>,
     ) {
         let Some(ask) = ask_id(call) else { return };
@@ -729,7 +729,7 @@
     fn send(
         &mut self,
         gateway: usize,
-        ask: AskId,
+        ask: ClientRequestId,
         server: &EndpointId,
         timeout: Duration,
     ) -> Result<(), String> {
@@ -740,7 +740,7 @@
             let all = all.filter(|(_, it)| it.listing == Listing::Active && it.started.is_some());
             let youngest = all
                 .max_by_key(|(_, it)| it.started)
-                .map(|(at, _)| ServerNo(at as u32));
+                .map(|(at, _)| ServerId(at as u32));
             server = youngest.or(server);
         }
         let (most, sockets) = (
@@ -763,7 +763,7 @@
         let (server, how) = match (server, ready) {
             (Some(server), Some(_)) => (server, None),
             (server, _) => (
-                server.unwrap_or(ServerNo(0)),
+                server.unwrap_or(ServerId(0)),
                 Some(AttemptOutcome::ConnectFailed),
             ),
         };
@@ -829,7 +829,7 @@
         true
     }
 
-    fn try_arrives(&mut self, key: TryKey, server: ServerNo, fresh: bool) -> Result<(), String> {
+    fn try_arrives(&mut self, key: TryKey, server: ServerId, fresh: bool) -> Result<(), String> {
         if self.out(key).is_none() {
             return Ok(());
         }
@@ -878,7 +878,7 @@
                     .into()
                 });
                 let call = call_id(key.2);
-                self.answer(key.0, &call, Verdict::Served { right: true }, None);
+                self.answer(key.0, &call, ClientOutcome::Served { correct: true }, None);
                 self.ended(key, AttemptOutcome::Success, units, load, true)
             }
             Says::Busy => self.ended(key, AttemptOutcome::Rejected, None, BTreeMap::new(), true),
@@ -894,7 +894,7 @@
                 self.answer(
                     key.0,
                     &call_id(key.2),
-                    Verdict::Served { right: true },
+                    ClientOutcome::Served { correct: true },
                     None,
                 );
                 self.ended(key, AttemptOutcome::Success, None, BTreeMap::new(), false)
--- a/lab/src/world/agenda.rs
+++ b/lab/src/world/agenda.rs
@@ -1,6 +1,6 @@
 //! What falls due in the world, in one ordered structure.
 
-use super::{AskId, CountId, OriginId, ServerNo, TryId};
+use crate::events::{AttemptId, ClientRequestId, CounterCallId, OperationId, ServerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
     /// One of the recorded ones.
     Replayed(usize),
     /// A client asks again.
-    Again(OriginId),
+    Again(OperationId),
     /// A client's patience, and the end of its time.
-    Leaves(AskId),
-    TimeUp(AskId),
+    Leaves(ClientRequestId),
+    TimeUp(ClientRequestId),
     /// A server has done a try's work.
-    Served(ServerNo, TryId),
+    Served(ServerId, AttemptId),
     /// What a server says has come where it is heard.
-    Said(TryId),
+    Said(AttemptId),
     /// A line of the counter is done with a call.
-    Counted(CountId),
+    Counted(CounterCallId),
     /// A change of the list reaches a gateway.
     Told {
         gateway: usize,
@@ -33,9 +33,9 @@
     },
     TroubleEnds(usize),
     /// A server that was down is back.
-    Returns(ServerNo),
+    Returns(ServerId),
     /// A server that was to leave is done.
-    Retires(ServerNo),
+    Retires(ServerId),
     /// A gateway that was told to stop is killed, and one that was killed starts.
     Kill(usize),
     Start(usize),
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -9,10 +9,13 @@
 pub mod token_bucket;
 mod troubles;
 
+use crate::events::{
+    AttemptEnd, AttemptId, ClientOutcome, ClientRequestId, CounterCallId, OperationId, ServerId,
+};
 use crate::experiment::{Experiment, Group};
 use crate::measure::{Measure, Results};
 use crate::record::Recorded;
-use crate::referee::{Referee, TryEnd, Verdict};
+use crate::referee::Referee;
 use agenda::{Agenda, Due};
 use clients::Clients;
 use counter::{Call, Counter, CounterSays, Turn};
@@ -21,46 +24,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-macro_rules! id {
-    ($($(#[$about:meta])* $name:ident),* $(,)?) => {$(
-        $(#[$about])*
-        #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-        pub struct $name(pub u32);
-    )*};
-}
-id!(
-    /// One asking of a client; each of its retries is a new one.
-    AskId,
-    /// What a client wants, however often it asks.
-    OriginId,
-    /// One upstream try, as a server sees it.
-    TryId,
-    /// One call on a counter.
-    CountId,
-    /// A server by its place in the world; a new one takes a new place.
-    ServerNo,
-);
-
 /// What an engine has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
     /// A client sends this to its gateway.
-    Ask(AskId),
+    Ask(ClientRequestId),
     /// A client has no patience left and closes its connection.
-    Leave(AskId),
+    Leave(ClientRequestId),
     /// A server answers a try, or ends its connection.
-    Reply(TryId, Says),
+    Reply(AttemptId, Says),
     /// The counter answers a call.
-    Counted(CountId, CounterSays),
+    Counted(CounterCallId, CounterSays),
     /// The gateway is told of the list's changes up to and without this one.
     Told {
         gateway: usize,
         upto: usize,
     },
     /// A server is new, refuses connections and resets the open ones, or is there again.
-    Born(ServerNo),
-    Down(ServerNo),
-    Up(ServerNo),
+    Born(ServerId),
+    Down(ServerId),
+    Up(ServerId),
     /// A gateway is killed, told to stop, started, told that discovery and counter have moved.
     Kill(usize),
     Stop(usize),
@@ -86,7 +69,7 @@
 }
 
 pub struct Ask {
-    pub origin: OriginId,
+    pub origin: OperationId,
     pub gateway: usize,
     /// When it was meant to be sent: latency counts from here.
     pub born: Duration,
@@ -96,8 +79,8 @@
 }
 
 pub struct Try {
-    pub ask: AskId,
-    pub server: ServerNo,
+    pub ask: ClientRequestId,
+    pub server: ServerId,
     pub gateway: usize,
     life: u32,
     ended: bool,
@@ -107,7 +90,7 @@
 /// One change of the server list.
 #[derive(Clone, Debug)]
 pub struct Change {
-    pub server: ServerNo,
+    pub server: ServerId,
     pub listing: Listing,
     pub started: Option<Duration>,
 }
@@ -152,7 +135,7 @@
     pub measure: Measure,
     agenda: Agenda,
     counters: Vec<Counter>,
-    counts: BTreeMap<CountId, Call>,
+    counts: BTreeMap<CounterCallId, Call>,
     next_count: u32,
     gateways: Vec<Gateway>,
     replay: Vec<Recorded>,
@@ -169,7 +152,7 @@
     cut: Vec<(usize, Duration)>,
     deaf: (Duration, f64),
     scan: Vec<(Duration, Duration, f64)>,
-    taken_servers: BTreeMap<usize, Vec<ServerNo>>,
+    taken_servers: BTreeMap<usize, Vec<ServerId>>,
     taken_gateways: BTreeMap<usize, Vec<usize>>,
     /// When tokens were first begun, by the group of servers that drops their repeats.
     tokens: BTreeMap<(u64, u64), Duration>,
@@ -265,7 +248,7 @@
     }
 
     /// A new server: listed, and of no age.
-    fn build(&mut self, zone: usize, kind: usize) -> ServerNo {
+    fn build(&mut self, zone: usize, kind: usize) -> ServerId {
         let (fleet, place) = (&self.terms.fleet, self.servers.len());
         let it = &fleet.kinds[kind];
         let build = Build {
@@ -282,7 +265,7 @@
         self.servers
             .push(Server::new(uid, zone, cell, it.name.clone(), build));
         self.last_busy.push(0.0);
-        let server = ServerNo(place as u32);
+        let server = ServerId(place as u32);
         self.referee.server(server, cell, zone);
         let started = self.servers[place].started;
         self.changes.push(Change {
@@ -353,7 +336,7 @@
     }
 
     /// One way between a gateway and a server.
-    pub fn way(&self, gateway: usize, server: ServerNo) -> Duration {
+    pub fn way(&self, gateway: usize, server: ServerId) -> Duration {
         let near = gateway % self.terms.fleet.zones == self.servers[server.0 as usize].zone;
         ms(if near {
             self.terms.network.near_ms
@@ -488,11 +471,11 @@
         if self.clients.origins[origin].inside {
             self.measure.at(now).value_asked += self.value(origin);
         }
-        self.ask(now, OriginId(origin as u32), acts);
+        self.ask(now, OperationId(origin as u32), acts);
     }
 
     /// A client asks, at the gateway that the front leads it to.
-    fn ask(&mut self, now: Duration, id: OriginId, acts: &mut Vec<Act>) {
+    fn ask(&mut self, now: Duration, id: OperationId, acts: &mut Vec<Act>) {
         let (account, route) = {
             let origin = &self.clients.origins[id.0 as usize];
             if origin.done || now >= self.length {
@@ -519,7 +502,7 @@
             return self.again(now, id, None);
         };
         let timeout = secs(self.terms.routes[route].client_timeout);
-        let (until, ask) = (now + timeout, AskId(self.asks.len() as u32));
+        let (until, ask) = (now + timeout, ClientRequestId(self.asks.len() as u32));
         self.asks.push(Ask {
             origin: id,
             gateway,
@@ -539,7 +522,7 @@
     }
 
     /// The gateway has taken it: from now on an answer is owed.
-    pub fn taken(&mut self, now: Duration, ask: AskId) {
+    pub fn taken(&mut self, now: Duration, ask: ClientRequestId) {
         let it = &self.asks[ask.0 as usize];
         let origin = &self.clients.origins[it.origin.0 as usize];
         let times = (now, it.until);
@@ -560,7 +543,7 @@
     }
 
     /// No gateway has taken it: its process has gone, perhaps in the moment in which it was written.
-    pub fn not_taken(&mut self, now: Duration, ask: AskId) {
+    pub fn not_taken(&mut self, now: Duration, ask: ClientRequestId) {
         self.referee.not_taken(ask);
         let it = &mut self.asks[ask.0 as usize];
         if it.over {
@@ -573,7 +556,7 @@
     }
 
     /// The client comes again, if it does: when it was told to, or after a wait of its own.
-    fn again(&mut self, now: Duration, id: OriginId, advice: Option<Duration>) {
+    fn again(&mut self, now: Duration, id: OperationId, advice: Option<Duration>) {
         let load = &self.terms.load;
         let origin = &mut self.clients.origins[id.0 as usize];
         if origin.retries >= load.retries || origin.done {
@@ -587,7 +570,7 @@
         self.agenda.at(now + wait, Due::Again(id));
     }
 
-    fn leaves(&mut self, now: Duration, ask: AskId, acts: &mut Vec<Act>) {
+    fn leaves(&mut self, now: Duration, ask: ClientRequestId, acts: &mut Vec<Act>) {
         let it = &mut self.asks[ask.0 as usize];
         if it.over {
             return;
@@ -600,7 +583,7 @@
         self.again(now, origin, None);
     }
 
-    fn time_up(&mut self, now: Duration, ask: AskId) {
+    fn time_up(&mut self, now: Duration, ask: ClientRequestId) {
         self.referee.time_up(now, ask);
         let it = &mut self.asks[ask.0 as usize];
         if !it.over {
@@ -615,8 +598,8 @@
     pub fn answered(
         &mut self,
         now: Duration,
-        ask: AskId,
-        verdict: Verdict,
+        ask: ClientRequestId,
+        verdict: ClientOutcome,
         advice: Option<Duration>,
     ) {
         self.referee.answered(now, ask, verdict);
@@ -629,7 +612,7 @@
         let origin = &self.clients.origins[id.0 as usize];
         let (account, units) = (origin.account as usize, origin.units);
         match verdict {
-            Verdict::Served { .. } => {
+            ClientOutcome::Served { .. } => {
                 self.measure.proxied(now, took);
                 let route = &self.terms.routes[origin.route];
                 let worth = if took <= secs(route.latency_target) {
@@ -645,7 +628,7 @@
                 let origin = &mut self.clients.origins[id.0 as usize];
                 (origin.earned, origin.done) = (true, true);
             }
-            Verdict::Limited => {
+            ClientOutcome::Rejected => {
                 self.measure.limited(now, took);
                 let cap = self.terms.plans[self.clients.accounts[account].plan].cap;
                 let it = &mut self.clients.accounts[account];
@@ -657,7 +640,7 @@
                 second.limited_half_unused += u64::from(half);
                 self.again(now, id, advice);
             }
-            Verdict::Errored | Verdict::Cut => {
+            ClientOutcome::Failed | ClientOutcome::Disconnected => {
                 self.measure.errored(now, took);
                 self.again(now, id, None);
             }
@@ -677,17 +660,17 @@
     }
 
     /// Whether a new connection is refused; one that is not may still be met by silence.
-    pub fn refuses(&self, server: ServerNo) -> bool {
+    pub fn refuses(&self, server: ServerId) -> bool {
         let it = &self.servers[server.0 as usize];
         matches!(it.health, Health::Down | Health::Fallen)
     }
 
-    pub fn connected(&mut self, now: Duration, server: ServerNo) {
+    pub fn connected(&mut self, now: Duration, server: ServerId) {
         self.measure.at(now).connections += 1;
         self.servers[server.0 as usize].connections += 1;
     }
 
-    pub fn disconnected(&mut self, server: ServerNo) {
+    pub fn disconnected(&mut self, server: ServerId) {
         let it = &mut self.servers[server.0 as usize];
         it.connections = it.connections.saturating_sub(1);
     }
@@ -697,11 +680,11 @@
         &mut self,
         now: Duration,
         gateway: usize,
-        server: ServerNo,
-        (ask, fresh): (AskId, bool),
+        server: ServerId,
+        (ask, fresh): (ClientRequestId, bool),
         acts: &mut Vec<Act>,
-    ) -> TryId {
-        let id = TryId(self.tries.len() as u32);
+    ) -> AttemptId {
+        let id = AttemptId(self.tries.len() as u32);
         let life = self.servers[server.0 as usize].life;
         self.tries.push(Try {
             ask,
@@ -806,26 +789,26 @@
     }
 
     /// The gateway has given a try up, or its connection has gone.
-    pub fn left(&mut self, now: Duration, of: TryId) {
+    pub fn left(&mut self, now: Duration, of: AttemptId) {
         let it = &self.tries[of.0 as usize];
         let (server, life) = (it.server, it.life);
         if it.ended {
             return;
         }
-        self.ended(now, of, TryEnd::GivenUp);
+        self.ended(now, of, AttemptEnd::Abandoned);
         let at = &mut self.servers[server.0 as usize];
         if at.life == life && (!at.give_up(of) || self.terms.fleet.stops_work) {
             self.next_at(now, server, of);
         }
     }
 
-    fn next_at(&mut self, now: Duration, server: ServerNo, of: TryId) {
+    fn next_at(&mut self, now: Duration, server: ServerId, of: AttemptId) {
         if let Some((next, done)) = self.servers[server.0 as usize].over(now, of) {
             self.agenda.at(done, Due::Served(server, next));
         }
     }
 
-    fn ended(&mut self, now: Duration, of: TryId, end: TryEnd) {
+    fn ended(&mut self, now: Duration, of: AttemptId, end: AttemptEnd) {
         let it = &mut self.tries[of.0 as usize];
         if std::mem::replace(&mut it.ended, true) {
             return;
@@ -837,7 +820,7 @@
     }
 
     /// A server is done with a try's work.
-    fn served(&mut self, now: Duration, server: ServerNo, of: TryId) {
+    fn served(&mut self, now: Duration, server: ServerId, of: AttemptId) {
         let it = &self.tries[of.0 as usize];
         let at = &mut self.servers[server.0 as usize];
         if it.life != at.life {
@@ -877,7 +860,7 @@
     }
 
     /// What a server says arrives after the way back, where the engine does not add that itself.
-    fn will_say(&mut self, now: Duration, of: TryId, says: Says) {
+    fn will_say(&mut self, now: Duration, of: AttemptId, says: Says) {
         let it = &mut self.tries[of.0 as usize];
         it.says = Some(says);
         let (gateway, server) = (it.gateway, it.server);
@@ -885,7 +868,7 @@
         self.agenda.at(now + lag, Due::Said(of));
     }
 
-    fn said(&mut self, now: Duration, of: TryId, acts: &mut Vec<Act>) {
+    fn said(&mut self, now: Duration, of: AttemptId, acts: &mut Vec<Act>) {
         let it = &self.tries[of.0 as usize];
         let (Some(says), false) = (it.says, it.ended) else {
             return;
@@ -894,15 +877,15 @@
             return;
         }
         let end = match says {
-            Says::Busy => TryEnd::TurnedAway,
-            _ => TryEnd::Answered,
+            Says::Busy => AttemptEnd::Rejected,
+            _ => AttemptEnd::Answered,
         };
         self.ended(now, of, end);
         acts.push(Act::Reply(of, says));
     }
 
     /// A probe of a server's load, where there may be any and it can answer.
-    pub fn probed(&mut self, now: Duration, server: ServerNo) -> Option<Report> {
+    pub fn probed(&mut self, now: Duration, server: ServerId) -> Option<Report> {
         let fleet = &self.terms.fleet;
         let (may, every) = (fleet.probes, secs(fleet.report_every));
         let it = &mut self.servers[server.0 as usize];
@@ -920,9 +903,9 @@
         add: f64,
         keep: Duration,
         acts: &mut Vec<Act>,
-    ) -> CountId {
+    ) -> CounterCallId {
         self.next_count += 1;
-        let id = CountId(self.next_count);
+        let id = CounterCallId(self.next_count);
         self.measure.at(now).counter_calls += 1;
         let counter = self.gateways[gateway].counter;
         let call = Call {
@@ -945,7 +928,7 @@
         id
     }
 
-    fn counted(&mut self, now: Duration, id: CountId, acts: &mut Vec<Act>) {
+    fn counted(&mut self, now: Duration, id: CounterCallId, acts: &mut Vec<Act>) {
         let Some(call) = self.counts.remove(&id) else {
             return;
         };
@@ -960,7 +943,7 @@
     // ---- the list ----
 
     /// The list changes; each gateway hears of it in its own time.
-    fn change(&mut self, now: Duration, server: ServerNo, listing: Listing) {
+    fn change(&mut self, now: Duration, server: ServerId, listing: Listing) {
         let started = self.servers[server.0 as usize].started;
         let change = self.changes.len();
         self.changes.push(Change {
@@ -1011,7 +994,7 @@
 
     /// The list as it stands after so many changes: each server's latest line, but for those that have left.
     pub fn list(&self, upto: usize) -> Vec<Change> {
-        let mut list: BTreeMap<ServerNo, &Change> = BTreeMap::new();
+        let mut list: BTreeMap<ServerId, &Change> = BTreeMap::new();
         for change in &self.changes[..upto] {
             list.insert(change.server, change);
         }
--- a/lab/src/world/server.rs
+++ b/lab/src/world/server.rs
@@ -1,6 +1,6 @@
 //! One app server: cores, a queue, warmth, and what may be wrong with it. Knows nothing of sockets.
 
-use super::TryId;
+use crate::events::AttemptId;
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 
 /// What a server is told of a try that comes.
 pub struct Task {
-    pub of: TryId,
+    pub of: AttemptId,
     /// Seconds of a core of speed 1.
     pub work: f64,
     /// The gateway that sent it had been told of the server's present start.
@@ -76,7 +76,7 @@
     pub connections: usize,
     /// Changes with each life: what was promised in an earlier one is not kept.
     pub life: u32,
-    running: Vec<TryId>,
+    running: Vec<AttemptId>,
     waiting: VecDeque<Task>,
     /// Work of late that came while it was cold.
     pushed: VecDeque<(Duration, f64, bool)>,
@@ -211,7 +211,7 @@
     }
 
     /// A try's work is done or given up: the next one that waits begins. Says which, and when it will be done.
-    pub fn over(&mut self, now: Duration, of: TryId) -> Option<(TryId, Duration)> {
+    pub fn over(&mut self, now: Duration, of: AttemptId) -> Option<(AttemptId, Duration)> {
         self.running.retain(|running| *running != of);
         let next = (self.running.len() < self.build.cores)
             .then(|| self.waiting.pop_front())
@@ -220,13 +220,13 @@
     }
 
     /// A try that is given up leaves the queue; one that runs goes on unless work stops.
-    pub fn give_up(&mut self, of: TryId) -> bool {
+    pub fn give_up(&mut self, of: AttemptId) -> bool {
         self.waiting.retain(|task| task.of != of);
         self.running.contains(&of)
     }
 
     /// Its process has ended: all that it had is gone.
-    pub fn crash(&mut self, health: Health) -> Vec<TryId> {
+    pub fn crash(&mut self, health: Health) -> Vec<AttemptId> {
         self.health = health;
         self.life += 1;
         self.pushed.clear();
--- a/lab/src/world/server/tests.rs
+++ b/lab/src/world/server/tests.rs
@@ -17,7 +17,7 @@
 
 fn task(of: u32, work: f64) -> Task {
     Task {
-        of: TryId(of),
+        of: AttemptId(of),
         work,
         told: true,
     }
@@ -35,8 +35,8 @@
     server.slow = 4.0;
     let later = now + Duration::from_millis(500);
     assert_eq!(
-        server.over(later, TryId(1)),
-        Some((TryId(2), later + Duration::from_secs(2)))
+        server.over(later, AttemptId(1)),
+        Some((AttemptId(2), later + Duration::from_secs(2)))
     );
 }
 
--- a/lab/src/world/troubles.rs
+++ b/lab/src/world/troubles.rs
@@ -4,7 +4,8 @@
 use super::clients::Surge;
 use super::counter::{Counter, Mode};
 use super::server::{Health, Listing};
-use super::{secs, Act, GatewayState, ServerNo, World};
+use super::{secs, Act, GatewayState, World};
+use crate::events::ServerId;
 use crate::experiment::{Trouble, TroubleKind};
 use nanorand::Rng;
 use std::time::Duration;
@@ -43,10 +44,10 @@
     }
 
     /// Some of the servers that are in service, by chance: so many of all.
-    fn some_servers(&mut self, share: f64) -> Vec<ServerNo> {
+    fn some_servers(&mut self, share: f64) -> Vec<ServerId> {
         let fit = |it: &super::Server| it.listing == Listing::Active && it.health == Health::Up;
         let all = self.servers.iter().enumerate().filter(|(_, it)| fit(it));
-        let mut all: Vec<ServerNo> = all.map(|(place, _)| ServerNo(place as u32)).collect();
+        let mut all: Vec<ServerId> = all.map(|(place, _)| ServerId(place as u32)).collect();
         let wanted = (all.len() as f64 * share).round() as usize;
         self.chance.shuffle(&mut all);
         all.truncate(wanted);
@@ -61,12 +62,12 @@
         all
     }
 
-    fn at_server(&mut self, server: ServerNo) -> &mut super::Server {
+    fn at_server(&mut self, server: ServerId) -> &mut super::Server {
         &mut self.servers[server.0 as usize]
     }
 
     /// A server's process ends; connections are reset.
-    fn fell_down(&mut self, server: ServerNo, health: Health, acts: &mut Vec<Act>) {
+    fn fell_down(&mut self, server: ServerId, health: Health, acts: &mut Vec<Act>) {
         if self.at_server(server).health == Health::Fallen {
             return;
         }
@@ -77,14 +78,14 @@
     }
 
     /// A server that was to leave has finished what it had: its process ends and the list forgets it.
-    pub(super) fn retires(&mut self, now: Duration, server: ServerNo, acts: &mut Vec<Act>) {
+    pub(super) fn retires(&mut self, now: Duration, server: ServerId, acts: &mut Vec<Act>) {
         self.at_server(server).listing = Listing::Left;
         self.fell_down(server, Health::Down, acts);
         self.change(now, server, Listing::Left);
     }
 
     /// A server that was away is back, cold, under its old name.
-    pub(super) fn returns(&mut self, now: Duration, server: ServerNo, acts: &mut Vec<Act>) {
+    pub(super) fn returns(&mut self, now: Duration, server: ServerId, acts: &mut Vec<Act>) {
         let it = self.at_server(server);
         if matches!(it.health, Health::Up | Health::Fallen) || it.listing != Listing::Active {
             return;
@@ -154,7 +155,7 @@
                 }
             }
             TroubleKind::ZoneLost => {
-                for server in (0..self.servers.len() as u32).map(ServerNo) {
+                for server in (0..self.servers.len() as u32).map(ServerId) {
                     let at = self.at_server(server);
                     if at.zone == it.zone
                         && at.listing == Listing::Active
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -20,9 +20,9 @@
 #[path = "../../tests/plays/mod.rs"]
 mod plays;
 
+use wellcrank_lab::events::Rule;
 use wellcrank_lab::experiment::{Experiment, Trouble, Variant};
 use wellcrank_lab::measure::Results;
-use wellcrank_lab::referee::Rule;
 use wellcrank_lab::simulated::{self, Fault};
 
 #[derive(Default)]
@@ -135,11 +135,11 @@
                 assert!(it.broken_count > 0, "nothing was broken");
                 let other = it.broken.iter().find(|broken| broken.rule != rule(name));
                 assert!(other.is_none(), "{}", other.expect("found"));
-                let named = it.broken.iter().all(|broken| broken.at > 0.0);
+                let named = it.broken.iter().all(|broken| broken.at_seconds > 0.0);
                 let called = it
                     .broken
                     .iter()
-                    .all(|it| it.call.is_some() || it.rule == Rule::ColdServers);
+                    .all(|it| it.request.is_some() || it.rule == Rule::ColdServers);
                 assert!(named && called, "a broken rule names its time and API call");
             }
             ["figure", ref name @ .., how @ ("above" | "below"), bound] => {
