--- a/lab/src/loopback/counter.rs
+++ b/lab/src/loopback/counter.rs
@@ -3,7 +3,7 @@
 use super::wire::{Turns, Wire};
 use super::{Place, Stage};
 use crate::events::CounterCallId;
-use crate::world::counter::CounterSays;
+use crate::world::counter::CounterResponse;
 use std::time::Duration;
 
 pub struct Line {
@@ -64,7 +64,7 @@
             .rposition(|byte| *byte == b'\n')
             .map_or(0, |end| end + 1);
         let whole: Vec<u8> = line.wire.input.drain(..end).collect();
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         for text in String::from_utf8_lossy(&whole).lines() {
             match read(text) {
                 Asked::Ping => {
@@ -74,7 +74,7 @@
                 Asked::Add { name, add, keep } => {
                     let id = self
                         .world
-                        .count(self.now, gateway, name, add, keep, &mut acts);
+                        .count(self.now, gateway, name, add, keep, &mut actions);
                     self.line_asked(key, Some(id));
                     self.counting.insert(id, key);
                 }
@@ -84,7 +84,7 @@
                 }
             }
         }
-        self.carry(acts)?;
+        self.carry(actions)?;
         if !open {
             return self.close(key);
         }
@@ -105,16 +105,20 @@
         }
     }
 
-    pub(super) fn counted(&mut self, id: CounterCallId, says: CounterSays) -> Result<(), String> {
+    pub(super) fn counted(
+        &mut self,
+        id: CounterCallId,
+        says: CounterResponse,
+    ) -> Result<(), String> {
         let Some(key) = self.counting.remove(&id) else {
             return Ok(());
         };
         match says {
-            CounterSays::Total(total) => {
+            CounterResponse::Total(total) => {
                 self.line_says(key, Some(id), format!("ok {total}\r\n").into_bytes())
             }
-            CounterSays::Busy => self.line_says(key, Some(id), b"busy\r\n".to_vec()),
-            CounterSays::Reset => return self.close(key),
+            CounterResponse::Busy => self.line_says(key, Some(id), b"busy\r\n".to_vec()),
+            CounterResponse::Reset => return self.close(key),
         }
         Ok(())
     }
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -18,7 +18,7 @@
 use crate::measure::{Results, Second};
 use crate::record::{Recorded, Recorder};
 use crate::told;
-use crate::world::{Act, GatewayState, World};
+use crate::world::{Action, GatewayState, World};
 use mio::net::{TcpListener, UdpSocket};
 use mio::{Events, Interest, Poll, Registry, Token};
 use nanorand::{Rng, WyRand};
@@ -383,12 +383,12 @@
                 let due = self.world.next_due().filter(|due| *due <= self.now);
                 if let Some(due) = due {
                     self.world.measure.late(self.now - due);
-                    let mut acts = Vec::new();
+                    let mut actions = Vec::new();
                     for (gateway, it) in self.gateways.iter().enumerate() {
                         self.world.set_resting(gateway, it.idle.len());
                     }
-                    self.world.advance(self.now, &mut acts);
-                    self.carry(acts)?;
+                    self.world.advance(self.now, &mut actions);
+                    self.carry(actions)?;
                 }
                 while self.now.as_secs() > second && second < self.world.length().as_secs() {
                     if let Some(watch) = watch.as_mut() {
@@ -648,36 +648,36 @@
     }
 
     /// What the world leaves to be carried out.
-    fn carry(&mut self, acts: Vec<Act>) -> Result<(), String> {
-        for act in acts {
+    fn carry(&mut self, actions: Vec<Action>) -> Result<(), String> {
+        for act in actions {
             match act {
-                Act::Ask(ask) => self.ask(ask, true)?,
-                Act::Leave(ask) => self.leave(ask)?,
-                Act::Reply(of, says) => self.reply(of, says)?,
-                Act::Counted(count, says) => self.counted(count, says)?,
-                Act::Told { gateway, .. } => self.tell(gateway),
-                Act::Born(server) | Act::Up(server) => {
+                Action::SendRequest(ask) => self.ask(ask, true)?,
+                Action::CloseClient(ask) => self.leave(ask)?,
+                Action::SendResponse(of, says) => self.reply(of, says)?,
+                Action::SendCounterResponse(count, says) => self.counted(count, says)?,
+                Action::NotifyGateway { gateway, .. } => self.tell(gateway),
+                Action::AddServer(server) | Action::RestartServer(server) => {
                     for gateway in 0..self.gateways.len() {
                         if !self.gateways[gateway].doors.contains_key(&server) {
                             self.open_door(gateway, server)?;
                         }
                     }
                 }
-                Act::Down(server) => self.down(server)?,
-                Act::Kill(gateway) => {
+                Action::StopServer(server) => self.down(server)?,
+                Action::KillGateway(gateway) => {
                     self.gateways[gateway].process.look();
                     self.gateways[gateway].process.kill();
                     self.gateways[gateway].ping = None;
                 }
-                Act::Stop(gateway) => {
+                Action::StopGateway(gateway) => {
                     self.gateways[gateway].stopping = true;
                     self.gateways[gateway]
                         .process
                         .signal(rustix::process::Signal::TERM);
                 }
-                Act::Start(gateway) => self.start(gateway)?,
-                Act::Move(gateway) => self.move_platform(gateway)?,
-                Act::CounterCut => {
+                Action::StartGateway(gateway) => self.start(gateway)?,
+                Action::MovePlatform(gateway) => self.move_platform(gateway)?,
+                Action::ResetCounterConnections => {
                     let lines = self
                         .places
                         .iter()
@@ -685,7 +685,7 @@
                     let lines: Vec<usize> = lines.map(|(key, _)| key).collect();
                     lines.into_iter().try_for_each(|key| self.close(key))?;
                 }
-                Act::BadClients(count) => self.bad_clients(count)?,
+                Action::AddMisbehavingClients(count) => self.bad_clients(count)?,
             }
         }
         Ok(())
--- a/lab/src/loopback/servers.rs
+++ b/lab/src/loopback/servers.rs
@@ -5,7 +5,7 @@
 use crate::events::{AttemptId, ClientRequestId, ServerId};
 use crate::told::{self, ListedServer};
 use crate::world::server::Listing;
-use crate::world::{Change, Says};
+use crate::world::{Change, ServerResponse};
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
 use serde_json::Value;
@@ -54,7 +54,7 @@
 }
 
 /// What a server writes.
-fn said(says: Says, ask: ClientRequestId) -> Vec<u8> {
+fn said(says: ServerResponse, ask: ClientRequestId) -> Vec<u8> {
     let value = clients::value(ask);
     let good = |units: Option<f64>, load: String| {
         let figures = units.map_or(OwnedFrame::Null, |units| bulk(format!("cost={units}")));
@@ -66,17 +66,21 @@
         encoded(&OwnedFrame::Array(vec![bulk(value.clone()), figures, load]))
     };
     match says {
-        Says::Value { units, load } => {
+        ServerResponse::Success { units, load } => {
             good(units, load.map(|load| load.to_string()).unwrap_or_default())
         }
-        Says::Busy => b"-BUSY\r\n".to_vec(),
-        Says::Failed => b"-ERR failed\r\n".to_vec(),
-        Says::Spoilt(0) => b"\x07\x00\xffnoise\r\n".to_vec(),
-        Says::Spoilt(1) => vec![b'*'; 2000],
-        Says::Spoilt(2) => b"*3\r\n$5\r\nrendered more than that\r\n$-1\r\n$-1\r\n".to_vec(),
-        Says::Spoilt(3) => b"*3\r\n$3000000000\r\nrendered".to_vec(),
-        Says::Spoilt(4) => [good(None, String::new()), good(None, String::new())].concat(),
-        Says::Spoilt(_) => [
+        ServerResponse::Busy => b"-BUSY\r\n".to_vec(),
+        ServerResponse::Failed => b"-ERR failed\r\n".to_vec(),
+        ServerResponse::Malformed(0) => b"\x07\x00\xffnoise\r\n".to_vec(),
+        ServerResponse::Malformed(1) => vec![b'*'; 2000],
+        ServerResponse::Malformed(2) => {
+            b"*3\r\n$5\r\nrendered more than that\r\n$-1\r\n$-1\r\n".to_vec()
+        }
+        ServerResponse::Malformed(3) => b"*3\r\n$3000000000\r\nrendered".to_vec(),
+        ServerResponse::Malformed(4) => {
+            [good(None, String::new()), good(None, String::new())].concat()
+        }
+        ServerResponse::Malformed(_) => [
             good(None, "inflight=x,queue=-,util".into()),
             b"noise\r\n".to_vec(),
         ]
@@ -213,15 +217,15 @@
                     return Ok(true);
                 };
                 let fresh = std::mem::replace(&mut it.fresh, false);
-                let mut acts = Vec::new();
+                let mut actions = Vec::new();
                 let of = self
                     .world
-                    .came(self.now, gateway, server, (ask, fresh), &mut acts);
+                    .came(self.now, gateway, server, (ask, fresh), &mut actions);
                 if let Some(Place::Upstream(it)) = self.places.get_mut(key) {
                     it.turns.asked(of);
                 }
                 self.trying.insert(of, key);
-                self.carry(acts)?;
+                self.carry(actions)?;
                 return Ok(true);
             }
             _ => return Ok(false),
@@ -246,7 +250,7 @@
         true
     }
 
-    pub(super) fn reply(&mut self, of: AttemptId, says: Says) -> Result<(), String> {
+    pub(super) fn reply(&mut self, of: AttemptId, says: ServerResponse) -> Result<(), String> {
         let ask = self.world.tries[of.0 as usize].ask;
         let Some(key) = self.trying.remove(&of) else {
             return Ok(());
--- a/lab/src/simulated.rs
+++ b/lab/src/simulated.rs
@@ -11,9 +11,9 @@
 use crate::measure::Results;
 use crate::record::Recorded;
 use crate::told;
-use crate::world::counter::CounterSays;
+use crate::world::counter::CounterResponse;
 use crate::world::server::Listing;
-use crate::world::{Act, Change, Says, World};
+use crate::world::{Action, Change, ServerResponse, World};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -66,7 +66,7 @@
     TryLeft(AttemptId),
     Replied {
         key: TryKey,
-        says: Says,
+        says: ServerResponse,
     },
     Refused(TryKey),
     TryTimeUp(TryKey),
@@ -79,7 +79,7 @@
         at: usize,
         life: u32,
         number: u64,
-        says: CounterSays,
+        says: CounterResponse,
     },
     CountTimeUp {
         at: usize,
@@ -235,9 +235,9 @@
             };
             self.now = now;
             if due == Some(now) {
-                let mut acts = Vec::new();
-                self.world.advance(now, &mut acts);
-                self.carry(acts)?;
+                let mut actions = Vec::new();
+                self.world.advance(now, &mut actions);
+                self.carry(actions)?;
             }
             while let Some(Reverse((when, _))) = self.events.peek() {
                 if *when > now {
@@ -331,19 +331,19 @@
     }
 
     /// What the world leaves to be carried out.
-    fn carry(&mut self, acts: Vec<Act>) -> Result<(), String> {
+    fn carry(&mut self, actions: Vec<Action>) -> Result<(), String> {
         let now = self.now;
-        for act in acts {
+        for act in actions {
             match act {
-                Act::Ask(ask) => {
+                Action::SendRequest(ask) => {
                     let gateway = self.world.asks[ask.0 as usize].gateway;
                     self.at(now + self.world.near(), Event::Arrives(gateway, ask));
                 }
-                Act::Leave(ask) => {
+                Action::CloseClient(ask) => {
                     let gateway = self.world.asks[ask.0 as usize].gateway;
                     self.at(now + self.world.near(), Event::ClientLeft(gateway, ask));
                 }
-                Act::Reply(of, says) => {
+                Action::SendResponse(of, says) => {
                     if let Some(key) = self.trying.remove(&of) {
                         let way = self
                             .world
@@ -351,7 +351,7 @@
                         self.at(now + way, Event::Replied { key, says });
                     }
                 }
-                Act::Counted(count, says) => {
+                Action::SendCounterResponse(count, says) => {
                     if let Some((at, life, number)) = self.counting.remove(&count) {
                         let when = now + self.world.near();
                         self.at(
@@ -365,7 +365,10 @@
                         );
                     }
                 }
-                Act::Told { gateway, upto } => {
+                Action::NotifyGateway {
+                    gateway,
+                    change_count: upto,
+                } => {
                     let life = self.gateways[gateway].life;
                     self.at(
                         now,
@@ -376,17 +379,17 @@
                         },
                     );
                 }
-                Act::Born(_) | Act::Up(_) => (),
-                Act::Down(server) => self.reset(server),
-                Act::Kill(gateway) => self.kill(gateway)?,
-                Act::Stop(_) => (),
-                Act::Start(gateway) => self.start(gateway)?,
+                Action::AddServer(_) | Action::RestartServer(_) => (),
+                Action::StopServer(server) => self.reset(server),
+                Action::KillGateway(gateway) => self.kill(gateway)?,
+                Action::StopGateway(_) => (),
+                Action::StartGateway(gateway) => self.start(gateway)?,
                 // Where the counter has moved, the world answers from another one; the address is nothing here.
-                Act::Move(_) | Act::BadClients(_) => (),
-                Act::CounterCut => {
+                Action::MovePlatform(_) | Action::AddMisbehavingClients(_) => (),
+                Action::ResetCounterConnections => {
                     let open: Vec<_> = std::mem::take(&mut self.counting).into_values().collect();
                     for (at, life, number) in open {
-                        let says = CounterSays::Reset;
+                        let says = CounterResponse::Reset;
                         self.at(
                             now + self.world.near(),
                             Event::CountAnswered {
@@ -496,10 +499,10 @@
                 let it = &self.gateways[at];
                 if let Some(call) = it.counts.get(&number).filter(|_| it.life == life) {
                     let (name, add, keep) = (call.name.0, call.add, call.keep);
-                    let mut acts = Vec::new();
-                    let id = self.world.count(now, at, name, add, keep, &mut acts);
+                    let mut actions = Vec::new();
+                    let id = self.world.count(now, at, name, add, keep, &mut actions);
                     self.counting.insert(id, (at, life, number));
-                    self.carry(acts)?;
+                    self.carry(actions)?;
                 }
             }
             Event::CountAnswered {
@@ -514,9 +517,9 @@
                     .flatten()
                 {
                     let counted = match says {
-                        CounterSays::Total(total) => CounterReply::Total(total),
-                        CounterSays::Busy => CounterReply::NotApplied,
-                        CounterSays::Reset => CounterReply::Unknown,
+                        CounterResponse::Total(total) => CounterReply::Total(total),
+                        CounterResponse::Busy => CounterReply::NotApplied,
+                        CounterResponse::Reset => CounterReply::Unknown,
                     };
                     self.deliver(at, GatewayEvent::Counted(call.name, counted))?;
                 }
@@ -838,15 +841,15 @@
             self.at(self.now + way, Event::Refused(key));
             return Ok(());
         }
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         let there = self
             .world
-            .came(self.now, key.0, server, (key.2, fresh), &mut acts);
+            .came(self.now, key.0, server, (key.2, fresh), &mut actions);
         self.trying.insert(there, key);
         if let Some(out) = self.gateways[key.0].tries.get_mut(&(key.2, key.3)) {
             out.there = Some(there);
         }
-        self.carry(acts)
+        self.carry(actions)
     }
 
     /// The gateway closes a try's connection; the server sees it a way later.
@@ -862,12 +865,12 @@
         }
     }
 
-    fn replied(&mut self, key: TryKey, says: Says) -> Result<(), String> {
+    fn replied(&mut self, key: TryKey, says: ServerResponse) -> Result<(), String> {
         if self.out(key).is_none() {
             return Ok(());
         }
         match says {
-            Says::Value { units, load } => {
+            ServerResponse::Success { units, load } => {
                 let load = load.map_or_else(BTreeMap::new, |load| {
                     [
                         ("inflight", load.inflight as f64),
@@ -881,8 +884,10 @@
                 self.answer(key.0, &call, ClientOutcome::Served { correct: true }, None);
                 self.ended(key, AttemptOutcome::Success, units, load, true)
             }
-            Says::Busy => self.ended(key, AttemptOutcome::Rejected, None, BTreeMap::new(), true),
-            Says::Failed => self.ended(
+            ServerResponse::Busy => {
+                self.ended(key, AttemptOutcome::Rejected, None, BTreeMap::new(), true)
+            }
+            ServerResponse::Failed => self.ended(
                 key,
                 AttemptOutcome::ServerError,
                 None,
@@ -890,7 +895,7 @@
                 true,
             ),
             // A good answer with more behind it serves, and ends the connection.
-            Says::Spoilt(4..) => {
+            ServerResponse::Malformed(4..) => {
                 self.answer(
                     key.0,
                     &call_id(key.2),
@@ -900,7 +905,7 @@
                 self.ended(key, AttemptOutcome::Success, None, BTreeMap::new(), false)
             }
             // What can't be read ends the connection, and the server may have run it.
-            Says::Spoilt(_) => self.ended(
+            ServerResponse::Malformed(_) => self.ended(
                 key,
                 AttemptOutcome::ServerError,
                 None,
--- a/lab/src/world/counter.rs
+++ b/lab/src/world/counter.rs
@@ -15,7 +15,7 @@
 
 /// What the counter says, or does.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum CounterSays {
+pub enum CounterResponse {
     Total(f64),
     Busy,
     /// Closes the connection on which the call came.
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Turn {
     At(Duration),
-    Now(CounterSays),
+    Now(CounterResponse),
     Never,
 }
 
@@ -76,8 +76,8 @@
     pub fn take(&mut self, now: Duration, call: &Call, terms: &Terms) -> Turn {
         let slower = match self.mode {
             Mode::Silent => return Turn::Never,
-            Mode::Busy => return Turn::Now(CounterSays::Busy),
-            Mode::Reset => return Turn::Now(CounterSays::Reset),
+            Mode::Busy => return Turn::Now(CounterResponse::Busy),
+            Mode::Reset => return Turn::Now(CounterResponse::Reset),
             Mode::Slow(factor) => factor,
             Mode::Answers => 1.0,
         };
@@ -85,7 +85,7 @@
         let part = self.part(call.name);
         let waits = part.free.saturating_sub(now).as_secs_f64() / each;
         if waits >= terms.queue as f64 {
-            return Turn::Now(CounterSays::Busy);
+            return Turn::Now(CounterResponse::Busy);
         }
         part.free = part.free.max(now) + Duration::from_secs_f64(each);
         Turn::At(part.free + terms.latency.mul_f64(slower))
--- a/lab/src/world/counter/tests.rs
+++ b/lab/src/world/counter/tests.rs
@@ -21,7 +21,7 @@
     assert_eq!(counter.take(ms(0), &call, &terms), Turn::At(ms(201)));
     assert_eq!(
         counter.take(ms(0), &call, &terms),
-        Turn::Now(CounterSays::Busy)
+        Turn::Now(CounterResponse::Busy)
     );
     assert_eq!(counter.add(ms(101), &call), 2.0);
     assert_eq!(counter.add(ms(201), &call), 4.0);
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -1,6 +1,6 @@
 //! The world in which gateways serve: app servers, the counter, the server list, clients, the network between
 //! gateways, and the troubles of a day. No I/O and no clock: an engine tells it what has come and what time it
-//! is, asks it what is due, and carries out the [`Act`]s it leaves. Both engines play this one world.
+//! is, asks it what is due, and carries out the [`Action`]s it leaves. Both engines play this one world.
 
 pub mod agenda;
 pub mod clients;
@@ -18,54 +18,66 @@
 use crate::referee::Referee;
 use agenda::{Agenda, Due};
 use clients::Clients;
-use counter::{Call, Counter, CounterSays, Turn};
+use counter::{Call, Counter, CounterResponse, Turn};
 use nanorand::{Rng, WyRand};
-use server::{Build, Health, Listing, Report, Server, Taken, Task};
+use server::{Build, Health, Listing, LoadReport, Server, Taken, Task};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// What an engine has to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    /// A client sends this to its gateway.
-    Ask(ClientRequestId),
-    /// A client has no patience left and closes its connection.
-    Leave(ClientRequestId),
-    /// A server answers a try, or ends its connection.
-    Reply(AttemptId, Says),
+pub enum Action {
+    /// A client sends this request to its gateway.
+    SendRequest(ClientRequestId),
+    /// A client gives up waiting and closes its connection.
+    CloseClient(ClientRequestId),
+    /// A server answers an attempt, or ends its connection.
+    SendResponse(AttemptId, ServerResponse),
     /// The counter answers a call.
-    Counted(CounterCallId, CounterSays),
-    /// The gateway is told of the list's changes up to and without this one.
-    Told {
+    SendCounterResponse(CounterCallId, CounterResponse),
+    /// Discovery notifies a gateway of the changes of the endpoint list up to and without this one.
+    NotifyGateway {
+        /// The gateway.
         gateway: usize,
-        upto: usize,
+        /// How many of the changes it knows from now on.
+        change_count: usize,
     },
-    /// A server is new, refuses connections and resets the open ones, or is there again.
-    Born(ServerId),
-    Down(ServerId),
-    Up(ServerId),
-    /// A gateway is killed, told to stop, started, told that discovery and counter have moved.
-    Kill(usize),
-    Stop(usize),
-    Start(usize),
-    Move(usize),
-    /// Connections of the counter are reset.
-    CounterCut,
-    /// So many clients come that send what cannot be read.
-    BadClients(usize),
+    /// A new server listens.
+    AddServer(ServerId),
+    /// A server refuses connections and resets the open ones.
+    StopServer(ServerId),
+    /// A server that was down listens again.
+    RestartServer(ServerId),
+    /// A gateway's process is killed.
+    KillGateway(usize),
+    /// A gateway is told to stop.
+    StopGateway(usize),
+    /// A gateway's process is started.
+    StartGateway(usize),
+    /// A gateway is told that discovery and counter have new addresses.
+    MovePlatform(usize),
+    /// All connections of the counter are reset.
+    ResetCounterConnections,
+    /// So many clients connect that send bytes that cannot be parsed.
+    AddMisbehavingClients(usize),
 }
 
-/// What a server says.
+/// What a server answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Says {
-    Value {
+pub enum ServerResponse {
+    /// The attempt was executed.
+    Success {
+        /// The units that it truly took, where servers report them.
         units: Option<f64>,
-        load: Option<Report>,
+        /// The server's load, where servers report it.
+        load: Option<LoadReport>,
     },
+    /// Rejected unexecuted: the server is full or leaving.
     Busy,
+    /// An error.
     Failed,
-    /// Something that cannot be read; which kind of it.
-    Spoilt(u32),
+    /// Bytes that cannot be parsed; which kind of them.
+    Malformed(u32),
 }
 
 pub struct Ask {
@@ -84,7 +96,7 @@
     pub gateway: usize,
     life: u32,
     ended: bool,
-    says: Option<Says>,
+    says: Option<ServerResponse>,
 }
 
 /// One change of the server list.
@@ -358,25 +370,25 @@
     }
 
     /// Does what is due by now.
-    pub fn advance(&mut self, now: Duration, acts: &mut Vec<Act>) {
+    pub fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
         while let Some((when, due)) = self.agenda.pop(now) {
             self.count_busy(when);
             match due {
-                Due::Arrival => self.arrival(when, acts),
-                Due::Replayed(place) => self.replayed(when, place, acts),
-                Due::Again(origin) => self.ask(when, origin, acts),
-                Due::Leaves(ask) => self.leaves(when, ask, acts),
+                Due::Arrival => self.arrival(when, actions),
+                Due::Replayed(place) => self.replayed(when, place, actions),
+                Due::Again(origin) => self.ask(when, origin, actions),
+                Due::Leaves(ask) => self.leaves(when, ask, actions),
                 Due::TimeUp(ask) => self.time_up(when, ask),
                 Due::Served(server, of) => self.served(when, server, of),
-                Due::Said(of) => self.said(when, of, acts),
-                Due::Counted(count) => self.counted(when, count, acts),
-                Due::Told { gateway, change } => self.tell(when, gateway, change, acts),
-                Due::Trouble { place, step } => self.trouble(when, place, step, acts),
-                Due::TroubleEnds(place) => self.trouble_ends(when, place, acts),
-                Due::Returns(server) => self.returns(when, server, acts),
-                Due::Retires(server) => self.retires(when, server, acts),
-                Due::Kill(gateway) => self.kill(when, gateway, acts),
-                Due::Start(gateway) => self.start(when, gateway, acts),
+                Due::Said(of) => self.said(when, of, actions),
+                Due::Counted(count) => self.counted(when, count, actions),
+                Due::Told { gateway, change } => self.tell(when, gateway, change, actions),
+                Due::Trouble { place, step } => self.trouble(when, place, step, actions),
+                Due::TroubleEnds(place) => self.trouble_ends(when, place, actions),
+                Due::Returns(server) => self.returns(when, server, actions),
+                Due::Retires(server) => self.retires(when, server, actions),
+                Due::Kill(gateway) => self.kill(when, gateway, actions),
+                Due::Start(gateway) => self.start(when, gateway, actions),
             }
         }
         self.count_busy(now);
@@ -415,7 +427,7 @@
         }
     }
 
-    fn arrival(&mut self, now: Duration, acts: &mut Vec<Act>) {
+    fn arrival(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if let Some(mut account) = self.clients.arrives(now) {
             let strange = self
                 .scan
@@ -430,12 +442,12 @@
                     .account(account as u32, self.clients.accounts[account].plan);
             }
             let origin = self.clients.want(now, account, &self.terms);
-            self.wanted(now, origin, acts);
+            self.wanted(now, origin, actions);
         }
         self.next_arrival(now);
     }
 
-    fn replayed(&mut self, now: Duration, place: usize, acts: &mut Vec<Act>) {
+    fn replayed(&mut self, now: Duration, place: usize, actions: &mut Vec<Action>) {
         let recorded = self.replay[place].clone();
         let Some(route) = self.terms.route(&recorded.route) else {
             return;
@@ -457,7 +469,7 @@
             .units
             .clamp(1.0, f64::from(self.terms.load.units_top));
         let origin = self.clients.wants(now, account, route, units, &self.terms);
-        self.wanted(now, origin, acts);
+        self.wanted(now, origin, actions);
     }
 
     fn value(&self, origin: usize) -> f64 {
@@ -467,15 +479,15 @@
     }
 
     /// Something new is wanted: what is inside the quota counts as asked for.
-    fn wanted(&mut self, now: Duration, origin: usize, acts: &mut Vec<Act>) {
+    fn wanted(&mut self, now: Duration, origin: usize, actions: &mut Vec<Action>) {
         if self.clients.origins[origin].inside {
             self.measure.at(now).value_asked += self.value(origin);
         }
-        self.ask(now, OperationId(origin as u32), acts);
+        self.ask(now, OperationId(origin as u32), actions);
     }
 
     /// A client asks, at the gateway that the front leads it to.
-    fn ask(&mut self, now: Duration, id: OperationId, acts: &mut Vec<Act>) {
+    fn ask(&mut self, now: Duration, id: OperationId, actions: &mut Vec<Action>) {
         let (account, route) = {
             let origin = &self.clients.origins[id.0 as usize];
             if origin.done || now >= self.length {
@@ -518,7 +530,7 @@
                 .at(now + timeout.mul_f64(patience), Due::Leaves(ask));
         }
         self.agenda.at(until + self.slack, Due::TimeUp(ask));
-        acts.push(Act::Ask(ask));
+        actions.push(Action::SendRequest(ask));
     }
 
     /// The gateway has taken it: from now on an answer is owed.
@@ -570,7 +582,7 @@
         self.agenda.at(now + wait, Due::Again(id));
     }
 
-    fn leaves(&mut self, now: Duration, ask: ClientRequestId, acts: &mut Vec<Act>) {
+    fn leaves(&mut self, now: Duration, ask: ClientRequestId, actions: &mut Vec<Action>) {
         let it = &mut self.asks[ask.0 as usize];
         if it.over {
             return;
@@ -579,7 +591,7 @@
         let origin = it.origin;
         self.referee.left(now, ask);
         self.measure.at(now).unanswered += 1;
-        acts.push(Act::Leave(ask));
+        actions.push(Action::CloseClient(ask));
         self.again(now, origin, None);
     }
 
@@ -682,7 +694,7 @@
         gateway: usize,
         server: ServerId,
         (ask, fresh): (ClientRequestId, bool),
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) -> AttemptId {
         let id = AttemptId(self.tries.len() as u32);
         let life = self.servers[server.0 as usize].life;
@@ -723,7 +735,7 @@
         let fleet = &self.terms.fleet;
         let it = &mut self.servers[server.0 as usize];
         if it.connections > fleet.connections {
-            self.will_say(now, id, Says::Busy);
+            self.will_say(now, id, ServerResponse::Busy);
             return id;
         }
         if terms.memory > 0.0 {
@@ -741,7 +753,7 @@
                 self.will_say(
                     now,
                     id,
-                    Says::Value {
+                    ServerResponse::Success {
                         units: None,
                         load: None,
                     },
@@ -761,14 +773,14 @@
         match it.take(now, task) {
             Taken::Begun(done) => self.agenda.at(done, Due::Served(server, id)),
             Taken::Waits => (),
-            Taken::TurnedAway => self.will_say(now, id, Says::Busy),
+            Taken::TurnedAway => self.will_say(now, id, ServerResponse::Busy),
         }
         if fallen == Health::Up && self.servers[server.0 as usize].health == Health::Fallen {
             if self.servers[server.0 as usize].pushed_knowingly() {
                 self.referee.fell(now, server);
             }
             self.servers[server.0 as usize].crash(Health::Fallen);
-            acts.push(Act::Down(server));
+            actions.push(Action::StopServer(server));
         }
         id
     }
@@ -844,14 +856,14 @@
             0.0
         };
         let says = if drawn < failing {
-            Says::Failed
+            ServerResponse::Failed
         } else if self.chance.generate::<f64>() < spoilt {
-            Says::Spoilt(self.chance.generate::<u32>() % 6)
+            ServerResponse::Malformed(self.chance.generate::<u32>() % 6)
         } else {
             self.clients.accounts[account]
                 .sent
                 .settle(now, units - asked);
-            Says::Value {
+            ServerResponse::Success {
                 units: self.terms.load.settles.then_some(units),
                 load: report,
             }
@@ -860,7 +872,7 @@
     }
 
     /// What a server says arrives after the way back, where the engine does not add that itself.
-    fn will_say(&mut self, now: Duration, of: AttemptId, says: Says) {
+    fn will_say(&mut self, now: Duration, of: AttemptId, says: ServerResponse) {
         let it = &mut self.tries[of.0 as usize];
         it.says = Some(says);
         let (gateway, server) = (it.gateway, it.server);
@@ -868,7 +880,7 @@
         self.agenda.at(now + lag, Due::Said(of));
     }
 
-    fn said(&mut self, now: Duration, of: AttemptId, acts: &mut Vec<Act>) {
+    fn said(&mut self, now: Duration, of: AttemptId, actions: &mut Vec<Action>) {
         let it = &self.tries[of.0 as usize];
         let (Some(says), false) = (it.says, it.ended) else {
             return;
@@ -877,15 +889,15 @@
             return;
         }
         let end = match says {
-            Says::Busy => AttemptEnd::Rejected,
+            ServerResponse::Busy => AttemptEnd::Rejected,
             _ => AttemptEnd::Answered,
         };
         self.ended(now, of, end);
-        acts.push(Act::Reply(of, says));
+        actions.push(Action::SendResponse(of, says));
     }
 
     /// A probe of a server's load, where there may be any and it can answer.
-    pub fn probed(&mut self, now: Duration, server: ServerId) -> Option<Report> {
+    pub fn probed(&mut self, now: Duration, server: ServerId) -> Option<LoadReport> {
         let fleet = &self.terms.fleet;
         let (may, every) = (fleet.probes, secs(fleet.report_every));
         let it = &mut self.servers[server.0 as usize];
@@ -902,7 +914,7 @@
         name: u64,
         add: f64,
         keep: Duration,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) -> CounterCallId {
         self.next_count += 1;
         let id = CounterCallId(self.next_count);
@@ -922,13 +934,13 @@
                 self.agenda
                     .at(when + self.lag(self.near()), Due::Counted(id));
             }
-            Turn::Now(says) => acts.push(Act::Counted(id, says)),
+            Turn::Now(says) => actions.push(Action::SendCounterResponse(id, says)),
             Turn::Never => (),
         }
         id
     }
 
-    fn counted(&mut self, now: Duration, id: CounterCallId, acts: &mut Vec<Act>) {
+    fn counted(&mut self, now: Duration, id: CounterCallId, actions: &mut Vec<Action>) {
         let Some(call) = self.counts.remove(&id) else {
             return;
         };
@@ -937,7 +949,10 @@
             return;
         }
         let total = counter.add(now, &call);
-        acts.push(Act::Counted(id, CounterSays::Total(total)));
+        actions.push(Action::SendCounterResponse(
+            id,
+            CounterResponse::Total(total),
+        ));
     }
 
     // ---- the list ----
@@ -968,7 +983,7 @@
         }
     }
 
-    fn tell(&mut self, now: Duration, gateway: usize, change: usize, acts: &mut Vec<Act>) {
+    fn tell(&mut self, now: Duration, gateway: usize, change: usize, actions: &mut Vec<Action>) {
         if now < self.silent_list {
             return self
                 .agenda
@@ -980,9 +995,9 @@
         }
         it.upto = change + 1;
         if it.state != GatewayState::Down {
-            acts.push(Act::Told {
+            actions.push(Action::NotifyGateway {
                 gateway,
-                upto: change + 1,
+                change_count: change + 1,
             });
         }
     }
@@ -1052,7 +1067,7 @@
         self.gateways[gateway].state
     }
 
-    fn kill(&mut self, now: Duration, gateway: usize, acts: &mut Vec<Act>) {
+    fn kill(&mut self, now: Duration, gateway: usize, actions: &mut Vec<Action>) {
         let it = &mut self.gateways[gateway];
         let stopping = it.state == GatewayState::Stopping;
         (it.state, it.since, it.killed) = (GatewayState::Down, now, true);
@@ -1060,14 +1075,14 @@
             true => self.referee.stopped(now, gateway),
             false => self.referee.killed(gateway),
         }
-        acts.push(Act::Kill(gateway));
+        actions.push(Action::KillGateway(gateway));
     }
 
-    fn start(&mut self, now: Duration, gateway: usize, acts: &mut Vec<Act>) {
+    fn start(&mut self, now: Duration, gateway: usize, actions: &mut Vec<Action>) {
         let it = &mut self.gateways[gateway];
         (it.state, it.since) = (GatewayState::Starting, now);
         self.referee.started(gateway);
-        acts.push(Act::Start(gateway));
+        actions.push(Action::StartGateway(gateway));
     }
 
     /// A datagram from one gateway to another: after how long it arrives, if it does.
--- a/lab/src/world/server.rs
+++ b/lab/src/world/server.rs
@@ -82,11 +82,11 @@
     pushed: VecDeque<(Duration, f64, bool)>,
     /// Core seconds spent, for its load.
     pub busy: f64,
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     pub at: Duration,
     pub inflight: usize,
     pub queue: usize,
@@ -94,7 +94,7 @@
 }
 
 /// As it stands on the wire.
-impl std::fmt::Display for Report {
+impl std::fmt::Display for LoadReport {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(
             out,
@@ -134,7 +134,7 @@
             waiting: VecDeque::new(),
             pushed: VecDeque::new(),
             busy: 0.0,
-            report: Report::default(),
+            report: LoadReport::default(),
         }
     }
 
@@ -210,7 +210,7 @@
         told * 3.0 > sum * 2.0
     }
 
-    /// A try's work is done or given up: the next one that waits begins. Says which, and when it will be done.
+    /// A try's work is done or given up: the next one that waits begins. ServerResponse which, and when it will be done.
     pub fn over(&mut self, now: Duration, of: AttemptId) -> Option<(AttemptId, Duration)> {
         self.running.retain(|running| *running != of);
         let next = (self.running.len() < self.build.cores)
@@ -238,15 +238,15 @@
     pub fn start(&mut self, now: Duration) {
         self.health = Health::Up;
         self.started = Some(now);
-        self.report = Report::default();
+        self.report = LoadReport::default();
     }
 
     /// Its load as it last reported it, made anew every so often.
-    pub fn report(&mut self, now: Duration, every: Duration) -> Report {
-        if now >= self.report.at + every || self.report == Report::default() {
+    pub fn report(&mut self, now: Duration, every: Duration) -> LoadReport {
+        if now >= self.report.at + every || self.report == LoadReport::default() {
             let (busy, queue) = (self.running.len(), self.waiting.len());
             let util = busy as f64 / self.build.cores as f64;
-            self.report = Report {
+            self.report = LoadReport {
                 at: now,
                 inflight: busy + queue,
                 queue,
--- a/lab/src/world/troubles.rs
+++ b/lab/src/world/troubles.rs
@@ -4,7 +4,7 @@
 use super::clients::Surge;
 use super::counter::{Counter, Mode};
 use super::server::{Health, Listing};
-use super::{secs, Act, GatewayState, World};
+use super::{secs, Action, GatewayState, World};
 use crate::events::ServerId;
 use crate::experiment::{Trouble, TroubleKind};
 use nanorand::Rng;
@@ -67,25 +67,25 @@
     }
 
     /// A server's process ends; connections are reset.
-    fn fell_down(&mut self, server: ServerId, health: Health, acts: &mut Vec<Act>) {
+    fn fell_down(&mut self, server: ServerId, health: Health, actions: &mut Vec<Action>) {
         if self.at_server(server).health == Health::Fallen {
             return;
         }
         self.at_server(server).crash(health);
         if health == Health::Down {
-            acts.push(Act::Down(server));
+            actions.push(Action::StopServer(server));
         }
     }
 
     /// A server that was to leave has finished what it had: its process ends and the list forgets it.
-    pub(super) fn retires(&mut self, now: Duration, server: ServerId, acts: &mut Vec<Act>) {
+    pub(super) fn retires(&mut self, now: Duration, server: ServerId, actions: &mut Vec<Action>) {
         self.at_server(server).listing = Listing::Left;
-        self.fell_down(server, Health::Down, acts);
+        self.fell_down(server, Health::Down, actions);
         self.change(now, server, Listing::Left);
     }
 
     /// A server that was away is back, cold, under its old name.
-    pub(super) fn returns(&mut self, now: Duration, server: ServerId, acts: &mut Vec<Act>) {
+    pub(super) fn returns(&mut self, now: Duration, server: ServerId, actions: &mut Vec<Action>) {
         let it = self.at_server(server);
         if matches!(it.health, Health::Up | Health::Fallen) || it.listing != Listing::Active {
             return;
@@ -95,9 +95,9 @@
         // What a silent machine still held open is reset when it is back.
         if was_silent {
             it.life += 1;
-            acts.push(Act::Down(server));
+            actions.push(Action::StopServer(server));
         }
-        acts.push(Act::Up(server));
+        actions.push(Action::RestartServer(server));
         self.change(now, server, Listing::Active);
     }
 
@@ -106,7 +106,7 @@
         now: Duration,
         place: usize,
         step: usize,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
         let it = self.terms.troubles[place].clone();
         let until = now + secs(it.lasts);
@@ -115,7 +115,7 @@
             TroubleKind::CounterBusy => self.counters[0].mode = Mode::Busy,
             TroubleKind::CounterReset => {
                 self.counters[0].mode = Mode::Reset;
-                acts.push(Act::CounterCut);
+                actions.push(Action::ResetCounterConnections);
             }
             TroubleKind::CounterSlow => self.counters[0].mode = Mode::Slow(it.factor),
             TroubleKind::CounterEmpty => self.counters[0].empty(),
@@ -128,7 +128,7 @@
                 };
                 for gateway in self.some_gateways(share) {
                     self.gateways[gateway].counter = 1;
-                    acts.push(Act::Move(gateway));
+                    actions.push(Action::MovePlatform(gateway));
                 }
             }
             TroubleKind::ServersSlow
@@ -150,7 +150,7 @@
                 let silent = it.kind == TroubleKind::ServersSilent;
                 let health = if silent { Health::Silent } else { Health::Down };
                 for server in self.some_servers(it.share) {
-                    self.fell_down(server, health, acts);
+                    self.fell_down(server, health, actions);
                     self.agenda.at(until, Due::Returns(server));
                 }
             }
@@ -161,12 +161,12 @@
                         && at.listing == Listing::Active
                         && at.health == Health::Up
                     {
-                        self.fell_down(server, Health::Silent, acts);
+                        self.fell_down(server, Health::Silent, actions);
                         self.agenda.at(until, Due::Returns(server));
                     }
                 }
             }
-            TroubleKind::ServersReplace => self.replace(now, place, step, &it, acts),
+            TroubleKind::ServersReplace => self.replace(now, place, step, &it, actions),
             TroubleKind::AnswersSpoilt => self.spoilt = (until, it.share),
             TroubleKind::ListLate => self.late_list = (until, it.factor),
             TroubleKind::ListSilent => self.silent_list = until,
@@ -190,17 +190,19 @@
             }
             TroubleKind::Impatient => self.clients.pressure.patience = it.factor.clamp(0.05, 1.0),
             TroubleKind::Heedless => self.clients.pressure.heedless = it.share,
-            TroubleKind::BadClients => acts.push(Act::BadClients(it.factor as usize)),
+            TroubleKind::BadClients => {
+                actions.push(Action::AddMisbehavingClients(it.factor as usize))
+            }
             TroubleKind::GatewaysKill => {
                 for gateway in self.some_gateways(it.share) {
-                    self.kill(now, gateway, acts);
+                    self.kill(now, gateway, actions);
                     self.agenda.at(until, Due::Start(gateway));
                 }
             }
-            TroubleKind::GatewaysRestart => self.restart(now, place, step, &it, acts),
+            TroubleKind::GatewaysRestart => self.restart(now, place, step, &it, actions),
             TroubleKind::GatewaysMove => {
                 for gateway in self.some_gateways(it.share) {
-                    acts.push(Act::Move(gateway));
+                    actions.push(Action::MovePlatform(gateway));
                 }
             }
             TroubleKind::ZoneCut => self.cut.push((it.zone, until)),
@@ -226,7 +228,7 @@
         place: usize,
         step: usize,
         it: &Trouble,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
         if step == 0 {
             let servers = self.some_servers(it.share);
@@ -250,7 +252,7 @@
         // It is listed by the change that tells its start, not by the one that made it.
         self.changes.pop();
         self.at_server(fresh).start(now);
-        acts.push(Act::Born(fresh));
+        actions.push(Action::AddServer(fresh));
         self.change(now, fresh, Listing::Active);
         self.agenda.at(now + LEAVING, Due::Retires(old));
     }
@@ -262,7 +264,7 @@
         place: usize,
         step: usize,
         it: &Trouble,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
         if step == 0 {
             let gateways = self.some_gateways(it.share);
@@ -277,13 +279,13 @@
         }
         self.gateways[gateway].state = GatewayState::Stopping;
         self.gateways[gateway].since = now;
-        acts.push(Act::Stop(gateway));
+        actions.push(Action::StopGateway(gateway));
         let gone = now + secs(self.terms.longest_wait().min(LONGEST_COUNTED) + 0.7);
         self.agenda.at(gone, Due::Kill(gateway));
         self.agenda.at(gone + AGAIN, Due::Start(gateway));
     }
 
-    pub(super) fn trouble_ends(&mut self, now: Duration, place: usize, acts: &mut Vec<Act>) {
+    pub(super) fn trouble_ends(&mut self, now: Duration, place: usize, actions: &mut Vec<Action>) {
         let it = self.terms.troubles[place].clone();
         match it.kind {
             TroubleKind::CounterSilent
@@ -298,7 +300,7 @@
             TroubleKind::CounterSplit => {
                 for gateway in 0..self.gateways.len() {
                     if std::mem::replace(&mut self.gateways[gateway].counter, 0) != 0 {
-                        acts.push(Act::Move(gateway));
+                        actions.push(Action::MovePlatform(gateway));
                     }
                 }
             }
