--- a/lab/src/bears.rs
+++ b/lab/src/capacity.rs
@@ -2,7 +2,7 @@
 //! once, and what it uses at rest. Arrivals wait for no answer; latency counts from the intended moment.
 
 use crate::experiment::{Experiment, PlanTerms, RouteTerms, Variant};
-use crate::measure::Results;
+use crate::metrics::Results;
 use crate::runs::{self, Ways};
 
 /// The day that is played: one gateway, instant servers, quotas that nobody meets.
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -2,19 +2,19 @@
 //! simulated time ([`simulated`]) and the programs on loopback sockets ([`loopback`]); experiments, a referee
 //! that shares no code with the program, recorded traffic, comparisons and reports.
 
-pub mod agree;
-pub mod bears;
+pub mod capacity;
 pub mod clock;
 pub mod decision_engine;
 pub mod events;
 pub mod experiment;
 pub mod loopback;
-pub mod measure;
+pub mod metrics;
+pub mod node_settings;
 pub mod record;
-pub mod referee;
 pub mod report;
+pub mod rule_checker;
 pub mod runs;
 pub mod simulated;
 pub mod stats;
-pub mod told;
+pub mod validate;
 pub mod world;
--- a/lab/src/loopback/discovery.rs
+++ b/lab/src/loopback/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::wire::Wire;
 use super::{Place, Stage};
-use crate::told;
+use crate::node_settings;
 use std::time::Duration;
 
 pub struct Watcher {
@@ -113,8 +113,8 @@
             Some(after) => self.world.changes[after..upto].to_vec(),
             None => self.world.list(upto),
         };
-        let body =
-            told::list(upto as u64, after.is_none(), self.lines(gateway, &changes)).to_string();
+        let body = node_settings::list(upto as u64, after.is_none(), self.lines(gateway, &changes))
+            .to_string();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         if let Some(Place::Discovery(watcher)) = self.places.get_mut(key) {
             watcher.wire.put(head.as_bytes());
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -15,9 +15,9 @@
 use crate::clock::Clock;
 use crate::events::{AttemptId, ClientRequestId, CounterCallId, ServerId};
 use crate::experiment::{Experiment, Variant};
-use crate::measure::{Results, Second};
+use crate::metrics::{Results, Second};
+use crate::node_settings;
 use crate::record::{Recorded, Recorder};
-use crate::told;
 use crate::world::{Action, GatewayState, World};
 use mio::net::{TcpListener, UdpSocket};
 use mio::{Events, Interest, Poll, Registry, Token};
@@ -310,7 +310,7 @@
 
     /// Writes a gateway's file; the list in it is the one that it was told last.
     fn write_file(&mut self, gateway: usize) -> Result<PathBuf, String> {
-        let settings = told::settings(&self.world.terms, gateway, &self.told)?;
+        let settings = node_settings::settings(&self.world.terms, gateway, &self.told)?;
         let upto = self.world.upto(gateway);
         let lines = self.lines(gateway, &self.world.list(upto));
         let it = &self.gateways[gateway];
@@ -319,7 +319,7 @@
             "name": format!("g{gateway}"), "listen": it.listen,
             "discovery": self.address(it.discovery), "seed": format!("{:016x}", self.seeds.generate::<u64>()),
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
-            "known": told::list(upto as u64, true, lines), "settings": settings,
+            "known": node_settings::list(upto as u64, true, lines), "settings": settings,
         });
         if self.world.terms.counter.present {
             file["counter"] = serde_json::json!(self.address(it.counter));
@@ -382,7 +382,7 @@
                 }
                 let due = self.world.next_due().filter(|due| *due <= self.now);
                 if let Some(due) = due {
-                    self.world.measure.late(self.now - due);
+                    self.world.metrics.late(self.now - due);
                     let mut actions = Vec::new();
                     for (gateway, it) in self.gateways.iter().enumerate() {
                         self.world.set_resting(gateway, it.idle.len());
@@ -392,7 +392,7 @@
                 }
                 while self.now.as_secs() > second && second < self.world.length().as_secs() {
                     if let Some(watch) = watch.as_mut() {
-                        let brought = self.world.measure.at(Duration::from_secs(second)).clone();
+                        let brought = self.world.metrics.at(Duration::from_secs(second)).clone();
                         watch(second, &brought);
                     }
                     second += 1;
@@ -427,7 +427,7 @@
         }
         // Gateways that a Ctrl-C from the terminal has reached as well may be gone already.
         self.gateways.iter_mut().for_each(|it| it.process.kill());
-        self.world.referee.end(self.now);
+        self.world.rule_checker.end(self.now);
         Ok(())
     }
 
--- a/lab/src/loopback/servers.rs
+++ b/lab/src/loopback/servers.rs
@@ -3,7 +3,7 @@
 use super::wire::{bulk, encoded, Turns, Wire};
 use super::{clients, Place, Stage};
 use crate::events::{AttemptId, ClientRequestId, ServerId};
-use crate::told::{self, ListedServer};
+use crate::node_settings::{self, ListedServer};
 use crate::world::server::Listing;
 use crate::world::{Change, ServerResponse};
 use redis_protocol::resp2::decode::decode;
@@ -110,7 +110,7 @@
                 Listing::Leaving => "leaving",
                 Listing::Left => "left",
             };
-            let zone = told::zone_name(it.zone);
+            let zone = node_settings::zone_name(it.zone);
             let started_ms = change.started.map_or(0, |at| self.clock.unix_ms(at));
             let (uid, kind, cell) = (it.uid.as_str(), it.kind.as_str(), it.cell);
             ListedServer {
@@ -212,7 +212,9 @@
                 let Some(wait) = wait.map(Duration::from_millis) else {
                     return Ok(false);
                 };
-                self.world.referee.told_wait(self.now, ask, gateway, wait);
+                self.world
+                    .rule_checker
+                    .told_wait(self.now, ask, gateway, wait);
                 let Some(Place::Upstream(it)) = self.places.get_mut(key) else {
                     return Ok(true);
                 };
--- a/lab/src/measure.rs
+++ b/lab/src/metrics.rs
@@ -149,7 +149,7 @@
 }
 
 /// Counts while a day is played.
-pub struct Measure {
+pub struct MetricsRecorder {
     pub seconds: Vec<Second>,
     pub busy: BTreeMap<u32, Vec<f32>>,
     warm_up: Duration,
@@ -188,9 +188,9 @@
     to.saturating_record(span.as_micros() as u64);
 }
 
-impl Measure {
-    pub fn new(warm_up: Duration, length: Duration) -> Measure {
-        Measure {
+impl MetricsRecorder {
+    pub fn new(warm_up: Duration, length: Duration) -> MetricsRecorder {
+        MetricsRecorder {
             seconds: vec![Second::default(); length.as_secs_f64().ceil() as usize],
             busy: BTreeMap::new(),
             warm_up,
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -3,7 +3,7 @@
 
 mod plots;
 
-use crate::measure::{Quantiles, Results, Second};
+use crate::metrics::{Quantiles, Results, Second};
 use crate::stats;
 use plots::Line;
 use std::fmt::Write;
--- a/lab/src/referee.rs
+++ b/lab/src/rule_checker.rs
@@ -36,7 +36,7 @@
     at: Duration,
 }
 
-pub struct Referee {
+pub struct RuleChecker {
     terms: Experiment,
     slack: Duration,
     asks: BTreeMap<ClientRequestId, Seen>,
@@ -61,10 +61,10 @@
 /// So many are kept.
 const KEPT: usize = 200;
 
-impl Referee {
+impl RuleChecker {
     /// `slack`: how much later than a rule's figure is still in time, for what is under way.
-    pub fn new(terms: &Experiment, slack: Duration) -> Referee {
-        Referee {
+    pub fn new(terms: &Experiment, slack: Duration) -> RuleChecker {
+        RuleChecker {
             terms: terms.clone(),
             slack,
             asks: BTreeMap::new(),
--- a/lab/src/runs.rs
+++ b/lab/src/runs.rs
@@ -1,7 +1,7 @@
 //! Plays an experiment's variants on its seeds, several at a time, and keeps the results as JSON lines.
 
 use crate::experiment::{Engine, Experiment, Variant};
-use crate::measure::Results;
+use crate::metrics::Results;
 use crate::record::{self, Recorded};
 use crate::{loopback, simulated};
 use std::fs::{self, File};
--- a/lab/src/simulated.rs
+++ b/lab/src/simulated.rs
@@ -8,9 +8,9 @@
 };
 use crate::events::{AttemptId, ClientOutcome, ClientRequestId, CounterCallId, ServerId};
 use crate::experiment::{Experiment, Variant};
-use crate::measure::Results;
+use crate::metrics::Results;
+use crate::node_settings;
 use crate::record::Recorded;
-use crate::told;
 use crate::world::counter::CounterResponse;
 use crate::world::server::Listing;
 use crate::world::{Action, Change, ServerResponse, World};
@@ -262,7 +262,7 @@
             }
         }
         self.now = end;
-        self.world.referee.end(end);
+        self.world.rule_checker.end(end);
         Ok(())
     }
 
@@ -272,7 +272,7 @@
 
     /// A gateway starts with the list as it was last told it.
     fn start(&mut self, gateway: usize) -> Result<(), String> {
-        let settings = told::settings(&self.world.terms, gateway, &self.told)?;
+        let settings = node_settings::settings(&self.world.terms, gateway, &self.told)?;
         let it = &mut self.gateways[gateway];
         *it = Gateway {
             life: it.life + 1,
@@ -307,7 +307,7 @@
                 state: phase,
                 started_at: change.started.map(|at| UnixTime(ORIGIN + at)),
                 cell: server.cell,
-                zone: told::zone_name(server.zone),
+                zone: node_settings::zone_name(server.zone),
                 machine_type: server.kind.clone(),
                 weight: 1.0,
             });
--- a/lab/src/stats.rs
+++ b/lab/src/stats.rs
@@ -1,6 +1,6 @@
 //! Differences between variants, paired by seed, with intervals of 95%.
 
-use crate::measure::Results;
+use crate::metrics::Results;
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
--- a/lab/src/agree.rs
+++ b/lab/src/validate.rs
@@ -2,7 +2,7 @@
 //! the interval in which a measurement on the same number of seeds should fall, beside what loopback measures.
 
 use crate::experiment::{Engine, Experiment};
-use crate::measure::Results;
+use crate::metrics::Results;
 use crate::runs::{self, Ways};
 use crate::stats;
 use serde::{Deserialize, Serialize};
--- a/lab/src/world/agenda.rs
+++ b/lab/src/world/event_queue.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug)]
-pub enum Due {
+pub enum WorldEvent {
     /// The next API call that no answer waits for.
     Arrival,
     /// One of the recorded ones.
@@ -42,13 +42,13 @@
 }
 
 #[derive(Default)]
-pub struct Agenda {
-    due: BTreeMap<(Duration, u64), Due>,
+pub struct EventQueue {
+    due: BTreeMap<(Duration, u64), WorldEvent>,
     last: u64,
 }
 
-impl Agenda {
-    pub fn at(&mut self, when: Duration, due: Due) {
+impl EventQueue {
+    pub fn at(&mut self, when: Duration, due: WorldEvent) {
         self.last += 1;
         self.due.insert((when, self.last), due);
     }
@@ -58,7 +58,7 @@
     }
 
     /// What is due by now, and when it was.
-    pub fn pop(&mut self, now: Duration) -> Option<(Duration, Due)> {
+    pub fn pop(&mut self, now: Duration) -> Option<(Duration, WorldEvent)> {
         let first = self
             .due
             .first_entry()
--- a/lab/src/world/troubles.rs
+++ b/lab/src/world/faults.rs
@@ -1,8 +1,8 @@
 //! The troubles of a day: what each kind does to the world when it begins, at its steps and when it ends.
 
-use super::agenda::Due;
 use super::clients::Surge;
 use super::counter::{Counter, Mode};
+use super::event_queue::WorldEvent;
 use super::server::{Health, Listing};
 use super::{secs, Action, GatewayState, World};
 use crate::events::ServerId;
@@ -37,9 +37,10 @@
             TroubleKind::Scan => self.scan.push((from, to, it.share)),
             _ => (),
         }
-        self.agenda.at(from, Due::Trouble { place, step: 0 });
+        self.event_queue
+            .at(from, WorldEvent::Trouble { place, step: 0 });
         if it.lasts > 0.0 {
-            self.agenda.at(to, Due::TroubleEnds(place));
+            self.event_queue.at(to, WorldEvent::TroubleEnds(place));
         }
     }
 
@@ -151,7 +152,7 @@
                 let health = if silent { Health::Silent } else { Health::Down };
                 for server in self.some_servers(it.share) {
                     self.fell_down(server, health, actions);
-                    self.agenda.at(until, Due::Returns(server));
+                    self.event_queue.at(until, WorldEvent::Returns(server));
                 }
             }
             TroubleKind::ZoneLost => {
@@ -162,7 +163,7 @@
                         && at.health == Health::Up
                     {
                         self.fell_down(server, Health::Silent, actions);
-                        self.agenda.at(until, Due::Returns(server));
+                        self.event_queue.at(until, WorldEvent::Returns(server));
                     }
                 }
             }
@@ -196,7 +197,7 @@
             TroubleKind::GatewaysKill => {
                 for gateway in self.some_gateways(it.share) {
                     self.kill(now, gateway, actions);
-                    self.agenda.at(until, Due::Start(gateway));
+                    self.event_queue.at(until, WorldEvent::Start(gateway));
                 }
             }
             TroubleKind::GatewaysRestart => self.restart(now, place, step, &it, actions),
@@ -214,9 +215,9 @@
     fn steps(&mut self, now: Duration, place: usize, lasts: f64, count: usize) {
         let each = secs(lasts / count.max(1) as f64);
         for later in 1..count {
-            self.agenda.at(
+            self.event_queue.at(
                 now + each * later as u32,
-                Due::Trouble { place, step: later },
+                WorldEvent::Trouble { place, step: later },
             );
         }
     }
@@ -254,7 +255,7 @@
         self.at_server(fresh).start(now);
         actions.push(Action::AddServer(fresh));
         self.change(now, fresh, Listing::Active);
-        self.agenda.at(now + LEAVING, Due::Retires(old));
+        self.event_queue.at(now + LEAVING, WorldEvent::Retires(old));
     }
 
     /// Gateways are told to stop one after another, and killed when all that they had must be answered.
@@ -281,8 +282,9 @@
         self.gateways[gateway].since = now;
         actions.push(Action::StopGateway(gateway));
         let gone = now + secs(self.terms.longest_wait().min(LONGEST_COUNTED) + 0.7);
-        self.agenda.at(gone, Due::Kill(gateway));
-        self.agenda.at(gone + AGAIN, Due::Start(gateway));
+        self.event_queue.at(gone, WorldEvent::Kill(gateway));
+        self.event_queue
+            .at(gone + AGAIN, WorldEvent::Start(gateway));
     }
 
     pub(super) fn trouble_ends(&mut self, now: Duration, place: usize, actions: &mut Vec<Action>) {
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -2,23 +2,23 @@
 //! gateways, and the troubles of a day. No I/O and no clock: an engine tells it what has come and what time it
 //! is, asks it what is due, and carries out the [`Action`]s it leaves. Both engines play this one world.
 
-pub mod agenda;
 pub mod clients;
 pub mod counter;
+pub mod event_queue;
+mod faults;
 pub mod server;
 pub mod token_bucket;
-mod troubles;
 
 use crate::events::{
     AttemptEnd, AttemptId, ClientOutcome, ClientRequestId, CounterCallId, OperationId, ServerId,
 };
 use crate::experiment::{Experiment, Group};
-use crate::measure::{Measure, Results};
+use crate::metrics::{MetricsRecorder, Results};
 use crate::record::Recorded;
-use crate::referee::Referee;
-use agenda::{Agenda, Due};
+use crate::rule_checker::RuleChecker;
 use clients::Clients;
 use counter::{Call, Counter, CounterResponse, Turn};
+use event_queue::{EventQueue, WorldEvent};
 use nanorand::{Rng, WyRand};
 use server::{Build, Health, Listing, LoadReport, Server, Taken, Task};
 use std::collections::BTreeMap;
@@ -143,9 +143,9 @@
     pub asks: Vec<Ask>,
     pub tries: Vec<Try>,
     pub changes: Vec<Change>,
-    pub referee: Referee,
-    pub measure: Measure,
-    agenda: Agenda,
+    pub rule_checker: RuleChecker,
+    pub metrics: MetricsRecorder,
+    event_queue: EventQueue,
     counters: Vec<Counter>,
     counts: BTreeMap<CounterCallId, Call>,
     next_count: u32,
@@ -197,9 +197,9 @@
             asks: Vec::new(),
             tries: Vec::new(),
             changes: Vec::new(),
-            referee: Referee::new(terms, slack),
-            measure: Measure::new(secs(terms.warm_up), length),
-            agenda: Agenda::default(),
+            rule_checker: RuleChecker::new(terms, slack),
+            metrics: MetricsRecorder::new(secs(terms.warm_up), length),
+            event_queue: EventQueue::default(),
             counters: Vec::new(),
             counts: BTreeMap::new(),
             next_count: 0,
@@ -253,7 +253,7 @@
         }
         for account in 0..world.clients.accounts.len() {
             world
-                .referee
+                .rule_checker
                 .account(account as u32, world.clients.accounts[account].plan);
         }
         world
@@ -278,7 +278,7 @@
             .push(Server::new(uid, zone, cell, it.name.clone(), build));
         self.last_busy.push(0.0);
         let server = ServerId(place as u32);
-        self.referee.server(server, cell, zone);
+        self.rule_checker.server(server, cell, zone);
         let started = self.servers[place].started;
         self.changes.push(Change {
             server,
@@ -300,13 +300,14 @@
             self.next_arrival(Duration::ZERO);
         } else {
             for (place, recorded) in self.replay.iter().enumerate() {
-                self.agenda.at(recorded.at, Due::Replayed(place));
+                self.event_queue
+                    .at(recorded.at, WorldEvent::Replayed(place));
             }
         }
     }
 
     pub fn next_due(&self) -> Option<Duration> {
-        self.agenda.next()
+        self.event_queue.next()
     }
 
     /// When all is over, the last answers included.
@@ -316,16 +317,16 @@
 
     /// What the day has brought, as both engines report it.
     pub fn results(&mut self, engine: &str, title: &str, variant: &str, seed: u64) -> Results {
-        let mut results = self.measure.results();
+        let mut results = self.metrics.results();
         (results.experiment, results.variant) = (title.into(), variant.into());
         (results.engine, results.seed) = (engine.into(), seed);
         let fleet = &self.terms.fleet;
         (results.gateways, results.servers) = (fleet.gateways, fleet.servers);
-        results.broken = std::mem::take(&mut self.referee.broken);
-        results.broken_count = self.referee.count;
+        results.broken = std::mem::take(&mut self.rule_checker.broken);
+        results.broken_count = self.rule_checker.count;
         let named = |at: &u32| self.servers[*at as usize].uid.clone();
         results.server_load = self
-            .measure
+            .metrics
             .busy
             .iter()
             .map(|(at, load)| (named(at), load.clone()))
@@ -371,24 +372,24 @@
 
     /// Does what is due by now.
     pub fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        while let Some((when, due)) = self.agenda.pop(now) {
+        while let Some((when, due)) = self.event_queue.pop(now) {
             self.count_busy(when);
             match due {
-                Due::Arrival => self.arrival(when, actions),
-                Due::Replayed(place) => self.replayed(when, place, actions),
-                Due::Again(origin) => self.ask(when, origin, actions),
-                Due::Leaves(ask) => self.leaves(when, ask, actions),
-                Due::TimeUp(ask) => self.time_up(when, ask),
-                Due::Served(server, of) => self.served(when, server, of),
-                Due::Said(of) => self.said(when, of, actions),
-                Due::Counted(count) => self.counted(when, count, actions),
-                Due::Told { gateway, change } => self.tell(when, gateway, change, actions),
-                Due::Trouble { place, step } => self.trouble(when, place, step, actions),
-                Due::TroubleEnds(place) => self.trouble_ends(when, place, actions),
-                Due::Returns(server) => self.returns(when, server, actions),
-                Due::Retires(server) => self.retires(when, server, actions),
-                Due::Kill(gateway) => self.kill(when, gateway, actions),
-                Due::Start(gateway) => self.start(when, gateway, actions),
+                WorldEvent::Arrival => self.arrival(when, actions),
+                WorldEvent::Replayed(place) => self.replayed(when, place, actions),
+                WorldEvent::Again(origin) => self.ask(when, origin, actions),
+                WorldEvent::Leaves(ask) => self.leaves(when, ask, actions),
+                WorldEvent::TimeUp(ask) => self.time_up(when, ask),
+                WorldEvent::Served(server, of) => self.served(when, server, of),
+                WorldEvent::Said(of) => self.said(when, of, actions),
+                WorldEvent::Counted(count) => self.counted(when, count, actions),
+                WorldEvent::Told { gateway, change } => self.tell(when, gateway, change, actions),
+                WorldEvent::Trouble { place, step } => self.trouble(when, place, step, actions),
+                WorldEvent::TroubleEnds(place) => self.trouble_ends(when, place, actions),
+                WorldEvent::Returns(server) => self.returns(when, server, actions),
+                WorldEvent::Retires(server) => self.retires(when, server, actions),
+                WorldEvent::Kill(gateway) => self.kill(when, gateway, actions),
+                WorldEvent::Start(gateway) => self.start(when, gateway, actions),
             }
         }
         self.count_busy(now);
@@ -400,7 +401,7 @@
             let counted = self.next_busy <= self.length.as_secs();
             for (place, server) in self.servers.iter().enumerate().filter(|_| counted) {
                 let spent = server.busy - self.last_busy[place];
-                let load = self.measure.busy.entry(place as u32).or_default();
+                let load = self.metrics.busy.entry(place as u32).or_default();
                 load.resize(self.next_busy as usize - 1, 0.0);
                 load.push((spent / server.build.cores as f64) as f32);
                 self.last_busy[place] = server.busy;
@@ -413,7 +414,7 @@
                 .fold(0.0, f64::max);
             self.tokens.retain(|_, begun| *begun + secs(memory) >= now);
             let long = Duration::from_secs(30);
-            self.referee
+            self.rule_checker
                 .forget(Duration::from_secs(self.next_busy).saturating_sub(long));
             self.next_busy += 1;
         }
@@ -423,7 +424,7 @@
 
     fn next_arrival(&mut self, now: Duration) {
         if let Some(next) = self.clients.next(now).filter(|next| *next < self.length) {
-            self.agenda.at(next, Due::Arrival);
+            self.event_queue.at(next, WorldEvent::Arrival);
         }
     }
 
@@ -438,7 +439,7 @@
                 account = self
                     .clients
                     .stranger(&self.terms, self.clients.accounts[account].plan);
-                self.referee
+                self.rule_checker
                     .account(account as u32, self.clients.accounts[account].plan);
             }
             let origin = self.clients.want(now, account, &self.terms);
@@ -460,7 +461,7 @@
             None => {
                 let account = self.clients.stranger(&self.terms, plan);
                 self.clients.accounts[account].name = recorded.account;
-                self.referee.account(account as u32, plan);
+                self.rule_checker.account(account as u32, plan);
                 self.replay_accounts.insert(recorded.account, account);
                 account
             }
@@ -481,7 +482,7 @@
     /// Something new is wanted: what is inside the quota counts as asked for.
     fn wanted(&mut self, now: Duration, origin: usize, actions: &mut Vec<Action>) {
         if self.clients.origins[origin].inside {
-            self.measure.at(now).value_asked += self.value(origin);
+            self.metrics.at(now).value_asked += self.value(origin);
         }
         self.ask(now, OperationId(origin as u32), actions);
     }
@@ -495,7 +496,7 @@
             }
             (origin.account as usize, origin.route)
         };
-        self.measure.at(now).asked += 1;
+        self.metrics.at(now).asked += 1;
         let notices = secs(self.terms.load.front_notices);
         let order = self.clients.order(account, now);
         let led = order.into_iter().find(|gateway| {
@@ -510,7 +511,7 @@
         });
         let there = led.filter(|gateway| self.gateways[*gateway].state != GatewayState::Down);
         let Some(gateway) = there else {
-            self.measure.at(now).unreached += 1;
+            self.metrics.at(now).unreached += 1;
             return self.again(now, id, None);
         };
         let timeout = secs(self.terms.routes[route].client_timeout);
@@ -526,10 +527,11 @@
         let patience = self.terms.load.patience * self.clients.pressure.patience;
         let patience = patience + (1.0 - patience) * self.chance.generate::<f64>();
         if patience < 1.0 {
-            self.agenda
-                .at(now + timeout.mul_f64(patience), Due::Leaves(ask));
+            self.event_queue
+                .at(now + timeout.mul_f64(patience), WorldEvent::Leaves(ask));
         }
-        self.agenda.at(until + self.slack, Due::TimeUp(ask));
+        self.event_queue
+            .at(until + self.slack, WorldEvent::TimeUp(ask));
         actions.push(Action::SendRequest(ask));
     }
 
@@ -538,7 +540,7 @@
         let it = &self.asks[ask.0 as usize];
         let origin = &self.clients.origins[it.origin.0 as usize];
         let times = (now, it.until);
-        self.referee.asked(
+        self.rule_checker.asked(
             ask,
             it.gateway,
             origin.route,
@@ -556,14 +558,14 @@
 
     /// No gateway has taken it: its process has gone, perhaps in the moment in which it was written.
     pub fn not_taken(&mut self, now: Duration, ask: ClientRequestId) {
-        self.referee.not_taken(ask);
+        self.rule_checker.not_taken(ask);
         let it = &mut self.asks[ask.0 as usize];
         if it.over {
             return;
         }
         it.over = true;
         let origin = it.origin;
-        self.measure.at(now).unreached += 1;
+        self.metrics.at(now).unreached += 1;
         self.again(now, origin, None);
     }
 
@@ -579,7 +581,7 @@
         let heeds = heeds && self.chance.generate::<f64>() >= self.clients.pressure.heedless;
         let own = secs(load.retry_wait).mul_f64(0.5 + self.chance.generate::<f64>());
         let wait = advice.filter(|_| heeds).unwrap_or(own);
-        self.agenda.at(now + wait, Due::Again(id));
+        self.event_queue.at(now + wait, WorldEvent::Again(id));
     }
 
     fn leaves(&mut self, now: Duration, ask: ClientRequestId, actions: &mut Vec<Action>) {
@@ -589,19 +591,19 @@
         }
         it.over = true;
         let origin = it.origin;
-        self.referee.left(now, ask);
-        self.measure.at(now).unanswered += 1;
+        self.rule_checker.left(now, ask);
+        self.metrics.at(now).unanswered += 1;
         actions.push(Action::CloseClient(ask));
         self.again(now, origin, None);
     }
 
     fn time_up(&mut self, now: Duration, ask: ClientRequestId) {
-        self.referee.time_up(now, ask);
+        self.rule_checker.time_up(now, ask);
         let it = &mut self.asks[ask.0 as usize];
         if !it.over {
             it.over = true;
             let origin = it.origin;
-            self.measure.at(now).unanswered += 1;
+            self.metrics.at(now).unanswered += 1;
             self.again(now, origin, None);
         }
     }
@@ -614,7 +616,7 @@
         verdict: ClientOutcome,
         advice: Option<Duration>,
     ) {
-        self.referee.answered(now, ask, verdict);
+        self.rule_checker.answered(now, ask, verdict);
         let it = &mut self.asks[ask.0 as usize];
         if it.over {
             return;
@@ -625,7 +627,7 @@
         let (account, units) = (origin.account as usize, origin.units);
         match verdict {
             ClientOutcome::Served { .. } => {
-                self.measure.proxied(now, took);
+                self.metrics.proxied(now, took);
                 let route = &self.terms.routes[origin.route];
                 let worth = if took <= secs(route.latency_target) {
                     1.0
@@ -635,25 +637,25 @@
                 let (born, first) = (it.born, !origin.earned && origin.within);
                 if first {
                     let value = self.value(id.0 as usize);
-                    self.measure.at(born).value_in_time += value * worth;
+                    self.metrics.at(born).value_in_time += value * worth;
                 }
                 let origin = &mut self.clients.origins[id.0 as usize];
                 (origin.earned, origin.done) = (true, true);
             }
             ClientOutcome::Rejected => {
-                self.measure.limited(now, took);
+                self.metrics.limited(now, took);
                 let cap = self.terms.plans[self.clients.accounts[account].plan].cap;
                 let it = &mut self.clients.accounts[account];
                 let room = it.sent.holds(now, units) && (cap <= 0.0 || it.out < cap);
                 let half = it.sent.holds(now, units.max(it.sent.depth / 2.0))
                     && (cap <= 0.0 || it.out < cap / 2.0);
-                let second = self.measure.at(now);
+                let second = self.metrics.at(now);
                 second.limited_with_room += u64::from(room);
                 second.limited_half_unused += u64::from(half);
                 self.again(now, id, advice);
             }
             ClientOutcome::Failed | ClientOutcome::Disconnected => {
-                self.measure.errored(now, took);
+                self.metrics.errored(now, took);
                 self.again(now, id, None);
             }
         }
@@ -678,7 +680,7 @@
     }
 
     pub fn connected(&mut self, now: Duration, server: ServerId) {
-        self.measure.at(now).connections += 1;
+        self.metrics.at(now).connections += 1;
         self.servers[server.0 as usize].connections += 1;
     }
 
@@ -706,8 +708,8 @@
             ended: false,
             says: None,
         });
-        self.measure.at(now).tries += 1;
-        self.referee.came(now, id, ask, gateway, server);
+        self.metrics.at(now).tries += 1;
+        self.rule_checker.came(now, id, ask, gateway, server);
         let it = &mut self.asks[ask.0 as usize];
         let (first, born) = (!std::mem::replace(&mut it.sent_on, true), it.born);
         let origin = &self.clients.origins[it.origin.0 as usize];
@@ -721,7 +723,7 @@
         self.clients.accounts[account].out += 1.0;
         if first {
             let origin = it.origin;
-            self.measure.first_try(now, now.saturating_sub(born));
+            self.metrics.first_try(now, now.saturating_sub(born));
             let within = self.sent_on(now, account, units, route);
             self.clients.origins[origin.0 as usize].within = within;
         }
@@ -771,13 +773,13 @@
         };
         let fallen = it.health;
         match it.take(now, task) {
-            Taken::Begun(done) => self.agenda.at(done, Due::Served(server, id)),
+            Taken::Begun(done) => self.event_queue.at(done, WorldEvent::Served(server, id)),
             Taken::Waits => (),
             Taken::TurnedAway => self.will_say(now, id, ServerResponse::Busy),
         }
         if fallen == Health::Up && self.servers[server.0 as usize].health == Health::Fallen {
             if self.servers[server.0 as usize].pushed_knowingly() {
-                self.referee.fell(now, server);
+                self.rule_checker.fell(now, server);
             }
             self.servers[server.0 as usize].crash(Health::Fallen);
             actions.push(Action::StopServer(server));
@@ -791,7 +793,7 @@
         let plan = &self.terms.plans[it.plan];
         let fits = it.sent.pay(now, units);
         let value = self.terms.routes[route].billed_value * plan.price * units;
-        let second = self.measure.at(now);
+        let second = self.metrics.at(now);
         second.units += units;
         if !fits {
             second.beyond += units;
@@ -816,7 +818,7 @@
 
     fn next_at(&mut self, now: Duration, server: ServerId, of: AttemptId) {
         if let Some((next, done)) = self.servers[server.0 as usize].over(now, of) {
-            self.agenda.at(done, Due::Served(server, next));
+            self.event_queue.at(done, WorldEvent::Served(server, next));
         }
     }
 
@@ -828,7 +830,7 @@
         let ask = it.ask;
         let account = self.clients.origins[self.asks[ask.0 as usize].origin.0 as usize].account;
         self.clients.accounts[account as usize].out -= 1.0;
-        self.referee.over(now, of, ask, end);
+        self.rule_checker.over(now, of, ask, end);
     }
 
     /// A server is done with a try's work.
@@ -877,7 +879,7 @@
         it.says = Some(says);
         let (gateway, server) = (it.gateway, it.server);
         let lag = self.lag(self.way(gateway, server));
-        self.agenda.at(now + lag, Due::Said(of));
+        self.event_queue.at(now + lag, WorldEvent::Said(of));
     }
 
     fn said(&mut self, now: Duration, of: AttemptId, actions: &mut Vec<Action>) {
@@ -918,7 +920,7 @@
     ) -> CounterCallId {
         self.next_count += 1;
         let id = CounterCallId(self.next_count);
-        self.measure.at(now).counter_calls += 1;
+        self.metrics.at(now).counter_calls += 1;
         let counter = self.gateways[gateway].counter;
         let call = Call {
             gateway,
@@ -931,8 +933,8 @@
         match self.counters[counter].take(now, &call, &terms) {
             Turn::At(when) => {
                 self.counts.insert(id, call);
-                self.agenda
-                    .at(when + self.lag(self.near()), Due::Counted(id));
+                self.event_queue
+                    .at(when + self.lag(self.near()), WorldEvent::Counted(id));
             }
             Turn::Now(says) => actions.push(Action::SendCounterResponse(id, says)),
             Turn::Never => (),
@@ -979,15 +981,16 @@
             let late = self.terms.discovery.late * self.chance.generate::<f64>() + more;
             let when = (now + secs(late)).max(self.gateways[gateway].told);
             self.gateways[gateway].told = when;
-            self.agenda.at(when, Due::Told { gateway, change });
+            self.event_queue
+                .at(when, WorldEvent::Told { gateway, change });
         }
     }
 
     fn tell(&mut self, now: Duration, gateway: usize, change: usize, actions: &mut Vec<Action>) {
         if now < self.silent_list {
             return self
-                .agenda
-                .at(self.silent_list, Due::Told { gateway, change });
+                .event_queue
+                .at(self.silent_list, WorldEvent::Told { gateway, change });
         }
         let it = &mut self.gateways[gateway];
         if it.upto > change {
@@ -1022,7 +1025,7 @@
     /// Changes were written to a gateway.
     pub fn told(&mut self, now: Duration, gateway: usize, changes: &[Change]) {
         for change in changes {
-            self.referee.told(
+            self.rule_checker.told(
                 now,
                 gateway,
                 change.server,
@@ -1072,8 +1075,8 @@
         let stopping = it.state == GatewayState::Stopping;
         (it.state, it.since, it.killed) = (GatewayState::Down, now, true);
         match stopping {
-            true => self.referee.stopped(now, gateway),
-            false => self.referee.killed(gateway),
+            true => self.rule_checker.stopped(now, gateway),
+            false => self.rule_checker.killed(gateway),
         }
         actions.push(Action::KillGateway(gateway));
     }
@@ -1081,13 +1084,13 @@
     fn start(&mut self, now: Duration, gateway: usize, actions: &mut Vec<Action>) {
         let it = &mut self.gateways[gateway];
         (it.state, it.since) = (GatewayState::Starting, now);
-        self.referee.started(gateway);
+        self.rule_checker.started(gateway);
         actions.push(Action::StartGateway(gateway));
     }
 
     /// A datagram from one gateway to another: after how long it arrives, if it does.
     pub fn datagram(&mut self, now: Duration, from: usize, to: usize) -> Option<Duration> {
-        self.measure.at(now).datagrams += 1;
+        self.metrics.at(now).datagrams += 1;
         let net = &self.terms.network;
         let (lost, deaf) = (net.lost, if now < self.deaf.0 { self.deaf.1 } else { 0.0 });
         let late = ms(net.peer_late_ms * self.chance.generate::<f64>()) + self.near();
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -22,7 +22,7 @@
 
 use wellcrank_lab::events::Rule;
 use wellcrank_lab::experiment::{Experiment, Trouble, Variant};
-use wellcrank_lab::measure::Results;
+use wellcrank_lab::metrics::Results;
 use wellcrank_lab::simulated::{self, Fault};
 
 #[derive(Default)]
--- a/tool/src/lab.rs
+++ b/tool/src/lab.rs
@@ -12,9 +12,9 @@
 use wellcrank_lab::clock::Clock;
 use wellcrank_lab::experiment::{Engine, Experiment, Variant};
 use wellcrank_lab::loopback::Program;
-use wellcrank_lab::measure::{Results, Second};
+use wellcrank_lab::metrics::{Results, Second};
 use wellcrank_lab::runs::{self, Ways};
-use wellcrank_lab::{agree, bears, loopback, report, stats};
+use wellcrank_lab::{capacity, loopback, report, stats, validate};
 
 #[derive(Subcommand)]
 pub enum Lab {
@@ -549,7 +549,7 @@
         };
         let bar = bar(experiment.sides().len() * (it.model_seeds + it.seeds));
         let told = |_: &Result<Results, String>| bar.inc(1);
-        all.extend(agree::trials(
+        all.extend(validate::trials(
             &experiment,
             &ways,
             (it.model_seeds, it.seeds),
@@ -606,12 +606,12 @@
         "calls/s", "proxied", "p50 ms", "p99 ms", "cpu/call", "lab late", "borne"
     );
     let rest = runs::one(
-        &bears::day(0.0, it.seconds, !it.no_counter),
+        &capacity::day(0.0, it.seconds, !it.no_counter),
         &Variant::default(),
         1,
         &ways,
     )?;
-    let mut told = |step: &bears::Step| {
+    let mut told = |step: &capacity::Step| {
         let all = &step.results;
         let each = all.gateway_cpu
             / (all
@@ -631,7 +631,7 @@
             if step.borne { "yes" } else { "no" }
         );
     };
-    let borne = bears::search(&ways, it.p99_ms, !it.no_counter, it.seconds, &mut told)?;
+    let borne = capacity::search(&ways, it.p99_ms, !it.no_counter, it.seconds, &mut told)?;
     println!(
         "borne at p99 under {} ms: {borne:.0} API calls a second",
         it.p99_ms
--- a/tool/tests/soak.rs
+++ b/tool/tests/soak.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use wellcrank_lab::experiment::{Experiment, Variant};
 use wellcrank_lab::loopback::{self, Program};
-use wellcrank_lab::measure::Results;
+use wellcrank_lab::metrics::Results;
 
 /// Seeds of a run in CI, and how many days are played at a time.
 const SHORT: Range<u64> = 1..21;
