--- a/lab/src/loopback/clients.rs
+++ b/lab/src/loopback/clients.rs
@@ -107,20 +107,17 @@
     /// A client asks: on a connection that is free, a new one, or behind others. `first`: not sent again after a
     /// connection was closed under it.
     pub(super) fn ask(&mut self, ask: ClientRequestId, first: bool) -> Result<(), String> {
-        let it = &self.world.asks[ask.0 as usize];
-        let (gateway, origin) = (
-            it.gateway,
-            &self.world.clients.origins[it.origin.0 as usize],
-        );
-        let account = &self.world.clients.accounts[origin.account as usize];
+        let it = self.world.request(ask);
+        let (gateway, origin) = (it.gateway, self.world.operation(it.operation));
+        let account = self.world.account(origin.account);
         let (route, plan) = (
-            &self.world.terms.routes[origin.route],
-            &self.world.terms.plans[account.plan],
+            &self.world.experiment.routes[origin.route],
+            &self.world.experiment.plans[account.plan],
         );
         if first && origin.retries == 0 {
             if let Some(recorder) = &mut self.recorder {
                 let (plan, route) = (plan.name.clone(), route.name.clone());
-                let (at, account, units) = (it.born, account.name, origin.units);
+                let (at, account, units) = (it.scheduled_at, account.name, origin.units);
                 let noted = recorder.note(&Recorded {
                     at,
                     account,
@@ -131,7 +128,7 @@
                 noted.map_err(|error| format!("the recording: {error}"))?;
             }
         }
-        let wait = it.until.saturating_sub(self.now).as_millis().max(1);
+        let wait = it.deadline.saturating_sub(self.now).as_millis().max(1);
         let mut list = format!("c={},t={},d={wait}", route.name, plan.name);
         if route.repeat == Repeat::Tokened {
             list.push_str(&format!(",k={:016x}", origin.key));
@@ -168,7 +165,7 @@
         };
         let key = match free {
             Some(key) => Some(key),
-            None if !self.world.connects(self.now, gateway) => None,
+            None if !self.world.accepts_connections(self.now, gateway) => None,
             None if self.gateways[gateway].clients < CONNECTIONS => {
                 self.connect(gateway, Who::Front)
             }
@@ -183,7 +180,7 @@
             }
         };
         let Some(Place::Client(client)) = key.and_then(|key| self.places.get_mut(key)) else {
-            self.world.not_taken(self.now, ask);
+            self.world.on_request_not_accepted(self.now, ask);
             return Ok(());
         };
         client.wire.frame(&frame);
@@ -211,7 +208,7 @@
             .filter(|sent| !sent.taken && sent.end <= written)
         {
             sent.taken = true;
-            self.world.taken(self.now, sent.ask);
+            self.world.on_request_accepted(self.now, sent.ask);
         }
     }
 
@@ -273,7 +270,7 @@
             Who::Ping => {
                 if matches!(&frame, OwnedFrame::SimpleString(said) if said == b"PONG") {
                     self.gateways[gateway].ping = None;
-                    self.world.ready(now, gateway);
+                    self.world.on_gateway_ready(now, gateway);
                 }
                 self.close(key)?;
                 return Ok(false);
@@ -325,7 +322,7 @@
             self.gateways[gateway].idle.push(key);
         }
         self.asking.remove(&sent.ask);
-        self.world.answered(now, sent.ask, verdict, advice);
+        self.world.on_final_answer(now, sent.ask, verdict, advice);
         Ok(true)
     }
 
@@ -351,13 +348,13 @@
             self.asking.remove(&sent.ask);
             if !sent.taken || self.world.was_killed(gateway) {
                 // The gateway took no such connection, or its process was killed.
-                self.world.not_taken(now, sent.ask);
-            } else if used && !partly && !self.world.asks[sent.ask.0 as usize].over {
+                self.world.on_request_not_accepted(now, sent.ask);
+            } else if used && !partly && !self.world.request(sent.ask).closed {
                 // The gateway closed it between two calls, as it may; this one crossed that.
                 self.ask(sent.ask, false)?;
             } else {
                 self.world
-                    .answered(now, sent.ask, ClientOutcome::Disconnected, None);
+                    .on_final_answer(now, sent.ask, ClientOutcome::Disconnected, None);
             }
         }
         Ok(())
--- a/lab/src/loopback/counter.rs
+++ b/lab/src/loopback/counter.rs
@@ -72,9 +72,14 @@
                     self.line_says(key, None, b"pong\r\n".to_vec());
                 }
                 Asked::Add { name, add, keep } => {
-                    let id = self
-                        .world
-                        .count(self.now, gateway, name, add, keep, &mut actions);
+                    let id = self.world.on_counter_call(
+                        self.now,
+                        gateway,
+                        name,
+                        add,
+                        keep,
+                        &mut actions,
+                    );
                     self.line_asked(key, Some(id));
                     self.counting.insert(id, key);
                 }
--- a/lab/src/loopback/discovery.rs
+++ b/lab/src/loopback/discovery.rs
@@ -84,7 +84,7 @@
                 }
                 Ok(Some((wanted, length))) => {
                     watcher.wire.input.drain(..length);
-                    let upto = self.world.upto(gateway);
+                    let upto = self.world.notified_change_count(gateway);
                     match wanted {
                         Wanted::After(after, wait) if after == upto => {
                             watcher.waiting = Some((after, self.now + wait));
@@ -108,10 +108,10 @@
         };
         watcher.waiting = None;
         let gateway = watcher.gateway;
-        let upto = self.world.upto(gateway);
+        let upto = self.world.notified_change_count(gateway);
         let changes = match after {
-            Some(after) => self.world.changes[after..upto].to_vec(),
-            None => self.world.list(upto),
+            Some(after) => self.world.endpoint_changes(after..upto),
+            None => self.world.endpoint_list_after(upto),
         };
         let body = node_settings::list(upto as u64, after.is_none(), self.lines(gateway, &changes))
             .to_string();
@@ -121,7 +121,7 @@
             watcher.wire.put(body.as_bytes());
             self.written.push(key);
         }
-        self.world.told(self.now, gateway, &changes);
+        self.world.on_gateway_notified(self.now, gateway, &changes);
     }
 
     fn watches(&self, which: impl Fn(&Watcher, usize, Duration) -> bool) -> Vec<(usize, usize)> {
@@ -137,7 +137,7 @@
 
     /// Something is to be told to a gateway: its watch ends.
     pub(super) fn tell(&mut self, gateway: usize) {
-        let upto = self.world.upto(gateway);
+        let upto = self.world.notified_change_count(gateway);
         for (key, after) in self.watches(|it, after, _| it.gateway == gateway && after < upto) {
             self.list_to(key, Some(after));
         }
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -240,7 +240,7 @@
             .registry
             .register(&mut signals, token, Interest::READABLE);
         registered.map_err(|error| error.to_string())?;
-        self.world.begin();
+        self.world.begin_run();
         for gateway in 0..gateways {
             let (listen, peer_listen) = (process::free_address()?, process::free_address()?);
             self.gateways.push(Gateway {
@@ -257,12 +257,13 @@
                 stopping: false,
                 ping: None,
             });
-            for server in 0..self.world.servers.len() as u32 {
-                self.open_door(gateway, ServerId(server))?;
+            let servers: Vec<ServerId> = self.world.servers().map(|(id, _)| id).collect();
+            for server in servers {
+                self.open_door(gateway, server)?;
             }
             self.open_platform(gateway)?;
         }
-        if self.world.terms.network.peers {
+        if self.world.experiment.network.peers {
             self.open_peers()?;
         }
         for gateway in 0..gateways {
@@ -310,21 +311,21 @@
 
     /// Writes a gateway's file; the list in it is the one that it was told last.
     fn write_file(&mut self, gateway: usize) -> Result<PathBuf, String> {
-        let settings = node_settings::settings(&self.world.terms, gateway, &self.told)?;
-        let upto = self.world.upto(gateway);
-        let lines = self.lines(gateway, &self.world.list(upto));
+        let settings = node_settings::settings(&self.world.experiment, gateway, &self.told)?;
+        let upto = self.world.notified_change_count(gateway);
+        let lines = self.lines(gateway, &self.world.endpoint_list_after(upto));
         let it = &self.gateways[gateway];
-        let fleet = &self.world.terms.fleet;
+        let fleet = &self.world.experiment.fleet;
         let mut file = serde_json::json!({
             "name": format!("g{gateway}"), "listen": it.listen,
             "discovery": self.address(it.discovery), "seed": format!("{:016x}", self.seeds.generate::<u64>()),
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
             "known": node_settings::list(upto as u64, true, lines), "settings": settings,
         });
-        if self.world.terms.counter.present {
+        if self.world.experiment.counter.present {
             file["counter"] = serde_json::json!(self.address(it.counter));
         }
-        if self.world.terms.network.peers {
+        if self.world.experiment.network.peers {
             let mut peers: Vec<SocketAddr> = it.peers.iter().map(|(_, at)| *at).collect();
             peers.insert(gateway, it.peer_listen);
             file["peer_listen"] = serde_json::json!(it.peer_listen);
@@ -349,8 +350,10 @@
         it.process.start(&self.program, &file, log.as_deref())?;
         (it.stopping, it.ping) = (false, Some(self.now));
         // What stands in the file is told to it.
-        let list = self.world.list(self.world.upto(gateway));
-        self.world.told(self.now, gateway, &list);
+        let list = self
+            .world
+            .endpoint_list_after(self.world.notified_change_count(gateway));
+        self.world.on_gateway_notified(self.now, gateway, &list);
         Ok(())
     }
 
@@ -363,7 +366,7 @@
                 let all = 0..self.gateways.len();
                 if all
                     .into_iter()
-                    .all(|gateway| self.world.state(gateway) == GatewayState::Ready)
+                    .all(|gateway| self.world.gateway_state(gateway) == GatewayState::Ready)
                 {
                     // The day's clock begins here.
                     self.clock = Clock::start();
@@ -377,22 +380,26 @@
                 }
             }
             if self.begun {
-                if self.now >= self.world.end() {
+                if self.now >= self.world.end_time() {
                     break;
                 }
                 let due = self.world.next_due().filter(|due| *due <= self.now);
                 if let Some(due) = due {
-                    self.world.metrics.late(self.now - due);
+                    self.world.metrics.record_lateness(self.now - due);
                     let mut actions = Vec::new();
                     for (gateway, it) in self.gateways.iter().enumerate() {
-                        self.world.set_resting(gateway, it.idle.len());
+                        self.world.set_idle_connections(gateway, it.idle.len());
                     }
                     self.world.advance(self.now, &mut actions);
                     self.carry(actions)?;
                 }
                 while self.now.as_secs() > second && second < self.world.length().as_secs() {
                     if let Some(watch) = watch.as_mut() {
-                        let brought = self.world.metrics.at(Duration::from_secs(second)).clone();
+                        let brought = self
+                            .world
+                            .metrics
+                            .second_at(Duration::from_secs(second))
+                            .clone();
                         watch(second, &brought);
                     }
                     second += 1;
@@ -427,7 +434,7 @@
         }
         // Gateways that a Ctrl-C from the terminal has reached as well may be gone already.
         self.gateways.iter_mut().for_each(|it| it.process.kill());
-        self.world.rule_checker.end(self.now);
+        self.world.rule_checker.finish(self.now);
         Ok(())
     }
 
@@ -435,7 +442,7 @@
     fn rebase(&mut self) {
         for gateway in 0..self.gateways.len() {
             self.gateways[gateway].ping = None;
-            self.world.ready(Duration::ZERO, gateway);
+            self.world.on_gateway_ready(Duration::ZERO, gateway);
         }
         self.rebase_watches();
     }
@@ -502,7 +509,7 @@
                 ));
             }
             it.ping = None;
-            self.world.ended_by_itself(self.now, gateway);
+            self.world.on_gateway_exit(self.now, gateway);
         }
     }
 
@@ -561,7 +568,7 @@
                     gateway, server, ..
                 }) => {
                     let (gateway, server) = (*gateway, *server);
-                    self.world.connected(self.now, server);
+                    self.world.on_connect(self.now, server);
                     Place::Upstream(servers::Upstream::new(wire, gateway, server, self.now))
                 }
                 Some(Place::CounterDoor { gateway, .. }) => {
@@ -694,7 +701,7 @@
     /// Discovery and counter of a gateway move: a new file, SIGHUP, and the old doors close later.
     /// The platform sends none to a process that is not ready, nor within its first second.
     fn move_platform(&mut self, gateway: usize) -> Result<(), String> {
-        if !self.world.ready_for(self.now, gateway, FIRST_SECOND) {
+        if !self.world.is_ready_for(self.now, gateway, FIRST_SECOND) {
             return Ok(());
         }
         let it = &self.gateways[gateway];
--- a/lab/src/loopback/peers.rs
+++ b/lab/src/loopback/peers.rs
@@ -60,7 +60,7 @@
             }
             let others = 0..self.gateways.len();
             for other in others.filter(|other| *other != from && to.is_none_or(|to| to == *other)) {
-                if let Some(late) = self.world.datagram(self.now, from, other) {
+                if let Some(late) = self.world.on_datagram(self.now, from, other) {
                     self.serial += 1;
                     let when = (self.now + late, self.serial);
                     self.flying
--- a/lab/src/loopback/servers.rs
+++ b/lab/src/loopback/servers.rs
@@ -4,8 +4,8 @@
 use super::{clients, Place, Stage};
 use crate::events::{AttemptId, ClientRequestId, ServerId};
 use crate::node_settings::{self, ListedServer};
-use crate::world::server::Listing;
-use crate::world::{Change, ServerResponse};
+use crate::world::server::ListingState;
+use crate::world::{EndpointChange, ServerResponse};
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
 use serde_json::Value;
@@ -100,19 +100,19 @@
     }
 
     /// Lines of the list as one gateway is told them.
-    pub(super) fn lines(&self, gateway: usize, changes: &[Change]) -> Vec<Value> {
-        let line = |change: &Change| {
-            let it = &self.world.servers[change.server.0 as usize];
+    pub(super) fn lines(&self, gateway: usize, changes: &[EndpointChange]) -> Vec<Value> {
+        let line = |change: &EndpointChange| {
+            let it = self.world.server(change.server);
             let door = self.gateways[gateway].doors.get(&change.server);
             let endpoint = door.map_or(String::new(), |(_, at)| at.to_string());
-            let state = match change.listing {
-                Listing::Active => "active",
-                Listing::Leaving => "leaving",
-                Listing::Left => "left",
+            let state = match change.state {
+                ListingState::Active => "active",
+                ListingState::Draining => "leaving",
+                ListingState::Removed => "left",
             };
             let zone = node_settings::zone_name(it.zone);
-            let started_ms = change.started.map_or(0, |at| self.clock.unix_ms(at));
-            let (uid, kind, cell) = (it.uid.as_str(), it.kind.as_str(), it.cell);
+            let started_ms = change.started_at.map_or(0, |at| self.clock.unix_ms(at));
+            let (uid, kind, cell) = (it.name.as_str(), it.machine_type.as_str(), it.cell);
             ListedServer {
                 uid,
                 endpoint: &endpoint,
@@ -198,8 +198,7 @@
                 return Ok(self.probed(key, server))
             }
             b"SVC.QUERY" | b"SVC.SUBMIT" => {
-                let Some(ask) = asked(words).filter(|ask| (ask.0 as usize) < self.world.asks.len())
-                else {
+                let Some(ask) = asked(words).filter(|ask| self.world.knows_request(*ask)) else {
                     return Ok(false);
                 };
                 let terms = words
@@ -214,15 +213,19 @@
                 };
                 self.world
                     .rule_checker
-                    .told_wait(self.now, ask, gateway, wait);
+                    .on_advertised_timeout(self.now, ask, gateway, wait);
                 let Some(Place::Upstream(it)) = self.places.get_mut(key) else {
                     return Ok(true);
                 };
                 let fresh = std::mem::replace(&mut it.fresh, false);
                 let mut actions = Vec::new();
-                let of = self
-                    .world
-                    .came(self.now, gateway, server, (ask, fresh), &mut actions);
+                let of = self.world.on_attempt_arrival(
+                    self.now,
+                    gateway,
+                    server,
+                    (ask, fresh),
+                    &mut actions,
+                );
                 if let Some(Place::Upstream(it)) = self.places.get_mut(key) {
                     it.turns.asked(of);
                 }
@@ -241,7 +244,7 @@
 
     /// A probe: answered with the server's load where the settings allow that.
     fn probed(&mut self, key: usize, server: ServerId) -> bool {
-        let said = match self.world.probed(self.now, server) {
+        let said = match self.world.on_load_probe(self.now, server) {
             Some(load) => encoded(&bulk(load.to_string())),
             None => b"-NOPERM\r\n".to_vec(),
         };
@@ -253,7 +256,7 @@
     }
 
     pub(super) fn reply(&mut self, of: AttemptId, says: ServerResponse) -> Result<(), String> {
-        let ask = self.world.tries[of.0 as usize].ask;
+        let ask = self.world.attempt(of).request;
         let Some(key) = self.trying.remove(&of) else {
             return Ok(());
         };
@@ -268,7 +271,7 @@
 
     /// Connections that have stood idle for the time that a server keeps them are closed by it.
     pub(super) fn close_idle(&mut self) -> Result<(), String> {
-        let keep = Duration::from_secs_f64(self.world.terms.fleet.idle_close);
+        let keep = Duration::from_secs_f64(self.world.experiment.fleet.idle_close);
         let old = |place: &Place| match place {
             Place::Upstream(it) => it.turns.open().next().is_none() && it.used + keep <= self.now,
             _ => false,
@@ -285,9 +288,9 @@
     pub(super) fn upstream_over(&mut self, it: Upstream) {
         for of in it.turns.open() {
             self.trying.remove(&of);
-            self.world.left(self.now, of);
+            self.world.on_attempt_abandoned(self.now, of);
         }
-        self.world.disconnected(it.server);
+        self.world.on_disconnect(it.server);
         it.wire.close(&self.registry);
     }
 }
--- a/lab/src/metrics.rs
+++ b/lab/src/metrics.rs
@@ -204,25 +204,25 @@
     }
 
     /// The second that something belongs to; what comes after the day's end goes with its last one.
-    pub fn at(&mut self, now: Duration) -> &mut Second {
+    pub fn second_at(&mut self, now: Duration) -> &mut Second {
         let place = (now.as_secs() as usize).min(self.seconds.len() - 1);
         &mut self.seconds[place]
     }
 
     pub fn proxied(&mut self, now: Duration, took: Duration) {
-        self.at(now).proxied += 1;
+        self.second_at(now).proxied += 1;
         if now >= self.warm_up {
             note(&mut self.proxied, took);
         }
     }
 
     pub fn limited(&mut self, now: Duration, took: Duration) {
-        self.at(now).limited += 1;
+        self.second_at(now).limited += 1;
         note(&mut self.limited, took);
     }
 
     pub fn errored(&mut self, now: Duration, took: Duration) {
-        self.at(now).errored += 1;
+        self.second_at(now).errored += 1;
         note(&mut self.errored, took);
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// The laboratory did something so much later than it should have.
-    pub fn late(&mut self, by: Duration) {
+    pub fn record_lateness(&mut self, by: Duration) {
         note(&mut self.late, by);
     }
 
--- a/lab/src/rule_checker.rs
+++ b/lab/src/rule_checker.rs
@@ -181,7 +181,7 @@
     }
 
     /// A try says how long the gateway waits: no longer than the client does.
-    pub fn told_wait(
+    pub fn on_advertised_timeout(
         &mut self,
         now: Duration,
         ask: ClientRequestId,
@@ -419,7 +419,7 @@
     }
 
     /// The day is over: what overlaps still is judged, and records that are done with are dropped.
-    pub fn end(&mut self, now: Duration) {
+    pub fn finish(&mut self, now: Duration) {
         for ((ask, _), by) in std::mem::take(&mut self.overlaps) {
             if now > by {
                 let gateway = self.asks.get(&ask).map(|seen| seen.gateway);
--- a/lab/src/simulated.rs
+++ b/lab/src/simulated.rs
@@ -12,8 +12,8 @@
 use crate::node_settings;
 use crate::record::Recorded;
 use crate::world::counter::CounterResponse;
-use crate::world::server::Listing;
-use crate::world::{Action, Change, ServerResponse, World};
+use crate::world::server::ListingState;
+use crate::world::{Action, EndpointChange, ServerResponse, World};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -216,12 +216,12 @@
     }
 
     fn play(&mut self) -> Result<(), String> {
-        self.world.begin();
+        self.world.begin_run();
         for gateway in 0..self.gateways.len() {
             self.start(gateway)?;
         }
         self.at(Duration::from_secs(1), Event::Sweep);
-        let end = self.world.end();
+        let end = self.world.end_time();
         loop {
             let next = self.events.peek().map(|Reverse((when, _))| *when);
             let due = self.world.next_due();
@@ -262,7 +262,7 @@
             }
         }
         self.now = end;
-        self.world.rule_checker.end(end);
+        self.world.rule_checker.finish(end);
         Ok(())
     }
 
@@ -272,7 +272,7 @@
 
     /// A gateway starts with the list as it was last told it.
     fn start(&mut self, gateway: usize) -> Result<(), String> {
-        let settings = node_settings::settings(&self.world.terms, gateway, &self.told)?;
+        let settings = node_settings::settings(&self.world.experiment, gateway, &self.told)?;
         let it = &mut self.gateways[gateway];
         *it = Gateway {
             life: it.life + 1,
@@ -281,8 +281,8 @@
         };
         let (life, seed) = (it.life, self.seeds.generate());
         self.deliver(gateway, GatewayEvent::Start { settings, seed })?;
-        let upto = self.world.upto(gateway);
-        let list = self.world.list(upto);
+        let upto = self.world.notified_change_count(gateway);
+        let list = self.world.endpoint_list_after(upto);
         self.gateways[gateway].told = upto;
         self.listed(gateway, true, &list)?;
         self.at(
@@ -292,30 +292,35 @@
         Ok(())
     }
 
-    fn listed(&mut self, gateway: usize, whole: bool, changes: &[Change]) -> Result<(), String> {
+    fn listed(
+        &mut self,
+        gateway: usize,
+        whole: bool,
+        changes: &[EndpointChange],
+    ) -> Result<(), String> {
         let mut lines = Vec::new();
         for change in changes {
-            let server = &self.world.servers[change.server.0 as usize];
-            self.servers.insert(server.uid.clone(), change.server);
-            let phase = match change.listing {
-                Listing::Active => EndpointState::Ready,
-                Listing::Leaving => EndpointState::Draining,
-                Listing::Left => EndpointState::Removed,
+            let server = self.world.server(change.server);
+            self.servers.insert(server.name.clone(), change.server);
+            let phase = match change.state {
+                ListingState::Active => EndpointState::Ready,
+                ListingState::Draining => EndpointState::Draining,
+                ListingState::Removed => EndpointState::Removed,
             };
             lines.push(Endpoint {
-                id: server.uid.as_str().into(),
+                id: server.name.as_str().into(),
                 state: phase,
-                started_at: change.started.map(|at| UnixTime(ORIGIN + at)),
+                started_at: change.started_at.map(|at| UnixTime(ORIGIN + at)),
                 cell: server.cell,
                 zone: node_settings::zone_name(server.zone),
-                machine_type: server.kind.clone(),
+                machine_type: server.machine_type.clone(),
                 weight: 1.0,
             });
             self.gateways[gateway]
                 .ready
-                .insert(change.server, change.listing == Listing::Active);
+                .insert(change.server, change.state == ListingState::Active);
         }
-        self.world.told(self.now, gateway, changes);
+        self.world.on_gateway_notified(self.now, gateway, changes);
         if self.fault == Some(Fault::HearsNoChanges) && !whole {
             for change in changes {
                 self.gateways[gateway].ready.insert(change.server, true);
@@ -336,24 +341,30 @@
         for act in actions {
             match act {
                 Action::SendRequest(ask) => {
-                    let gateway = self.world.asks[ask.0 as usize].gateway;
-                    self.at(now + self.world.near(), Event::Arrives(gateway, ask));
+                    let gateway = self.world.request(ask).gateway;
+                    self.at(
+                        now + self.world.in_zone_delay(),
+                        Event::Arrives(gateway, ask),
+                    );
                 }
                 Action::CloseClient(ask) => {
-                    let gateway = self.world.asks[ask.0 as usize].gateway;
-                    self.at(now + self.world.near(), Event::ClientLeft(gateway, ask));
+                    let gateway = self.world.request(ask).gateway;
+                    self.at(
+                        now + self.world.in_zone_delay(),
+                        Event::ClientLeft(gateway, ask),
+                    );
                 }
                 Action::SendResponse(of, says) => {
                     if let Some(key) = self.trying.remove(&of) {
                         let way = self
                             .world
-                            .way(key.0, self.world.tries[of.0 as usize].server);
+                            .one_way_delay(key.0, self.world.attempt(of).server);
                         self.at(now + way, Event::Replied { key, says });
                     }
                 }
                 Action::SendCounterResponse(count, says) => {
                     if let Some((at, life, number)) = self.counting.remove(&count) {
-                        let when = now + self.world.near();
+                        let when = now + self.world.in_zone_delay();
                         self.at(
                             when,
                             Event::CountAnswered {
@@ -391,7 +402,7 @@
                     for (at, life, number) in open {
                         let says = CounterResponse::Reset;
                         self.at(
-                            now + self.world.near(),
+                            now + self.world.in_zone_delay(),
                             Event::CountAnswered {
                                 at,
                                 life,
@@ -412,7 +423,7 @@
             let it = &mut self.gateways[at];
             let idle = it.idle.remove(&server).map_or(0, |idle| idle.len());
             it.connections -= idle.min(it.connections);
-            (0..idle).for_each(|_| self.world.disconnected(server));
+            (0..idle).for_each(|_| self.world.on_disconnect(server));
             let life = it.life;
             let out = it
                 .tries
@@ -424,9 +435,9 @@
             for key in keys {
                 if let Some(there) = self.gateways[at].tries[&(key.2, key.3)].there {
                     self.trying.remove(&there);
-                    self.world.left(self.now, there);
+                    self.world.on_attempt_abandoned(self.now, there);
                 }
-                let way = self.world.way(at, server);
+                let way = self.world.one_way_delay(at, server);
                 self.at(self.now + way, Event::Refused(key));
             }
         }
@@ -440,20 +451,20 @@
         let calls = std::mem::take(&mut it.calls);
         it.counts.clear();
         for out in tries.into_values() {
-            self.world.disconnected(out.server);
+            self.world.on_disconnect(out.server);
             if let Some(there) = out.there {
                 self.trying.remove(&there);
                 self.at(
-                    self.now + self.world.way(gateway, out.server),
+                    self.now + self.world.one_way_delay(gateway, out.server),
                     Event::TryLeft(there),
                 );
             }
         }
         for (server, idle) in idle {
-            idle.iter().for_each(|_| self.world.disconnected(server));
+            idle.iter().for_each(|_| self.world.on_disconnect(server));
         }
         for ask in calls.into_keys() {
-            self.world.not_taken(self.now, ask);
+            self.world.on_request_not_accepted(self.now, ask);
         }
         self.deliver(gateway, GatewayEvent::Killed)
     }
@@ -471,9 +482,9 @@
                 ask,
                 verdict,
                 advice,
-            } => self.world.answered(now, ask, verdict, advice),
+            } => self.world.on_final_answer(now, ask, verdict, advice),
             Event::TryArrives { key, server, fresh } => self.try_arrives(key, server, fresh)?,
-            Event::TryLeft(there) => self.world.left(now, there),
+            Event::TryLeft(there) => self.world.on_attempt_abandoned(now, there),
             Event::Replied { key, says } => self.replied(key, says)?,
             Event::Refused(key) => {
                 let there = self.out(key).and_then(|out| out.there);
@@ -500,7 +511,9 @@
                 if let Some(call) = it.counts.get(&number).filter(|_| it.life == life) {
                     let (name, add, keep) = (call.name.0, call.add, call.keep);
                     let mut actions = Vec::new();
-                    let id = self.world.count(now, at, name, add, keep, &mut actions);
+                    let id = self
+                        .world
+                        .on_counter_call(now, at, name, add, keep, &mut actions);
                     self.counting.insert(id, (at, life, number));
                     self.carry(actions)?;
                 }
@@ -541,13 +554,13 @@
             Event::Listed { at, life, upto } => {
                 if self.gateways[at].life == life && self.gateways[at].up {
                     let from = std::mem::replace(&mut self.gateways[at].told, upto);
-                    let changes = self.world.changes[from..upto].to_vec();
+                    let changes = self.world.endpoint_changes(from..upto);
                     self.listed(at, false, &changes)?;
                 }
             }
             Event::Ready(gateway, life) => {
                 if self.gateways[gateway].life == life {
-                    self.world.ready(now, gateway);
+                    self.world.on_gateway_ready(now, gateway);
                 }
             }
             Event::Sweep => self.sweep(),
@@ -557,7 +570,7 @@
 
     /// Connections that were idle for too long are closed, as the edge node does each second.
     fn sweep(&mut self) {
-        let fleet = &self.world.terms.fleet;
+        let fleet = &self.world.experiment.fleet;
         let keep = Duration::from_secs_f64((fleet.idle_close - fleet.connect_timeout).max(0.0));
         for it in &mut self.gateways {
             for (server, idle) in &mut it.idle {
@@ -567,7 +580,7 @@
                     .count();
                 idle.drain(..old);
                 it.connections -= old;
-                (0..old).for_each(|_| self.world.disconnected(*server));
+                (0..old).for_each(|_| self.world.on_disconnect(*server));
             }
         }
         self.at(self.now + Duration::from_secs(1), Event::Sweep);
@@ -576,15 +589,15 @@
     fn arrives(&mut self, gateway: usize, ask: ClientRequestId) -> Result<(), String> {
         let now = self.now;
         if !self.gateways[gateway].up {
-            self.world.not_taken(now, ask);
+            self.world.on_request_not_accepted(now, ask);
             return Ok(());
         }
-        self.world.taken(self.now, ask);
-        let it = &self.world.asks[ask.0 as usize];
-        let origin = &self.world.clients.origins[it.origin.0 as usize];
-        let account = &self.world.clients.accounts[origin.account as usize];
+        self.world.on_request_accepted(self.now, ask);
+        let it = self.world.request(ask);
+        let origin = self.world.operation(it.operation);
+        let account = self.world.account(origin.account);
         // The client tells a span, and the gateway counts it from when the call has come.
-        let until = now + it.until.saturating_sub(it.born);
+        let until = now + it.deadline.saturating_sub(it.scheduled_at);
         let units = if self.fault == Some(Fault::ForgetsUnits) {
             0.001
         } else {
@@ -593,8 +606,14 @@
         let arrival = Request {
             id: call_id(ask),
             customer: format!("{:016x}", account.name).as_str().into(),
-            plan: self.world.terms.plans[account.plan].name.as_str().into(),
-            route: self.world.terms.routes[origin.route].name.as_str().into(),
+            plan: self.world.experiment.plans[account.plan]
+                .name
+                .as_str()
+                .into(),
+            route: self.world.experiment.routes[origin.route]
+                .name
+                .as_str()
+                .into(),
             units,
             deadline: ORIGIN + until,
             first_gateway: account.first as u32,
@@ -645,9 +664,9 @@
                 it.next_count += 1;
                 let number = it.next_count;
                 it.counts.insert(number, CountOut { name, add, keep });
-                let limit = Duration::from_secs_f64(self.world.terms.counter.timeout_ms / 1e3);
+                let limit = Duration::from_secs_f64(self.world.experiment.counter.timeout_ms / 1e3);
                 self.at(
-                    now + self.world.near(),
+                    now + self.world.in_zone_delay(),
                     Event::CountArrives {
                         at: gateway,
                         life,
@@ -679,10 +698,10 @@
                     Some(peer) => all.filter(|other| *other == peer as usize).collect(),
                     None => all.filter(|other| *other != gateway).collect(),
                 };
-                let may = body.len() <= 256 && self.world.terms.network.peers;
+                let may = body.len() <= 256 && self.world.experiment.network.peers;
                 for to in to.into_iter().filter(|_| may) {
                     // The decisions hear of no other gateway yet: what is sent is counted, and ends here.
-                    let _ = self.world.datagram(now, gateway, to);
+                    let _ = self.world.on_datagram(now, gateway, to);
                 }
             }
         }
@@ -713,7 +732,7 @@
             return;
         }
         self.at(
-            self.now + self.world.near(),
+            self.now + self.world.in_zone_delay(),
             Event::Heard {
                 ask,
                 verdict,
@@ -739,16 +758,15 @@
         let now = self.now;
         let mut server = self.servers.get(&*server.0).copied();
         if self.fault == Some(Fault::LikesTheCold) {
-            let all = self.world.servers.iter().enumerate();
-            let all = all.filter(|(_, it)| it.listing == Listing::Active && it.started.is_some());
-            let youngest = all
-                .max_by_key(|(_, it)| it.started)
-                .map(|(at, _)| ServerId(at as u32));
+            let all = self.world.servers();
+            let all =
+                all.filter(|(_, it)| it.listing == ListingState::Active && it.started_at.is_some());
+            let youngest = all.max_by_key(|(_, it)| it.started_at).map(|(id, _)| id);
             server = youngest.or(server);
         }
         let (most, sockets) = (
-            self.world.terms.fleet.max_tries,
-            self.world.terms.fleet.sockets,
+            self.world.experiment.fleet.max_tries,
+            self.world.experiment.fleet.sockets,
         );
         let it = &mut self.gateways[gateway];
         let Some(open) = it.calls.get_mut(&ask) else {
@@ -796,10 +814,10 @@
         if let Some(how) = how {
             return self.ended(key, how, None, BTreeMap::new(), false);
         }
-        let way = self.world.way(gateway, server);
+        let way = self.world.one_way_delay(gateway, server);
         if !warm {
             self.gateways[gateway].connections += 1;
-            self.world.connected(now, server);
+            self.world.on_connect(now, server);
         }
         // A new connection takes a round trip before the command can go out.
         let arrives = now + if warm { way } else { way * 3 };
@@ -828,7 +846,7 @@
         };
         it.idle.get_mut(&server).map(|idle| idle.remove(0));
         it.connections -= 1;
-        self.world.disconnected(server);
+        self.world.on_disconnect(server);
         true
     }
 
@@ -836,15 +854,15 @@
         if self.out(key).is_none() {
             return Ok(());
         }
-        if self.world.refuses(server) {
-            let way = self.world.way(key.0, server);
+        if self.world.refuses_connections(server) {
+            let way = self.world.one_way_delay(key.0, server);
             self.at(self.now + way, Event::Refused(key));
             return Ok(());
         }
         let mut actions = Vec::new();
-        let there = self
-            .world
-            .came(self.now, key.0, server, (key.2, fresh), &mut actions);
+        let there =
+            self.world
+                .on_attempt_arrival(self.now, key.0, server, (key.2, fresh), &mut actions);
         self.trying.insert(there, key);
         if let Some(out) = self.gateways[key.0].tries.get_mut(&(key.2, key.3)) {
             out.there = Some(there);
@@ -859,7 +877,7 @@
         if let Some(there) = there {
             self.trying.remove(&there);
             self.at(
-                self.now + self.world.way(key.0, server),
+                self.now + self.world.one_way_delay(key.0, server),
                 Event::TryLeft(there),
             );
         }
@@ -940,7 +958,7 @@
             it.idle.entry(out.server).or_default().push(now);
         } else if connected || out.fresh && !matches!(outcome, AttemptOutcome::NotSent) {
             it.connections = it.connections.saturating_sub(1);
-            self.world.disconnected(out.server);
+            self.world.on_disconnect(out.server);
         }
         let it = &mut self.gateways[gateway];
         let mut closed = true;
@@ -958,10 +976,7 @@
                 AttemptOutcome::Reset | AttemptOutcome::TimedOut | AttemptOutcome::ServerError
             );
         if again {
-            let at = self.world.servers[out.server.0 as usize]
-                .uid
-                .as_str()
-                .into();
+            let at = self.world.server(out.server).name.as_str().into();
             self.send(gateway, ask, &at, Duration::ZERO)?;
         }
         let latency = now.saturating_sub(out.sent);
--- a/lab/src/world/clients.rs
+++ b/lab/src/world/clients.rs
@@ -25,7 +25,7 @@
 }
 
 /// What a client wants, whatever number of times it asks for it.
-pub struct Origin {
+pub struct Operation {
     pub account: u32,
     pub route: usize,
     pub units: f64,
@@ -74,7 +74,7 @@
 
 pub struct Clients {
     pub accounts: Vec<Account>,
-    pub origins: Vec<Origin>,
+    pub operations: Vec<Operation>,
     pub pressure: Pressure,
     /// Cumulative API calls a second by account.
     weights: Vec<f64>,
@@ -142,7 +142,7 @@
         Clients {
             weights,
             accounts,
-            origins: Vec::new(),
+            operations: Vec::new(),
             pressure: Pressure {
                 surges: Vec::new(),
                 patience: 1.0,
@@ -237,7 +237,7 @@
         let inside = self.accounts[account]
             .entitled
             .pay(now, true_units.min(top));
-        self.origins.push(Origin {
+        self.operations.push(Operation {
             account: account as u32,
             route,
             units,
@@ -250,7 +250,7 @@
             done: false,
             earned: false,
         });
-        self.origins.len() - 1
+        self.operations.len() - 1
     }
 
     /// The gateways of an account in the order in which it would use them for its next API call: half of its
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -3,7 +3,7 @@
 use super::clients::Surge;
 use super::counter::{Counter, Mode};
 use super::event_queue::WorldEvent;
-use super::server::{Health, Listing};
+use super::server::{Health, ListingState};
 use super::{secs, Action, GatewayState, World};
 use crate::events::ServerId;
 use crate::experiment::{Trouble, TroubleKind};
@@ -20,9 +20,9 @@
 impl World {
     /// What a trouble needs before the day begins.
     pub(super) fn expect(&mut self, place: usize) {
-        let it = self.terms.troubles[place].clone();
+        let it = self.experiment.troubles[place].clone();
         let (from, to) = (secs(it.at), secs(it.at + it.lasts));
-        let plan = it.plan.as_ref().and_then(|name| self.terms.plan(name));
+        let plan = it.plan.as_ref().and_then(|name| self.experiment.plan(name));
         match it.kind {
             TroubleKind::Surge | TroubleKind::DeadlineSurge | TroubleKind::PlanBurst => {
                 let grows = it.kind == TroubleKind::DeadlineSurge;
@@ -46,7 +46,8 @@
 
     /// Some of the servers that are in service, by chance: so many of all.
     fn some_servers(&mut self, share: f64) -> Vec<ServerId> {
-        let fit = |it: &super::Server| it.listing == Listing::Active && it.health == Health::Up;
+        let fit =
+            |it: &super::Server| it.listing == ListingState::Active && it.health == Health::Up;
         let all = self.servers.iter().enumerate().filter(|(_, it)| fit(it));
         let mut all: Vec<ServerId> = all.map(|(place, _)| ServerId(place as u32)).collect();
         let wanted = (all.len() as f64 * share).round() as usize;
@@ -80,26 +81,26 @@
 
     /// A server that was to leave has finished what it had: its process ends and the list forgets it.
     pub(super) fn retires(&mut self, now: Duration, server: ServerId, actions: &mut Vec<Action>) {
-        self.at_server(server).listing = Listing::Left;
+        self.at_server(server).listing = ListingState::Removed;
         self.fell_down(server, Health::Down, actions);
-        self.change(now, server, Listing::Left);
+        self.change(now, server, ListingState::Removed);
     }
 
     /// A server that was away is back, cold, under its old name.
     pub(super) fn returns(&mut self, now: Duration, server: ServerId, actions: &mut Vec<Action>) {
         let it = self.at_server(server);
-        if matches!(it.health, Health::Up | Health::Fallen) || it.listing != Listing::Active {
+        if matches!(it.health, Health::Up | Health::Fallen) || it.listing != ListingState::Active {
             return;
         }
         let was_silent = it.health == Health::Silent;
         it.start(now);
         // What a silent machine still held open is reset when it is back.
         if was_silent {
-            it.life += 1;
+            it.incarnation += 1;
             actions.push(Action::StopServer(server));
         }
         actions.push(Action::RestartServer(server));
-        self.change(now, server, Listing::Active);
+        self.change(now, server, ListingState::Active);
     }
 
     pub(super) fn trouble(
@@ -109,7 +110,7 @@
         step: usize,
         actions: &mut Vec<Action>,
     ) {
-        let it = self.terms.troubles[place].clone();
+        let it = self.experiment.troubles[place].clone();
         let until = now + secs(it.lasts);
         match it.kind {
             TroubleKind::CounterSilent => self.counters[0].mode = Mode::Silent,
@@ -136,7 +137,10 @@
             | TroubleKind::ServersFailing
             | TroubleKind::RouteUnanswered => {
                 let servers = self.some_servers(it.share);
-                let route = it.route.as_ref().and_then(|name| self.terms.route(name));
+                let route = it
+                    .route
+                    .as_ref()
+                    .and_then(|name| self.experiment.route(name));
                 for server in &servers {
                     let at = self.at_server(*server);
                     match it.kind {
@@ -159,7 +163,7 @@
                 for server in (0..self.servers.len() as u32).map(ServerId) {
                     let at = self.at_server(server);
                     if at.zone == it.zone
-                        && at.listing == Listing::Active
+                        && at.listing == ListingState::Active
                         && at.health == Health::Up
                     {
                         self.fell_down(server, Health::Silent, actions);
@@ -174,7 +178,7 @@
             TroubleKind::ListWrong => {
                 let servers = self.some_servers(it.share);
                 for server in &servers {
-                    self.change(now, *server, Listing::Left);
+                    self.change(now, *server, ListingState::Removed);
                 }
                 self.taken_servers.insert(place, servers);
             }
@@ -239,22 +243,25 @@
         let Some(old) = self.taken_servers[&place].get(step).copied() else {
             return;
         };
-        let (zone, kind) = (self.at_server(old).zone, self.at_server(old).kind.clone());
+        let (zone, kind) = (
+            self.at_server(old).zone,
+            self.at_server(old).machine_type.clone(),
+        );
         let kind = self
-            .terms
+            .experiment
             .fleet
             .kinds
             .iter()
             .position(|known| known.name == kind)
             .unwrap_or(0);
-        self.at_server(old).listing = Listing::Leaving;
-        self.change(now, old, Listing::Leaving);
+        self.at_server(old).listing = ListingState::Draining;
+        self.change(now, old, ListingState::Draining);
         let fresh = self.build(zone, kind);
         // It is listed by the change that tells its start, not by the one that made it.
         self.changes.pop();
         self.at_server(fresh).start(now);
         actions.push(Action::AddServer(fresh));
-        self.change(now, fresh, Listing::Active);
+        self.change(now, fresh, ListingState::Active);
         self.event_queue.at(now + LEAVING, WorldEvent::Retires(old));
     }
 
@@ -281,14 +288,14 @@
         self.gateways[gateway].state = GatewayState::Stopping;
         self.gateways[gateway].since = now;
         actions.push(Action::StopGateway(gateway));
-        let gone = now + secs(self.terms.longest_wait().min(LONGEST_COUNTED) + 0.7);
+        let gone = now + secs(self.experiment.longest_wait().min(LONGEST_COUNTED) + 0.7);
         self.event_queue.at(gone, WorldEvent::Kill(gateway));
         self.event_queue
             .at(gone + AGAIN, WorldEvent::Start(gateway));
     }
 
     pub(super) fn trouble_ends(&mut self, now: Duration, place: usize, actions: &mut Vec<Action>) {
-        let it = self.terms.troubles[place].clone();
+        let it = self.experiment.troubles[place].clone();
         match it.kind {
             TroubleKind::CounterSilent
             | TroubleKind::CounterBusy
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -16,11 +16,11 @@
 use crate::metrics::{MetricsRecorder, Results};
 use crate::record::Recorded;
 use crate::rule_checker::RuleChecker;
-use clients::Clients;
+use clients::{Account, Clients, Operation};
 use counter::{Call, Counter, CounterResponse, Turn};
 use event_queue::{EventQueue, WorldEvent};
 use nanorand::{Rng, WyRand};
-use server::{Build, Health, Listing, LoadReport, Server, Taken, Task};
+use server::{Build, Health, ListingState, LoadReport, Server, Taken, Task};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -80,31 +80,44 @@
     Malformed(u32),
 }
 
-pub struct Ask {
-    pub origin: OperationId,
+/// One request as a client sends it.
+pub struct ClientRequest {
+    /// What the client wants by it.
+    pub operation: OperationId,
+    /// The gateway that the front routed it to.
     pub gateway: usize,
     /// When it was meant to be sent: latency counts from here.
-    pub born: Duration,
-    pub until: Duration,
-    pub over: bool,
-    pub sent_on: bool,
+    pub scheduled_at: Duration,
+    /// When its client timeout ends.
+    pub deadline: Duration,
+    /// The client has its answer, or waits no longer.
+    pub closed: bool,
+    /// At least one attempt for it has reached a server.
+    forwarded: bool,
 }
 
-pub struct Try {
-    pub ask: ClientRequestId,
+/// One attempt of a gateway at a server.
+pub struct Attempt {
+    /// The request that it serves.
+    pub request: ClientRequestId,
+    /// The server that it reached.
     pub server: ServerId,
-    pub gateway: usize,
-    life: u32,
+    gateway: usize,
+    /// The server's incarnation at that time; a later one knows nothing of it.
+    server_incarnation: u32,
     ended: bool,
-    says: Option<ServerResponse>,
+    response: Option<ServerResponse>,
 }
 
-/// One change of the server list.
+/// One change of the endpoint list.
 #[derive(Clone, Debug)]
-pub struct Change {
+pub struct EndpointChange {
+    /// The server that it concerns.
     pub server: ServerId,
-    pub listing: Listing,
-    pub started: Option<Duration>,
+    /// What the list says of it from now on.
+    pub state: ListingState,
+    /// When the server's process started; none: long before the run.
+    pub started_at: Option<Duration>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -137,12 +150,12 @@
 const NOTICED: Duration = Duration::from_millis(300);
 
 pub struct World {
-    pub terms: Experiment,
+    pub experiment: Experiment,
     pub servers: Vec<Server>,
     pub clients: Clients,
-    pub asks: Vec<Ask>,
-    pub tries: Vec<Try>,
-    pub changes: Vec<Change>,
+    requests: Vec<ClientRequest>,
+    attempts: Vec<Attempt>,
+    changes: Vec<EndpointChange>,
     pub rule_checker: RuleChecker,
     pub metrics: MetricsRecorder,
     event_queue: EventQueue,
@@ -194,8 +207,8 @@
         let mut world = World {
             servers: Vec::new(),
             clients: Clients::new(terms, seed),
-            asks: Vec::new(),
-            tries: Vec::new(),
+            requests: Vec::new(),
+            attempts: Vec::new(),
             changes: Vec::new(),
             rule_checker: RuleChecker::new(terms, slack),
             metrics: MetricsRecorder::new(secs(terms.warm_up), length),
@@ -221,7 +234,7 @@
             tokens: BTreeMap::new(),
             last_busy: Vec::new(),
             next_busy: 1,
-            terms: terms.clone(),
+            experiment: terms.clone(),
         };
         world.counters = vec![
             Counter::new(&world.counter_terms()),
@@ -261,7 +274,7 @@
 
     /// A new server: listed, and of no age.
     fn build(&mut self, zone: usize, kind: usize) -> ServerId {
-        let (fleet, place) = (&self.terms.fleet, self.servers.len());
+        let (fleet, place) = (&self.experiment.fleet, self.servers.len());
         let it = &fleet.kinds[kind];
         let build = Build {
             cores: it.cores,
@@ -270,7 +283,7 @@
             cold_from: fleet.cold_from,
             cold: fleet.cold,
             fall_multiple: fleet.fall_multiple,
-            mean_work: self.terms.mean_work(),
+            mean_work: self.experiment.mean_work(),
             overload_for: secs(fleet.overload_for),
         };
         let (cell, uid) = (place as u64 % fleet.cells, format!("box-{place:04}"));
@@ -279,21 +292,21 @@
         self.last_busy.push(0.0);
         let server = ServerId(place as u32);
         self.rule_checker.server(server, cell, zone);
-        let started = self.servers[place].started;
-        self.changes.push(Change {
+        let started = self.servers[place].started_at;
+        self.changes.push(EndpointChange {
             server,
-            listing: Listing::Active,
-            started,
+            state: ListingState::Active,
+            started_at: started,
         });
         server
     }
 
     /// The day begins; the gateways' first list is what stands now.
-    pub fn begin(&mut self) {
+    pub fn begin_run(&mut self) {
         for gateway in &mut self.gateways {
             gateway.upto = self.changes.len();
         }
-        for place in 0..self.terms.troubles.len() {
+        for place in 0..self.experiment.troubles.len() {
             self.expect(place);
         }
         if self.replay.is_empty() {
@@ -306,13 +319,53 @@
         }
     }
 
+    /// A request by its id.
+    pub fn request(&self, request: ClientRequestId) -> &ClientRequest {
+        &self.requests[request.0 as usize]
+    }
+
+    /// Whether there is a request of this id.
+    pub fn knows_request(&self, request: ClientRequestId) -> bool {
+        (request.0 as usize) < self.requests.len()
+    }
+
+    /// An operation by its id.
+    pub fn operation(&self, operation: OperationId) -> &Operation {
+        &self.clients.operations[operation.0 as usize]
+    }
+
+    /// An account by its index.
+    pub fn account(&self, account: u32) -> &Account {
+        &self.clients.accounts[account as usize]
+    }
+
+    /// An attempt by its id.
+    pub fn attempt(&self, attempt: AttemptId) -> &Attempt {
+        &self.attempts[attempt.0 as usize]
+    }
+
+    /// A server by its id.
+    pub fn server(&self, server: ServerId) -> &Server {
+        &self.servers[server.0 as usize]
+    }
+
+    /// All servers that there have been, with their ids, in the order of these.
+    pub fn servers(&self) -> impl Iterator<Item = (ServerId, &Server)> {
+        (0..).map(ServerId).zip(&self.servers)
+    }
+
+    /// Changes of the endpoint list by their numbers.
+    pub fn endpoint_changes(&self, numbers: std::ops::Range<usize>) -> Vec<EndpointChange> {
+        self.changes[numbers].to_vec()
+    }
+
     pub fn next_due(&self) -> Option<Duration> {
         self.event_queue.next()
     }
 
     /// When all is over, the last answers included.
-    pub fn end(&self) -> Duration {
-        self.length + secs(self.terms.longest_wait()) + self.slack + ms(200.0)
+    pub fn end_time(&self) -> Duration {
+        self.length + secs(self.experiment.longest_wait()) + self.slack + ms(200.0)
     }
 
     /// What the day has brought, as both engines report it.
@@ -320,11 +373,11 @@
         let mut results = self.metrics.results();
         (results.experiment, results.variant) = (title.into(), variant.into());
         (results.engine, results.seed) = (engine.into(), seed);
-        let fleet = &self.terms.fleet;
+        let fleet = &self.experiment.fleet;
         (results.gateways, results.servers) = (fleet.gateways, fleet.servers);
         results.broken = std::mem::take(&mut self.rule_checker.broken);
         results.broken_count = self.rule_checker.count;
-        let named = |at: &u32| self.servers[*at as usize].uid.clone();
+        let named = |at: &u32| self.servers[*at as usize].name.clone();
         results.server_load = self
             .metrics
             .busy
@@ -339,7 +392,7 @@
     }
 
     fn counter_terms(&self) -> counter::Terms {
-        let it = &self.terms.counter;
+        let it = &self.experiment.counter;
         counter::Terms {
             parts: it.parts,
             bears: it.bears,
@@ -349,17 +402,17 @@
     }
 
     /// One way between a gateway and a server.
-    pub fn way(&self, gateway: usize, server: ServerId) -> Duration {
-        let near = gateway % self.terms.fleet.zones == self.servers[server.0 as usize].zone;
+    pub fn one_way_delay(&self, gateway: usize, server: ServerId) -> Duration {
+        let near = gateway % self.experiment.fleet.zones == self.servers[server.0 as usize].zone;
         ms(if near {
-            self.terms.network.near_ms
+            self.experiment.network.near_ms
         } else {
-            self.terms.network.far_ms
+            self.experiment.network.far_ms
         })
     }
 
-    pub fn near(&self) -> Duration {
-        ms(self.terms.network.near_ms)
+    pub fn in_zone_delay(&self) -> Duration {
+        ms(self.experiment.network.near_ms)
     }
 
     fn lag(&self, way: Duration) -> Duration {
@@ -407,7 +460,7 @@
                 self.last_busy[place] = server.busy;
             }
             let memory = self
-                .terms
+                .experiment
                 .routes
                 .iter()
                 .map(|route| route.memory)
@@ -438,11 +491,11 @@
             if strange.is_some_and(|share| self.chance.generate::<f64>() < share) {
                 account = self
                     .clients
-                    .stranger(&self.terms, self.clients.accounts[account].plan);
+                    .stranger(&self.experiment, self.clients.accounts[account].plan);
                 self.rule_checker
                     .account(account as u32, self.clients.accounts[account].plan);
             }
-            let origin = self.clients.want(now, account, &self.terms);
+            let origin = self.clients.want(now, account, &self.experiment);
             self.wanted(now, origin, actions);
         }
         self.next_arrival(now);
@@ -450,16 +503,16 @@
 
     fn replayed(&mut self, now: Duration, place: usize, actions: &mut Vec<Action>) {
         let recorded = self.replay[place].clone();
-        let Some(route) = self.terms.route(&recorded.route) else {
+        let Some(route) = self.experiment.route(&recorded.route) else {
             return;
         };
-        let Some(plan) = self.terms.plan(&recorded.plan) else {
+        let Some(plan) = self.experiment.plan(&recorded.plan) else {
             return;
         };
         let account = match self.replay_accounts.get(&recorded.account) {
             Some(account) => *account,
             None => {
-                let account = self.clients.stranger(&self.terms, plan);
+                let account = self.clients.stranger(&self.experiment, plan);
                 self.clients.accounts[account].name = recorded.account;
                 self.rule_checker.account(account as u32, plan);
                 self.replay_accounts.insert(recorded.account, account);
@@ -468,21 +521,23 @@
         };
         let units = recorded
             .units
-            .clamp(1.0, f64::from(self.terms.load.units_top));
-        let origin = self.clients.wants(now, account, route, units, &self.terms);
+            .clamp(1.0, f64::from(self.experiment.load.units_top));
+        let origin = self
+            .clients
+            .wants(now, account, route, units, &self.experiment);
         self.wanted(now, origin, actions);
     }
 
     fn value(&self, origin: usize) -> f64 {
-        let it = &self.clients.origins[origin];
-        let plan = &self.terms.plans[self.clients.accounts[it.account as usize].plan];
-        self.terms.routes[it.route].billed_value * plan.price * it.units
+        let it = &self.clients.operations[origin];
+        let plan = &self.experiment.plans[self.clients.accounts[it.account as usize].plan];
+        self.experiment.routes[it.route].billed_value * plan.price * it.units
     }
 
     /// Something new is wanted: what is inside the quota counts as asked for.
     fn wanted(&mut self, now: Duration, origin: usize, actions: &mut Vec<Action>) {
-        if self.clients.origins[origin].inside {
-            self.metrics.at(now).value_asked += self.value(origin);
+        if self.clients.operations[origin].inside {
+            self.metrics.second_at(now).value_asked += self.value(origin);
         }
         self.ask(now, OperationId(origin as u32), actions);
     }
@@ -490,14 +545,14 @@
     /// A client asks, at the gateway that the front leads it to.
     fn ask(&mut self, now: Duration, id: OperationId, actions: &mut Vec<Action>) {
         let (account, route) = {
-            let origin = &self.clients.origins[id.0 as usize];
+            let origin = &self.clients.operations[id.0 as usize];
             if origin.done || now >= self.length {
                 return;
             }
             (origin.account as usize, origin.route)
         };
-        self.metrics.at(now).asked += 1;
-        let notices = secs(self.terms.load.front_notices);
+        self.metrics.second_at(now).asked += 1;
+        let notices = secs(self.experiment.load.front_notices);
         let order = self.clients.order(account, now);
         let led = order.into_iter().find(|gateway| {
             let it = &self.gateways[*gateway];
@@ -505,26 +560,26 @@
                 GatewayState::Ready => true,
                 GatewayState::Down => now < it.since + notices,
                 // New connections keep coming for a while, and those that are open are used until they end.
-                GatewayState::Stopping => self.connects(now, *gateway) || it.resting > 0,
+                GatewayState::Stopping => self.accepts_connections(now, *gateway) || it.resting > 0,
                 GatewayState::Starting => false,
             }
         });
         let there = led.filter(|gateway| self.gateways[*gateway].state != GatewayState::Down);
         let Some(gateway) = there else {
-            self.metrics.at(now).unreached += 1;
+            self.metrics.second_at(now).unreached += 1;
             return self.again(now, id, None);
         };
-        let timeout = secs(self.terms.routes[route].client_timeout);
-        let (until, ask) = (now + timeout, ClientRequestId(self.asks.len() as u32));
-        self.asks.push(Ask {
-            origin: id,
+        let timeout = secs(self.experiment.routes[route].client_timeout);
+        let (until, ask) = (now + timeout, ClientRequestId(self.requests.len() as u32));
+        self.requests.push(ClientRequest {
+            operation: id,
             gateway,
-            born: now,
-            until,
-            over: false,
-            sent_on: false,
+            scheduled_at: now,
+            deadline: until,
+            closed: false,
+            forwarded: false,
         });
-        let patience = self.terms.load.patience * self.clients.pressure.patience;
+        let patience = self.experiment.load.patience * self.clients.pressure.patience;
         let patience = patience + (1.0 - patience) * self.chance.generate::<f64>();
         if patience < 1.0 {
             self.event_queue
@@ -536,10 +591,10 @@
     }
 
     /// The gateway has taken it: from now on an answer is owed.
-    pub fn taken(&mut self, now: Duration, ask: ClientRequestId) {
-        let it = &self.asks[ask.0 as usize];
-        let origin = &self.clients.origins[it.origin.0 as usize];
-        let times = (now, it.until);
+    pub fn on_request_accepted(&mut self, now: Duration, ask: ClientRequestId) {
+        let it = &self.requests[ask.0 as usize];
+        let origin = &self.clients.operations[it.operation.0 as usize];
+        let times = (now, it.deadline);
         self.rule_checker.asked(
             ask,
             it.gateway,
@@ -551,28 +606,28 @@
     }
 
     /// Whether new connections still come to a gateway.
-    pub fn connects(&self, now: Duration, gateway: usize) -> bool {
+    pub fn accepts_connections(&self, now: Duration, gateway: usize) -> bool {
         let it = &self.gateways[gateway];
         it.state != GatewayState::Stopping || now < it.since + NOTICED
     }
 
     /// No gateway has taken it: its process has gone, perhaps in the moment in which it was written.
-    pub fn not_taken(&mut self, now: Duration, ask: ClientRequestId) {
+    pub fn on_request_not_accepted(&mut self, now: Duration, ask: ClientRequestId) {
         self.rule_checker.not_taken(ask);
-        let it = &mut self.asks[ask.0 as usize];
-        if it.over {
+        let it = &mut self.requests[ask.0 as usize];
+        if it.closed {
             return;
         }
-        it.over = true;
-        let origin = it.origin;
-        self.metrics.at(now).unreached += 1;
+        it.closed = true;
+        let origin = it.operation;
+        self.metrics.second_at(now).unreached += 1;
         self.again(now, origin, None);
     }
 
     /// The client comes again, if it does: when it was told to, or after a wait of its own.
     fn again(&mut self, now: Duration, id: OperationId, advice: Option<Duration>) {
-        let load = &self.terms.load;
-        let origin = &mut self.clients.origins[id.0 as usize];
+        let load = &self.experiment.load;
+        let origin = &mut self.clients.operations[id.0 as usize];
         if origin.retries >= load.retries || origin.done {
             return;
         }
@@ -585,31 +640,31 @@
     }
 
     fn leaves(&mut self, now: Duration, ask: ClientRequestId, actions: &mut Vec<Action>) {
-        let it = &mut self.asks[ask.0 as usize];
-        if it.over {
+        let it = &mut self.requests[ask.0 as usize];
+        if it.closed {
             return;
         }
-        it.over = true;
-        let origin = it.origin;
+        it.closed = true;
+        let origin = it.operation;
         self.rule_checker.left(now, ask);
-        self.metrics.at(now).unanswered += 1;
+        self.metrics.second_at(now).unanswered += 1;
         actions.push(Action::CloseClient(ask));
         self.again(now, origin, None);
     }
 
     fn time_up(&mut self, now: Duration, ask: ClientRequestId) {
         self.rule_checker.time_up(now, ask);
-        let it = &mut self.asks[ask.0 as usize];
-        if !it.over {
-            it.over = true;
-            let origin = it.origin;
-            self.metrics.at(now).unanswered += 1;
+        let it = &mut self.requests[ask.0 as usize];
+        if !it.closed {
+            it.closed = true;
+            let origin = it.operation;
+            self.metrics.second_at(now).unanswered += 1;
             self.again(now, origin, None);
         }
     }
 
     /// A client has heard: the value's key if it was served, or how long to wait if it was told.
-    pub fn answered(
+    pub fn on_final_answer(
         &mut self,
         now: Duration,
         ask: ClientRequestId,
@@ -617,39 +672,39 @@
         advice: Option<Duration>,
     ) {
         self.rule_checker.answered(now, ask, verdict);
-        let it = &mut self.asks[ask.0 as usize];
-        if it.over {
+        let it = &mut self.requests[ask.0 as usize];
+        if it.closed {
             return;
         }
-        it.over = true;
-        let (id, took) = (it.origin, now.saturating_sub(it.born));
-        let origin = &self.clients.origins[id.0 as usize];
+        it.closed = true;
+        let (id, took) = (it.operation, now.saturating_sub(it.scheduled_at));
+        let origin = &self.clients.operations[id.0 as usize];
         let (account, units) = (origin.account as usize, origin.units);
         match verdict {
             ClientOutcome::Served { .. } => {
                 self.metrics.proxied(now, took);
-                let route = &self.terms.routes[origin.route];
+                let route = &self.experiment.routes[origin.route];
                 let worth = if took <= secs(route.latency_target) {
                     1.0
                 } else {
                     route.late_worth
                 };
-                let (born, first) = (it.born, !origin.earned && origin.within);
+                let (born, first) = (it.scheduled_at, !origin.earned && origin.within);
                 if first {
                     let value = self.value(id.0 as usize);
-                    self.metrics.at(born).value_in_time += value * worth;
+                    self.metrics.second_at(born).value_in_time += value * worth;
                 }
-                let origin = &mut self.clients.origins[id.0 as usize];
+                let origin = &mut self.clients.operations[id.0 as usize];
                 (origin.earned, origin.done) = (true, true);
             }
             ClientOutcome::Rejected => {
                 self.metrics.limited(now, took);
-                let cap = self.terms.plans[self.clients.accounts[account].plan].cap;
+                let cap = self.experiment.plans[self.clients.accounts[account].plan].cap;
                 let it = &mut self.clients.accounts[account];
                 let room = it.sent.holds(now, units) && (cap <= 0.0 || it.out < cap);
                 let half = it.sent.holds(now, units.max(it.sent.depth / 2.0))
                     && (cap <= 0.0 || it.out < cap / 2.0);
-                let second = self.metrics.at(now);
+                let second = self.metrics.second_at(now);
                 second.limited_with_room += u64::from(room);
                 second.limited_half_unused += u64::from(half);
                 self.again(now, id, advice);
@@ -665,7 +720,7 @@
 
     /// Whether a gateway and a server can hear each other.
     fn apart(&self, now: Duration, gateway: usize, zone: usize) -> bool {
-        let at = gateway % self.terms.fleet.zones;
+        let at = gateway % self.experiment.fleet.zones;
         at != zone
             && self
                 .cut
@@ -674,23 +729,23 @@
     }
 
     /// Whether a new connection is refused; one that is not may still be met by silence.
-    pub fn refuses(&self, server: ServerId) -> bool {
+    pub fn refuses_connections(&self, server: ServerId) -> bool {
         let it = &self.servers[server.0 as usize];
         matches!(it.health, Health::Down | Health::Fallen)
     }
 
-    pub fn connected(&mut self, now: Duration, server: ServerId) {
-        self.metrics.at(now).connections += 1;
+    pub fn on_connect(&mut self, now: Duration, server: ServerId) {
+        self.metrics.second_at(now).connections += 1;
         self.servers[server.0 as usize].connections += 1;
     }
 
-    pub fn disconnected(&mut self, server: ServerId) {
+    pub fn on_disconnect(&mut self, server: ServerId) {
         let it = &mut self.servers[server.0 as usize];
         it.connections = it.connections.saturating_sub(1);
     }
 
     /// A try has come whole, over a fresh connection or one in use.
-    pub fn came(
+    pub fn on_attempt_arrival(
         &mut self,
         now: Duration,
         gateway: usize,
@@ -698,21 +753,21 @@
         (ask, fresh): (ClientRequestId, bool),
         actions: &mut Vec<Action>,
     ) -> AttemptId {
-        let id = AttemptId(self.tries.len() as u32);
-        let life = self.servers[server.0 as usize].life;
-        self.tries.push(Try {
-            ask,
+        let id = AttemptId(self.attempts.len() as u32);
+        let life = self.servers[server.0 as usize].incarnation;
+        self.attempts.push(Attempt {
+            request: ask,
             server,
             gateway,
-            life,
+            server_incarnation: life,
             ended: false,
-            says: None,
+            response: None,
         });
-        self.metrics.at(now).tries += 1;
+        self.metrics.second_at(now).tries += 1;
         self.rule_checker.came(now, id, ask, gateway, server);
-        let it = &mut self.asks[ask.0 as usize];
-        let (first, born) = (!std::mem::replace(&mut it.sent_on, true), it.born);
-        let origin = &self.clients.origins[it.origin.0 as usize];
+        let it = &mut self.requests[ask.0 as usize];
+        let (first, born) = (!std::mem::replace(&mut it.forwarded, true), it.scheduled_at);
+        let origin = &self.clients.operations[it.operation.0 as usize];
         let (account, units, work, key, route) = (
             origin.account as usize,
             origin.units,
@@ -722,19 +777,19 @@
         );
         self.clients.accounts[account].out += 1.0;
         if first {
-            let origin = it.origin;
+            let origin = it.operation;
             self.metrics.first_try(now, now.saturating_sub(born));
             let within = self.sent_on(now, account, units, route);
-            self.clients.origins[origin.0 as usize].within = within;
+            self.clients.operations[origin.0 as usize].within = within;
         }
         let silent = self.servers[server.0 as usize].health == Health::Silent;
         let apart = self.apart(now, gateway, self.servers[server.0 as usize].zone);
         if silent || apart || self.servers[server.0 as usize].mute.contains(&route) {
             return id;
         }
-        let terms = &self.terms.routes[route];
+        let terms = &self.experiment.routes[route];
         let memory = secs(terms.memory);
-        let fleet = &self.terms.fleet;
+        let fleet = &self.experiment.fleet;
         let it = &mut self.servers[server.0 as usize];
         if it.connections > fleet.connections {
             self.will_say(now, id, ServerResponse::Busy);
@@ -765,7 +820,8 @@
             self.tokens.insert((group, key), now);
         }
         let handshake = if fresh { fleet.handshake_ms / 1e3 } else { 0.0 };
-        let told = it.start_told.0 == it.started && self.gateways[gateway].upto > it.start_told.1;
+        let told =
+            it.start_told.0 == it.started_at && self.gateways[gateway].upto > it.start_told.1;
         let task = Task {
             of: id,
             work: work + handshake,
@@ -790,10 +846,10 @@
     /// A first try takes its units from the quota, as it truly is.
     fn sent_on(&mut self, now: Duration, account: usize, units: f64, route: usize) -> bool {
         let it = &mut self.clients.accounts[account];
-        let plan = &self.terms.plans[it.plan];
+        let plan = &self.experiment.plans[it.plan];
         let fits = it.sent.pay(now, units);
-        let value = self.terms.routes[route].billed_value * plan.price * units;
-        let second = self.metrics.at(now);
+        let value = self.experiment.routes[route].billed_value * plan.price * units;
+        let second = self.metrics.second_at(now);
         second.units += units;
         if !fits {
             second.beyond += units;
@@ -803,15 +859,15 @@
     }
 
     /// The gateway has given a try up, or its connection has gone.
-    pub fn left(&mut self, now: Duration, of: AttemptId) {
-        let it = &self.tries[of.0 as usize];
-        let (server, life) = (it.server, it.life);
+    pub fn on_attempt_abandoned(&mut self, now: Duration, of: AttemptId) {
+        let it = &self.attempts[of.0 as usize];
+        let (server, life) = (it.server, it.server_incarnation);
         if it.ended {
             return;
         }
         self.ended(now, of, AttemptEnd::Abandoned);
         let at = &mut self.servers[server.0 as usize];
-        if at.life == life && (!at.give_up(of) || self.terms.fleet.stops_work) {
+        if at.incarnation == life && (!at.give_up(of) || self.experiment.fleet.stops_work) {
             self.next_at(now, server, of);
         }
     }
@@ -823,32 +879,35 @@
     }
 
     fn ended(&mut self, now: Duration, of: AttemptId, end: AttemptEnd) {
-        let it = &mut self.tries[of.0 as usize];
+        let it = &mut self.attempts[of.0 as usize];
         if std::mem::replace(&mut it.ended, true) {
             return;
         }
-        let ask = it.ask;
-        let account = self.clients.origins[self.asks[ask.0 as usize].origin.0 as usize].account;
+        let ask = it.request;
+        let account =
+            self.clients.operations[self.requests[ask.0 as usize].operation.0 as usize].account;
         self.clients.accounts[account as usize].out -= 1.0;
         self.rule_checker.over(now, of, ask, end);
     }
 
     /// A server is done with a try's work.
     fn served(&mut self, now: Duration, server: ServerId, of: AttemptId) {
-        let it = &self.tries[of.0 as usize];
+        let it = &self.attempts[of.0 as usize];
         let at = &mut self.servers[server.0 as usize];
-        if it.life != at.life {
+        if it.server_incarnation != at.incarnation {
             return;
         }
-        let every = secs(self.terms.fleet.report_every);
+        let every = secs(self.experiment.fleet.report_every);
         let report = (!every.is_zero()).then(|| at.report(now, every));
         let (failing, silent) = (at.failing, at.health == Health::Silent);
         self.next_at(now, server, of);
-        if silent || self.tries[of.0 as usize].ended {
+        if silent || self.attempts[of.0 as usize].ended {
             return;
         }
-        let origin = &self.clients.origins
-            [self.asks[self.tries[of.0 as usize].ask.0 as usize].origin.0 as usize];
+        let origin = &self.clients.operations[self.requests
+            [self.attempts[of.0 as usize].request.0 as usize]
+            .operation
+            .0 as usize];
         let (units, account) = (origin.true_units, origin.account as usize);
         let asked = origin.units;
         let drawn = self.chance.generate::<f64>();
@@ -866,7 +925,7 @@
                 .sent
                 .settle(now, units - asked);
             ServerResponse::Success {
-                units: self.terms.load.settles.then_some(units),
+                units: self.experiment.load.settles.then_some(units),
                 load: report,
             }
         };
@@ -875,16 +934,16 @@
 
     /// What a server says arrives after the way back, where the engine does not add that itself.
     fn will_say(&mut self, now: Duration, of: AttemptId, says: ServerResponse) {
-        let it = &mut self.tries[of.0 as usize];
-        it.says = Some(says);
+        let it = &mut self.attempts[of.0 as usize];
+        it.response = Some(says);
         let (gateway, server) = (it.gateway, it.server);
-        let lag = self.lag(self.way(gateway, server));
+        let lag = self.lag(self.one_way_delay(gateway, server));
         self.event_queue.at(now + lag, WorldEvent::Said(of));
     }
 
     fn said(&mut self, now: Duration, of: AttemptId, actions: &mut Vec<Action>) {
-        let it = &self.tries[of.0 as usize];
-        let (Some(says), false) = (it.says, it.ended) else {
+        let it = &self.attempts[of.0 as usize];
+        let (Some(says), false) = (it.response, it.ended) else {
             return;
         };
         if self.apart(now, it.gateway, self.servers[it.server.0 as usize].zone) {
@@ -899,8 +958,8 @@
     }
 
     /// A probe of a server's load, where there may be any and it can answer.
-    pub fn probed(&mut self, now: Duration, server: ServerId) -> Option<LoadReport> {
-        let fleet = &self.terms.fleet;
+    pub fn on_load_probe(&mut self, now: Duration, server: ServerId) -> Option<LoadReport> {
+        let fleet = &self.experiment.fleet;
         let (may, every) = (fleet.probes, secs(fleet.report_every));
         let it = &mut self.servers[server.0 as usize];
         (may && it.health == Health::Up).then(|| it.report(now, every))
@@ -909,7 +968,7 @@
     // ---- the counter ----
 
     /// A call has come; nothing is answered if it is silent.
-    pub fn count(
+    pub fn on_counter_call(
         &mut self,
         now: Duration,
         gateway: usize,
@@ -920,7 +979,7 @@
     ) -> CounterCallId {
         self.next_count += 1;
         let id = CounterCallId(self.next_count);
-        self.metrics.at(now).counter_calls += 1;
+        self.metrics.second_at(now).counter_calls += 1;
         let counter = self.gateways[gateway].counter;
         let call = Call {
             gateway,
@@ -933,8 +992,10 @@
         match self.counters[counter].take(now, &call, &terms) {
             Turn::At(when) => {
                 self.counts.insert(id, call);
-                self.event_queue
-                    .at(when + self.lag(self.near()), WorldEvent::Counted(id));
+                self.event_queue.at(
+                    when + self.lag(self.in_zone_delay()),
+                    WorldEvent::Counted(id),
+                );
             }
             Turn::Now(says) => actions.push(Action::SendCounterResponse(id, says)),
             Turn::Never => (),
@@ -960,13 +1021,13 @@
     // ---- the list ----
 
     /// The list changes; each gateway hears of it in its own time.
-    fn change(&mut self, now: Duration, server: ServerId, listing: Listing) {
-        let started = self.servers[server.0 as usize].started;
+    fn change(&mut self, now: Duration, server: ServerId, listing: ListingState) {
+        let started = self.servers[server.0 as usize].started_at;
         let change = self.changes.len();
-        self.changes.push(Change {
+        self.changes.push(EndpointChange {
             server,
-            listing,
-            started,
+            state: listing,
+            started_at: started,
         });
         let it = &mut self.servers[server.0 as usize];
         if it.start_told.0 != started {
@@ -978,7 +1039,7 @@
             0.0
         };
         for gateway in 0..self.gateways.len() {
-            let late = self.terms.discovery.late * self.chance.generate::<f64>() + more;
+            let late = self.experiment.discovery.late * self.chance.generate::<f64>() + more;
             let when = (now + secs(late)).max(self.gateways[gateway].told);
             self.gateways[gateway].told = when;
             self.event_queue
@@ -1006,30 +1067,35 @@
     }
 
     /// How much of the list a gateway has been told so far.
-    pub fn upto(&self, gateway: usize) -> usize {
+    pub fn notified_change_count(&self, gateway: usize) -> usize {
         self.gateways[gateway].upto
     }
 
     /// The list as it stands after so many changes: each server's latest line, but for those that have left.
-    pub fn list(&self, upto: usize) -> Vec<Change> {
-        let mut list: BTreeMap<ServerId, &Change> = BTreeMap::new();
+    pub fn endpoint_list_after(&self, upto: usize) -> Vec<EndpointChange> {
+        let mut list: BTreeMap<ServerId, &EndpointChange> = BTreeMap::new();
         for change in &self.changes[..upto] {
             list.insert(change.server, change);
         }
         list.into_values()
-            .filter(|it| it.listing != Listing::Left)
+            .filter(|it| it.state != ListingState::Removed)
             .cloned()
             .collect()
     }
 
     /// Changes were written to a gateway.
-    pub fn told(&mut self, now: Duration, gateway: usize, changes: &[Change]) {
+    pub fn on_gateway_notified(
+        &mut self,
+        now: Duration,
+        gateway: usize,
+        changes: &[EndpointChange],
+    ) {
         for change in changes {
             self.rule_checker.told(
                 now,
                 gateway,
                 change.server,
-                change.listing == Listing::Active,
+                change.state == ListingState::Active,
             );
         }
     }
@@ -1037,19 +1103,19 @@
     // ---- gateways ----
 
     /// A gateway serves from now on.
-    pub fn ready(&mut self, now: Duration, gateway: usize) {
+    pub fn on_gateway_ready(&mut self, now: Duration, gateway: usize) {
         let it = &mut self.gateways[gateway];
         (it.state, it.since) = (GatewayState::Ready, now);
     }
 
     /// Whether a gateway has been ready for so long: those that were when the day began, in any case.
-    pub fn ready_for(&self, now: Duration, gateway: usize, span: Duration) -> bool {
+    pub fn is_ready_for(&self, now: Duration, gateway: usize, span: Duration) -> bool {
         let it = &self.gateways[gateway];
         it.state == GatewayState::Ready && (it.since.is_zero() || now >= it.since + span)
     }
 
     /// A gateway's process has ended by itself: what it had taken and not answered is lost.
-    pub fn ended_by_itself(&mut self, now: Duration, gateway: usize) {
+    pub fn on_gateway_exit(&mut self, now: Duration, gateway: usize) {
         let it = &mut self.gateways[gateway];
         if it.state != GatewayState::Down {
             (it.state, it.since, it.killed) = (GatewayState::Down, now, false);
@@ -1062,11 +1128,11 @@
     }
 
     /// So many connections of clients to a gateway have nothing open.
-    pub fn set_resting(&mut self, gateway: usize, connections: usize) {
+    pub fn set_idle_connections(&mut self, gateway: usize, connections: usize) {
         self.gateways[gateway].resting = connections;
     }
 
-    pub fn state(&self, gateway: usize) -> GatewayState {
+    pub fn gateway_state(&self, gateway: usize) -> GatewayState {
         self.gateways[gateway].state
     }
 
@@ -1089,16 +1155,16 @@
     }
 
     /// A datagram from one gateway to another: after how long it arrives, if it does.
-    pub fn datagram(&mut self, now: Duration, from: usize, to: usize) -> Option<Duration> {
-        self.metrics.at(now).datagrams += 1;
-        let net = &self.terms.network;
+    pub fn on_datagram(&mut self, now: Duration, from: usize, to: usize) -> Option<Duration> {
+        self.metrics.second_at(now).datagrams += 1;
+        let net = &self.experiment.network;
         let (lost, deaf) = (net.lost, if now < self.deaf.0 { self.deaf.1 } else { 0.0 });
-        let late = ms(net.peer_late_ms * self.chance.generate::<f64>()) + self.near();
+        let late = ms(net.peer_late_ms * self.chance.generate::<f64>()) + self.in_zone_delay();
         let drawn = self.chance.generate::<f64>();
-        if drawn < lost.max(deaf) || self.apart(now, from, to % self.terms.fleet.zones) {
+        if drawn < lost.max(deaf) || self.apart(now, from, to % self.experiment.fleet.zones) {
             return None;
         }
-        let rate = self.terms.network.peer_rate;
+        let rate = self.experiment.network.peer_rate;
         let it = &mut self.gateways[to];
         it.taken = (it.taken + now.saturating_sub(it.filled).as_secs_f64() * rate).min(rate);
         it.filled = now;
--- a/lab/src/world/server.rs
+++ b/lab/src/world/server.rs
@@ -18,10 +18,10 @@
 
 /// What the list says of it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Listing {
+pub enum ListingState {
     Active,
-    Leaving,
-    Left,
+    Draining,
+    Removed,
 }
 
 /// What a server is told of a try that comes.
@@ -57,15 +57,15 @@
 }
 
 pub struct Server {
-    pub uid: String,
+    pub name: String,
     pub zone: usize,
     pub cell: u64,
-    pub kind: String,
+    pub machine_type: String,
     pub build: Build,
     pub health: Health,
-    pub listing: Listing,
+    pub listing: ListingState,
     /// Of this life; none: long ago.
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
     /// The start that the list has told last, and the number of the change that told it first.
     pub start_told: (Option<Duration>, usize),
     pub slow: f64,
@@ -75,7 +75,7 @@
     pub mute: Vec<usize>,
     pub connections: usize,
     /// Changes with each life: what was promised in an earlier one is not kept.
-    pub life: u32,
+    pub incarnation: u32,
     running: Vec<AttemptId>,
     waiting: VecDeque<Task>,
     /// Work of late that came while it was cold.
@@ -114,22 +114,22 @@
 }
 
 impl Server {
-    pub fn new(uid: String, zone: usize, cell: u64, kind: String, build: Build) -> Server {
+    pub fn new(name: String, zone: usize, cell: u64, machine_type: String, build: Build) -> Server {
         Server {
-            uid,
+            name,
             zone,
             cell,
-            kind,
+            machine_type,
             build,
             health: Health::Up,
-            listing: Listing::Active,
-            started: None,
+            listing: ListingState::Active,
+            started_at: None,
             start_told: (None, 0),
             slow: 1.0,
             failing: 0.0,
             mute: Vec::new(),
             connections: 0,
-            life: 0,
+            incarnation: 0,
             running: Vec::new(),
             waiting: VecDeque::new(),
             pushed: VecDeque::new(),
@@ -140,7 +140,7 @@
 
     /// How much of its full power it has by now.
     pub fn warmth(&self, now: Duration) -> f64 {
-        let Some(started) = self.started else {
+        let Some(started) = self.started_at else {
             return 1.0;
         };
         let age = now.saturating_sub(started).as_secs_f64();
@@ -153,7 +153,7 @@
         self.build.speed * self.warmth(now) / self.slow.max(1e-3)
     }
 
-    fn begin(&mut self, now: Duration, task: &Task) -> Duration {
+    fn begin_task(&mut self, now: Duration, task: &Task) -> Duration {
         let span = task.work / self.power(now);
         self.running.push(task.of);
         self.busy += span;
@@ -165,11 +165,11 @@
         if self.warmth(now) < 1.0 {
             self.push(now, &task);
         }
-        if self.listing != Listing::Active {
+        if self.listing != ListingState::Active {
             return Taken::TurnedAway;
         }
         if self.running.len() < self.build.cores {
-            return Taken::Begun(self.begin(now, &task));
+            return Taken::Begun(self.begin_task(now, &task));
         }
         if self.waiting.len() >= self.build.queue {
             return Taken::TurnedAway;
@@ -216,7 +216,7 @@
         let next = (self.running.len() < self.build.cores)
             .then(|| self.waiting.pop_front())
             .flatten()?;
-        Some((next.of, self.begin(now, &next)))
+        Some((next.of, self.begin_task(now, &next)))
     }
 
     /// A try that is given up leaves the queue; one that runs goes on unless work stops.
@@ -228,7 +228,7 @@
     /// Its process has ended: all that it had is gone.
     pub fn crash(&mut self, health: Health) -> Vec<AttemptId> {
         self.health = health;
-        self.life += 1;
+        self.incarnation += 1;
         self.pushed.clear();
         let mut lost = std::mem::take(&mut self.running);
         lost.extend(self.waiting.drain(..).map(|task| task.of));
@@ -237,7 +237,7 @@
 
     pub fn start(&mut self, now: Duration) {
         self.health = Health::Up;
-        self.started = Some(now);
+        self.started_at = Some(now);
         self.report = LoadReport::default();
     }
 
