--- a/lab/src/capacity.rs
+++ b/lab/src/capacity.rs
@@ -57,9 +57,9 @@
 ) -> Result<f64, String> {
     let mut once = |calls: f64| -> Result<bool, String> {
         let results = runs::one(&day(calls, seconds, counter), &Variant::default(), 1, ways)?;
-        let all = &results.all;
-        let proxied = all.proxied as f64 >= all.asked as f64 * 0.99;
-        let borne = proxied && results.proxied_ms.p99 <= p99_ms && results.sound();
+        let totals = &results.totals;
+        let proxied = totals.succeeded as f64 >= totals.requests as f64 * 0.99;
+        let borne = proxied && results.succeeded_ms.p99 <= p99_ms && results.sound();
         told(&Step {
             calls,
             results,
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -15,7 +15,7 @@
 use crate::clock::Clock;
 use crate::events::{AttemptId, ClientRequestId, CounterCallId, ServerId};
 use crate::experiment::{Experiment, Variant};
-use crate::metrics::{Results, Second};
+use crate::metrics::{MisbehavingClients, Results, SecondMetrics};
 use crate::node_settings;
 use crate::record::{Recorded, Recorder};
 use crate::world::{Action, GatewayState, World};
@@ -42,7 +42,7 @@
 const STILL_THERE: Duration = Duration::from_millis(1500);
 
 /// What a run is told each second: which one, what it brought, how many tries are out.
-pub type Watch<'a> = dyn FnMut(u64, &Second) + 'a;
+pub type Watch<'a> = dyn FnMut(u64, &SecondMetrics) + 'a;
 
 /// An edge node's program, and what it is started with.
 #[derive(Clone, Debug, Default)]
@@ -215,10 +215,13 @@
         .results("loopback", &experiment.title, &variant.name, seed);
     results.seconds = stage.now.min(stage.world.length()).as_secs_f64();
     results.by_second.truncate(results.seconds.ceil() as usize);
-    results.bad_clients = stage.bad;
+    results.misbehaving_clients = MisbehavingClients {
+        unanswered: stage.bad.0,
+        total: stage.bad.1,
+    };
     results.crashes = std::mem::take(&mut stage.crashes);
-    results.took = stage.now.as_secs_f64();
-    results.gateway_cpu = stage.gateways.iter().map(|it| it.process.cpu).sum();
+    results.wall_seconds = stage.now.as_secs_f64();
+    results.gateway_cpu_seconds = stage.gateways.iter().map(|it| it.process.cpu).sum();
     let most = stage
         .gateways
         .iter()
--- /dev/null
+++ b/lab/src/metrics/tests.rs
@@ -0,0 +1,88 @@
+use super::*;
+use crate::events::Rule;
+use serde_json::Value;
+
+/// A run with two broken rules as commit 73f2b76 wrote it, before fields were renamed.
+const STORED_BEFORE: &str = include_str!("results-of-73f2b76.jsonl");
+
+/// Figures and flags of a JSON value in their order, without the names of fields.
+fn leaves(value: &Value, out: &mut Vec<Value>) {
+    match value {
+        Value::Object(fields) => fields.values().for_each(|field| leaves(field, out)),
+        Value::Array(items) => items.iter().for_each(|item| leaves(item, out)),
+        leaf => out.push(leaf.clone()),
+    }
+}
+
+#[test]
+fn results_of_the_version_before_are_read_under_their_old_names() {
+    let results: Results = serde_json::from_str(STORED_BEFORE).expect("old results");
+    let totals = &results.totals;
+    assert_eq!(
+        (totals.requests, totals.succeeded, totals.rejected),
+        (257, 23, 232)
+    );
+    assert_eq!((totals.failed, totals.unreachable), (0, 2));
+    assert_eq!(
+        (totals.requested_value, totals.value_in_time),
+        (584.0, 64.0)
+    );
+    assert_eq!(
+        (totals.forwarded_units, totals.over_quota_units),
+        (176.0, 0.0)
+    );
+    assert_eq!(
+        (
+            totals.rejected_within_quota,
+            totals.rejected_with_half_quota
+        ),
+        (232, 224)
+    );
+    assert_eq!((totals.attempts, totals.new_connections), (65, 82));
+    assert_eq!(results.by_second.len(), 3);
+    assert_eq!(results.succeeded_ms.count, 23);
+    assert_eq!(results.rejected_ms.count, 232);
+    assert_eq!(results.server_load[0].server, "box-0000");
+    assert_eq!(results.server_load[0].busy_share.len(), 3);
+    assert_eq!(results.violation_count, 2);
+    let violation = &results.violations[0];
+    assert_eq!(violation.rule, Rule::NoEffectTwice);
+    assert_eq!(
+        (violation.at_seconds, violation.request),
+        (1.0006, Some(18))
+    );
+    assert_eq!(
+        violation.description,
+        "sent again after a try at server 1 that may have run"
+    );
+    assert!(!results.lateness.excessive);
+}
+
+#[test]
+fn results_of_the_version_before_keep_every_value_when_they_are_stored_again() {
+    let results: Results = serde_json::from_str(STORED_BEFORE).expect("old results");
+    let text = serde_json::to_string(&results).expect("results");
+    assert_eq!(
+        serde_json::from_str::<Results>(&text).expect("new results"),
+        results
+    );
+    let mut before = Vec::new();
+    let mut after = Vec::new();
+    leaves(
+        &serde_json::from_str(STORED_BEFORE).expect("JSON"),
+        &mut before,
+    );
+    leaves(&serde_json::from_str(&text).expect("JSON"), &mut after);
+    before.sort_by_key(Value::to_string);
+    after.sort_by_key(Value::to_string);
+    assert_eq!(before, after);
+}
+
+#[test]
+fn a_run_that_was_once_very_late_is_not_compared() {
+    let mut recorder = MetricsRecorder::new(Duration::ZERO, Duration::from_secs(1));
+    recorder.record_lateness(Duration::from_millis(2));
+    assert!(!recorder.results().lateness.excessive);
+    recorder.record_lateness(Duration::from_millis(300));
+    assert!(recorder.results().lateness.excessive);
+}
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -3,7 +3,7 @@
 
 mod plots;
 
-use crate::metrics::{Quantiles, Results, Second};
+use crate::metrics::{Quantiles, Results, SecondMetrics};
 use crate::stats;
 use plots::Line;
 use std::fmt::Write;
@@ -21,39 +21,39 @@
 svg{border:1px solid #eee}";
 
 /// A plot of something by second: its title, what is up, and the share it draws.
-type BySecond = (&'static str, &'static str, fn(&Second) -> (f64, f64));
+type BySecond = (&'static str, &'static str, fn(&SecondMetrics) -> (f64, f64));
 
 const OVER_TIME: &[BySecond] = &[
     (
         "Billed value in time",
         "share of what was asked inside quotas",
-        |it| (it.value_in_time, it.value_asked),
+        |it| (it.value_in_time, it.requested_value),
     ),
-    ("API calls", "a second", |it| (it.asked as f64, 1.0)),
+    ("API calls", "a second", |it| (it.requests as f64, 1.0)),
     ("Rate-limited", "share of API calls", |it| {
-        (it.limited as f64, it.asked as f64)
+        (it.rejected as f64, it.requests as f64)
     }),
     (
         "Rate-limited with half of the quota unused",
         "a second",
-        |it| (it.limited_half_unused as f64, 1.0),
+        |it| (it.rejected_with_half_quota as f64, 1.0),
     ),
     ("Sent beyond quotas", "share of units", |it| {
-        (it.beyond, it.units)
+        (it.over_quota_units, it.forwarded_units)
     }),
     ("Counter calls", "a second", |it| {
         (it.counter_calls as f64, 1.0)
     }),
     ("New connections", "a try", |it| {
-        (it.connections as f64, it.tries as f64)
+        (it.new_connections as f64, it.attempts as f64)
     }),
     ("Not answered, errored or nobody there", "a second", |it| {
-        ((it.unanswered + it.errored + it.unreached) as f64, 1.0)
+        ((it.unanswered + it.failed + it.unreachable) as f64, 1.0)
     }),
 ];
 
 /// Mean over the runs of a variant, second by second.
-fn over_time(runs: &[&Results], pick: fn(&Second) -> (f64, f64)) -> Vec<(f64, f64)> {
+fn over_time(runs: &[&Results], pick: fn(&SecondMetrics) -> (f64, f64)) -> Vec<(f64, f64)> {
     let longest = runs.iter().map(|it| it.by_second.len()).max().unwrap_or(0);
     let point = |at: usize| {
         let parts = runs.iter().filter_map(|it| it.by_second.get(at)).map(pick);
@@ -71,7 +71,7 @@
     let seconds = run
         .server_load
         .iter()
-        .map(|(_, load)| load.len())
+        .map(|load| load.busy_share.len())
         .max()
         .unwrap_or(0);
     let mut lines: Vec<Line> = ["busiest", "middle", "least busy"]
@@ -84,7 +84,7 @@
         let mut loads: Vec<f32> = run
             .server_load
             .iter()
-            .filter_map(|(_, load)| load.get(at).copied())
+            .filter_map(|load| load.busy_share.get(at).copied())
             .collect();
         loads.sort_by(f32::total_cmp);
         if let (Some(low), Some(high)) = (loads.first(), loads.last()) {
@@ -139,11 +139,11 @@
     }
     out.push_str("</tr>");
     let rows = results.first().map(|it| it.figures()).unwrap_or_default();
-    for (place, (figure, _)) in rows.iter().enumerate() {
-        let _ = write!(out, "<tr><td>{figure}</td>");
+    for (place, figure) in rows.iter().enumerate() {
+        let _ = write!(out, "<tr><td>{}</td>", figure.name);
         for name in &names {
             let of = results.iter().filter(|it| it.variant == *name);
-            let values: Vec<f64> = of.map(|it| it.figures()[place].1).collect();
+            let values: Vec<f64> = of.map(|it| it.figures()[place].value).collect();
             let _ = write!(
                 out,
                 "<td>{:.4}</td>",
@@ -207,9 +207,9 @@
     }
     out.push_str("</div><h3>Latency from the intended moment</h3><div class=\"plots\">");
     let quantiles: [(&str, Pick); 3] = [
-        ("Proxied", |it| &it.proxied_ms),
-        ("Rate-limited", |it| &it.limited_ms),
-        ("To the first try", |it| &it.first_try_ms),
+        ("Proxied", |it| &it.succeeded_ms),
+        ("Rate-limited", |it| &it.rejected_ms),
+        ("To the first try", |it| &it.first_attempt_ms),
     ];
     for (title, pick) in quantiles {
         let mut lines = Vec::new();
@@ -223,7 +223,7 @@
             let points = (0..longest).map(|at| {
                 let parts: Vec<f64> = runs
                     .iter()
-                    .filter_map(|it| Some(pick(it).curve.get(at)?.1))
+                    .filter_map(|it| Some(pick(it).curve.get(at)?.milliseconds))
                     .collect();
                 // Nines of the quantile: 1 is p90, 2 is p99.
                 (
@@ -276,21 +276,21 @@
                 escaped(&text)
             );
         };
-        it.broken
+        it.violations
             .iter()
             .take(20)
             .for_each(|broken| note(broken.to_string()));
-        if it.broken_count > 20 {
-            note(format!("{} broken rules in all", it.broken_count));
+        if it.violation_count > 20 {
+            note(format!("{} broken rules in all", it.violation_count));
         }
         it.crashes.iter().for_each(|crash| note(crash.clone()));
-        if it.bad_clients.0 > 0 {
+        if it.misbehaving_clients.unanswered > 0 {
             note(format!(
                 "{} of {} bad clients got neither error nor close",
-                it.bad_clients.0, it.bad_clients.1
+                it.misbehaving_clients.unanswered, it.misbehaving_clients.total
             ));
         }
-        if it.lateness.spoilt {
+        if it.lateness.excessive {
             let (p99, worst) = (it.lateness.p99_ms, it.lateness.worst_ms);
             note(format!(
                 "the laboratory ran late: {p99:.1} ms at p99, {worst:.0} ms at worst; not compared"
--- a/lab/src/report/tests.rs
+++ b/lab/src/report/tests.rs
@@ -10,22 +10,22 @@
         ..Results::default()
     };
     one.by_second = vec![
-        Second {
-            asked: 5,
-            value_asked: 4.0,
+        SecondMetrics {
+            requests: 5,
+            requested_value: 4.0,
             value_in_time: 2.0,
-            ..Second::default()
+            ..SecondMetrics::default()
         };
         4
     ];
-    one.broken = vec![RuleViolation {
+    one.violations = vec![RuleViolation {
         rule: Rule::Drains,
         at_seconds: 2.5,
         request: Some(7),
         gateway: Some(1),
         description: "sent".into(),
     }];
-    one.broken_count = 1;
+    one.violation_count = 1;
     let page = page("Title", "About & more", &[one]).expect("a page");
     for wanted in [
         "<h1>Title</h1>",
--- a/lab/src/runs.rs
+++ b/lab/src/runs.rs
@@ -88,7 +88,7 @@
             };
             let mut results = play()?;
             for _ in 0..ways.again {
-                if !results.lateness.spoilt {
+                if !results.lateness.excessive {
                     break;
                 }
                 results = play()?;
--- a/lab/src/stats.rs
+++ b/lab/src/stats.rs
@@ -1,6 +1,6 @@
 //! Differences between variants, paired by seed, with intervals of 95%.
 
-use crate::metrics::Results;
+use crate::metrics::{Figure, Results};
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
@@ -62,7 +62,7 @@
 
 /// Neither of a pair was spoilt by a laboratory that ran late.
 pub fn in_time(pair: &(&Results, &Results)) -> bool {
-    !pair.0.lateness.spoilt && !pair.1.lateness.spoilt
+    !pair.0.lateness.excessive && !pair.1.lateness.excessive
 }
 
 impl std::fmt::Display for Interval {
@@ -131,14 +131,14 @@
                     pairs.iter().map(pick).collect::<Vec<f64>>()
                 };
                 let (ones, twos) = (
-                    column(&|pair| pair.0[place].1),
-                    column(&|pair| pair.1[place].1),
+                    column(&|pair| pair.0[place].value),
+                    column(&|pair| pair.1[place].value),
                 );
                 let differences: Vec<f64> =
                     ones.iter().zip(&twos).map(|(one, two)| two - one).collect();
                 let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len().max(1) as f64;
                 Row {
-                    figure: pairs[0].0[place].0.to_string(),
+                    figure: pairs[0].0[place].name.to_string(),
                     base: mean(&ones),
                     other: mean(&twos),
                     difference: Interval::of(&differences),
@@ -158,7 +158,7 @@
     all
 }
 
-type Figures = Vec<(&'static str, f64)>;
+type Figures = Vec<Figure>;
 
 #[cfg(test)]
 mod tests;
--- a/lab/src/stats/tests.rs
+++ b/lab/src/stats/tests.rs
@@ -20,7 +20,7 @@
             engine: "simulated".into(),
             ..Results::default()
         };
-        (it.all.value_asked, it.all.value_in_time) = (10.0, in_time);
+        (it.totals.requested_value, it.totals.value_in_time) = (10.0, in_time);
         it
     };
     let mut results = vec![
@@ -30,7 +30,7 @@
         run("b", 1, 6.0),
     ];
     results.extend([run("a", 3, 9.0), run("b", 3, 1.0)]);
-    results[5].lateness.spoilt = true;
+    results[5].lateness.excessive = true;
     let found = &compare(&results)[0];
     assert_eq!((found.late, found.rows[0].pairs), (1, 2));
     assert!(
--- a/lab/src/validate.rs
+++ b/lab/src/validate.rs
@@ -31,12 +31,7 @@
 
 /// The model's differences by seed.
 fn differences(results: &[Results], base: &str, other: &str, figure: &str) -> Vec<f64> {
-    let value = |it: &Results| {
-        it.figures()
-            .iter()
-            .find(|(name, _)| *name == figure)
-            .map_or(0.0, |it| it.1)
-    };
+    let value = |it: &Results| it.figure(figure).unwrap_or(0.0);
     let all: Vec<&Results> = results.iter().collect();
     let pairs = stats::pairs(&all, base, other)
         .into_iter()
@@ -87,7 +82,7 @@
             off: reach(&simulated, measured.len()),
             measured: mean(&measured),
             measured_seeds: measured.len(),
-            late: loopback.iter().filter(|it| it.lateness.spoilt).count(),
+            late: loopback.iter().filter(|it| it.lateness.excessive).count(),
         }
     };
     Ok(sides[1..].iter().map(trial).collect())
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -13,7 +13,7 @@
     AttemptEnd, AttemptId, ClientOutcome, ClientRequestId, CounterCallId, OperationId, ServerId,
 };
 use crate::experiment::{Experiment, Group};
-use crate::metrics::{MetricsRecorder, Results};
+use crate::metrics::{MetricsRecorder, Results, ServerLoad};
 use crate::record::Recorded;
 use crate::rule_checker::RuleChecker;
 use clients::{Account, Clients, Operation};
@@ -375,14 +375,15 @@
         (results.engine, results.seed) = (engine.into(), seed);
         let fleet = &self.experiment.fleet;
         (results.gateways, results.servers) = (fleet.gateways, fleet.servers);
-        results.broken = std::mem::take(&mut self.rule_checker.broken);
-        results.broken_count = self.rule_checker.count;
-        let named = |at: &u32| self.servers[*at as usize].name.clone();
+        results.violations = std::mem::take(&mut self.rule_checker.broken);
+        results.violation_count = self.rule_checker.count;
         results.server_load = self
             .metrics
-            .busy
-            .iter()
-            .map(|(at, load)| (named(at), load.clone()))
+            .server_load()
+            .map(|(server, busy_share)| ServerLoad {
+                server: self.servers[server as usize].name.clone(),
+                busy_share: busy_share.to_vec(),
+            })
             .collect();
         results
     }
@@ -454,9 +455,12 @@
             let counted = self.next_busy <= self.length.as_secs();
             for (place, server) in self.servers.iter().enumerate().filter(|_| counted) {
                 let spent = server.busy - self.last_busy[place];
-                let load = self.metrics.busy.entry(place as u32).or_default();
-                load.resize(self.next_busy as usize - 1, 0.0);
-                load.push((spent / server.build.cores as f64) as f32);
+                let busy_share = (spent / server.build.cores as f64) as f32;
+                self.metrics.record_server_load(
+                    place as u32,
+                    self.next_busy as usize - 1,
+                    busy_share,
+                );
                 self.last_busy[place] = server.busy;
             }
             let memory = self
@@ -537,7 +541,7 @@
     /// Something new is wanted: what is inside the quota counts as asked for.
     fn wanted(&mut self, now: Duration, origin: usize, actions: &mut Vec<Action>) {
         if self.clients.operations[origin].inside {
-            self.metrics.second_at(now).value_asked += self.value(origin);
+            self.metrics.second_at(now).requested_value += self.value(origin);
         }
         self.ask(now, OperationId(origin as u32), actions);
     }
@@ -551,7 +555,7 @@
             }
             (origin.account as usize, origin.route)
         };
-        self.metrics.second_at(now).asked += 1;
+        self.metrics.second_at(now).requests += 1;
         let notices = secs(self.experiment.load.front_notices);
         let order = self.clients.order(account, now);
         let led = order.into_iter().find(|gateway| {
@@ -566,7 +570,7 @@
         });
         let there = led.filter(|gateway| self.gateways[*gateway].state != GatewayState::Down);
         let Some(gateway) = there else {
-            self.metrics.second_at(now).unreached += 1;
+            self.metrics.second_at(now).unreachable += 1;
             return self.again(now, id, None);
         };
         let timeout = secs(self.experiment.routes[route].client_timeout);
@@ -620,7 +624,7 @@
         }
         it.closed = true;
         let origin = it.operation;
-        self.metrics.second_at(now).unreached += 1;
+        self.metrics.second_at(now).unreachable += 1;
         self.again(now, origin, None);
     }
 
@@ -682,7 +686,7 @@
         let (account, units) = (origin.account as usize, origin.units);
         match verdict {
             ClientOutcome::Served { .. } => {
-                self.metrics.proxied(now, took);
+                self.metrics.record_success(now, took);
                 let route = &self.experiment.routes[origin.route];
                 let worth = if took <= secs(route.latency_target) {
                     1.0
@@ -698,19 +702,19 @@
                 (origin.earned, origin.done) = (true, true);
             }
             ClientOutcome::Rejected => {
-                self.metrics.limited(now, took);
+                self.metrics.record_rejection(now, took);
                 let cap = self.experiment.plans[self.clients.accounts[account].plan].cap;
                 let it = &mut self.clients.accounts[account];
                 let room = it.sent.holds(now, units) && (cap <= 0.0 || it.out < cap);
                 let half = it.sent.holds(now, units.max(it.sent.depth / 2.0))
                     && (cap <= 0.0 || it.out < cap / 2.0);
                 let second = self.metrics.second_at(now);
-                second.limited_with_room += u64::from(room);
-                second.limited_half_unused += u64::from(half);
+                second.rejected_within_quota += u64::from(room);
+                second.rejected_with_half_quota += u64::from(half);
                 self.again(now, id, advice);
             }
             ClientOutcome::Failed | ClientOutcome::Disconnected => {
-                self.metrics.errored(now, took);
+                self.metrics.record_failure(now, took);
                 self.again(now, id, None);
             }
         }
@@ -735,7 +739,7 @@
     }
 
     pub fn on_connect(&mut self, now: Duration, server: ServerId) {
-        self.metrics.second_at(now).connections += 1;
+        self.metrics.second_at(now).new_connections += 1;
         self.servers[server.0 as usize].connections += 1;
     }
 
@@ -763,7 +767,7 @@
             ended: false,
             response: None,
         });
-        self.metrics.second_at(now).tries += 1;
+        self.metrics.second_at(now).attempts += 1;
         self.rule_checker.came(now, id, ask, gateway, server);
         let it = &mut self.requests[ask.0 as usize];
         let (first, born) = (!std::mem::replace(&mut it.forwarded, true), it.scheduled_at);
@@ -778,7 +782,8 @@
         self.clients.accounts[account].out += 1.0;
         if first {
             let origin = it.operation;
-            self.metrics.first_try(now, now.saturating_sub(born));
+            self.metrics
+                .record_first_attempt(now, now.saturating_sub(born));
             let within = self.sent_on(now, account, units, route);
             self.clients.operations[origin.0 as usize].within = within;
         }
@@ -850,10 +855,10 @@
         let fits = it.sent.pay(now, units);
         let value = self.experiment.routes[route].billed_value * plan.price * units;
         let second = self.metrics.second_at(now);
-        second.units += units;
+        second.forwarded_units += units;
         if !fits {
-            second.beyond += units;
-            second.beyond_cost += value * plan.over_cost;
+            second.over_quota_units += units;
+            second.over_quota_cost += value * plan.over_cost;
         }
         fits
     }
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -10,7 +10,7 @@
 //! sound                           no rule was broken, nothing crashed
 //! breaks drains                   a rule was broken, and no other one was
 //! again                           plays the same once more: the results are the same to the byte
-//! figure served above 0.5         one of the figures, or a count of the day such as 'asked'
+//! figure served above 0.5         one of the figures, or a count of the day such as 'requests'
 //! read TEXT                       reads this as an experiment ('\n' parts lines) ...
 //! complains 2:1 unknown field     ... which is refused there, for this
 //! ```
@@ -126,18 +126,21 @@
                 assert!(
                     it.sound(),
                     "{:?} {:?}",
-                    &it.broken[..it.broken.len().min(5)],
+                    &it.violations[..it.violations.len().min(5)],
                     it.crashes
                 );
             }
             ["breaks", name] => {
                 let it = self.results();
-                assert!(it.broken_count > 0, "nothing was broken");
-                let other = it.broken.iter().find(|broken| broken.rule != rule(name));
+                assert!(it.violation_count > 0, "nothing was broken");
+                let other = it
+                    .violations
+                    .iter()
+                    .find(|broken| broken.rule != rule(name));
                 assert!(other.is_none(), "{}", other.expect("found"));
-                let named = it.broken.iter().all(|broken| broken.at_seconds > 0.0);
+                let named = it.violations.iter().all(|broken| broken.at_seconds > 0.0);
                 let called = it
-                    .broken
+                    .violations
                     .iter()
                     .all(|it| it.request.is_some() || it.rule == Rule::ColdServers);
                 assert!(named && called, "a broken rule names its time and API call");
@@ -145,12 +148,8 @@
             ["figure", ref name @ .., how @ ("above" | "below"), bound] => {
                 let (name, bound) = (name.join(" "), bound.parse::<f64>().expect("a number"));
                 let it = self.results();
-                let counts = serde_json::to_value(&it.all).expect("counts");
-                let found = it
-                    .figures()
-                    .into_iter()
-                    .find(|(known, _)| *known == name)
-                    .map(|it| it.1);
+                let counts = serde_json::to_value(&it.totals).expect("counts");
+                let found = it.figure(&name);
                 let value = found.or(counts[&name].as_f64()).expect("a figure");
                 assert!(
                     if how == "above" {
--- a/tool/src/lab.rs
+++ b/tool/src/lab.rs
@@ -12,7 +12,7 @@
 use wellcrank_lab::clock::Clock;
 use wellcrank_lab::experiment::{Engine, Experiment, Variant};
 use wellcrank_lab::loopback::Program;
-use wellcrank_lab::metrics::{Results, Second};
+use wellcrank_lab::metrics::{Figure, Results, SecondMetrics};
 use wellcrank_lab::runs::{self, Ways};
 use wellcrank_lab::{capacity, loopback, report, stats, validate};
 
@@ -239,19 +239,19 @@
 /// What a day brought, in lines.
 fn summary(it: &Results) {
     println!();
-    for (name, value) in it.figures() {
+    for Figure { name, value } in it.figures() {
         println!("{name:>22}  {value:.4}");
     }
-    let all = &it.all;
+    let all = &it.totals;
     println!(
         "{:>22}  {} API calls: {} proxied, {} rate-limited, {} errored, {} unanswered, {} found nobody",
-        "in all", all.asked, all.proxied, all.limited, all.errored, all.unanswered, all.unreached
+        "in all", all.requests, all.succeeded, all.rejected, all.failed, all.unanswered, all.unreachable
     );
     println!(
         "{:>22}  {:.2} s of processor time for {:.0} s, {:.1} MB at most",
-        "gateways used", it.gateway_cpu, it.took, it.gateway_mb
+        "gateways used", it.gateway_cpu_seconds, it.wall_seconds, it.gateway_mb
     );
-    if it.lateness.spoilt {
+    if it.lateness.excessive {
         println!(
             "{:>22}  the laboratory itself ran late ({:.1} ms at p99): these figures are not to be compared",
             "late", it.lateness.p99_ms
@@ -263,13 +263,13 @@
 fn verdict(results: &[Results]) -> Result<(), Short> {
     let mut wrongs = 0;
     for it in results {
-        for broken in it.broken.iter().take(10) {
+        for broken in it.violations.iter().take(10) {
             println!("{} seed {}: {broken}", it.variant, it.seed);
         }
         for crash in &it.crashes {
             println!("{} seed {}: {crash}", it.variant, it.seed);
         }
-        wrongs += it.broken_count + it.crashes.len() as u64;
+        wrongs += it.violation_count + it.crashes.len() as u64;
     }
     match wrongs {
         0 => Ok(()),
@@ -304,21 +304,21 @@
         "{:>6} {:>7} {:>8} {:>8} {:>8} {:>9} {:>8} {:>9} {:>8}",
         "second", "asked", "proxied", "limited", "errored", "in time", "beyond", "counter", "tries"
     );
-    let watch = |second: u64, it: &Second| {
+    let watch = |second: u64, it: &SecondMetrics| {
         if second.is_multiple_of(20) {
             println!("{head}");
         }
         let share = |part: f64, of: f64| if of > 0.0 { 100.0 * part / of } else { 0.0 };
         println!(
             "{second:>6} {:>7} {:>8} {:>8} {:>8} {:>8.1}% {:>7.1}% {:>9} {:>8}",
-            it.asked,
-            it.proxied,
-            it.limited,
-            it.errored + it.unanswered + it.unreached,
-            share(it.value_in_time, it.value_asked),
-            share(it.beyond, it.units),
+            it.requests,
+            it.succeeded,
+            it.rejected,
+            it.failed + it.unanswered + it.unreachable,
+            share(it.value_in_time, it.requested_value),
+            share(it.over_quota_units, it.forwarded_units),
             it.counter_calls,
-            it.tries
+            it.attempts
         );
     };
     let beside = it.file.as_deref().map(beside).unwrap_or_default();
@@ -408,10 +408,11 @@
     if comparisons.is_empty() {
         let names = stats::variants(results);
         let rows = results[0].figures();
-        for (place, (figure, _)) in rows.iter().enumerate() {
-            let values: Vec<f64> = results.iter().map(|it| it.figures()[place].1).collect();
+        for (place, figure) in rows.iter().enumerate() {
+            let values: Vec<f64> = results.iter().map(|it| it.figures()[place].value).collect();
             println!(
-                "{figure:>22}  {}  ({})",
+                "{:>22}  {}  ({})",
+                figure.name,
                 stats::Interval::of(&values),
                 names.join(", ")
             );
@@ -612,22 +613,22 @@
         &ways,
     )?;
     let mut told = |step: &capacity::Step| {
-        let all = &step.results;
-        let each = all.gateway_cpu
-            / (all
+        let results = &step.results;
+        let each = results.gateway_cpu_seconds
+            / (results
                 .by_second
                 .iter()
-                .map(|second| second.asked)
+                .map(|second| second.requests)
                 .sum::<u64>()
                 .max(1) as f64);
         println!(
             "{:>9.0} {:>8} {:>9.2} {:>9.2} {:>6.0} us {:>7.1} ms {:>8}",
             step.calls,
-            all.all.proxied,
-            all.proxied_ms.p50,
-            all.proxied_ms.p99,
+            results.totals.succeeded,
+            results.succeeded_ms.p50,
+            results.succeeded_ms.p99,
             each * 1e6,
-            all.lateness.p99_ms,
+            results.lateness.p99_ms,
             if step.borne { "yes" } else { "no" }
         );
     };
@@ -638,7 +639,7 @@
     );
     println!(
         "at rest: {:.2}% of a core, {:.1} MB",
-        100.0 * rest.gateway_cpu / rest.took.max(1.0),
+        100.0 * rest.gateway_cpu_seconds / rest.wall_seconds.max(1.0),
         rest.gateway_mb
     );
     Ok(())
@@ -664,7 +665,7 @@
         let start = Clock::start();
         let results = runs::one(&day, &Variant::default(), 1, &Ways::default())?;
         let took = start.now().as_secs_f64();
-        let asked: u64 = results.by_second.iter().map(|second| second.asked).sum();
+        let asked: u64 = results.by_second.iter().map(|second| second.requests).sum();
         println!(
             "{gateways:>9} {:>8} {asked:>9} {took:>8.2} s {:>12.3} s {:>11.1} us",
             day.fleet.servers,
--- a/tool/tests/soak.rs
+++ b/tool/tests/soak.rs
@@ -211,15 +211,15 @@
     }
     match played {
         Err(why) => Some(format!("seed {seed}: not played: {why}")),
-        Ok(results) if results.sound() && results.bad_clients.0 == 0 => None,
+        Ok(results) if results.sound() && results.misbehaving_clients.unanswered == 0 => None,
         Ok(results) => {
             let broken: Vec<String> = results
-                .broken
+                .violations
                 .iter()
                 .take(6)
                 .map(|it| format!("\n  {it}"))
                 .collect();
-            let (crashes, bad) = (&results.crashes, results.bad_clients);
+            let (crashes, bad) = (&results.crashes, results.misbehaving_clients);
             Some(format!(
                 "seed {seed}: bad clients {bad:?}, crashes {crashes:?}{}",
                 broken.concat()
