--- a/lab/src/world/agenda.rs
+++ b/lab/src/world/event_queue.rs
@@ -1,26 +1,26 @@
 //! What falls due in the world, in one ordered structure.
 
-use super::{AskId, CountId, OriginId, ServerNo, TryId};
+use crate::events::{AttemptId, ClientRequestId, CounterCallId, OperationId, ServerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug)]
-pub enum Due {
+pub enum WorldEvent {
     /// The next API call that no answer waits for.
     Arrival,
     /// One of the recorded ones.
     Replayed(usize),
     /// A client asks again.
-    Again(OriginId),
+    Again(OperationId),
     /// A client's patience, and the end of its time.
-    Leaves(AskId),
-    TimeUp(AskId),
+    Leaves(ClientRequestId),
+    TimeUp(ClientRequestId),
     /// A server has done a try's work.
-    Served(ServerNo, TryId),
+    Served(ServerId, AttemptId),
     /// What a server says has come where it is heard.
-    Said(TryId),
+    Said(AttemptId),
     /// A line of the counter is done with a call.
-    Counted(CountId),
+    Counted(CounterCallId),
     /// A change of the list reaches a gateway.
     Told {
         gateway: usize,
@@ -33,22 +33,22 @@
     },
     TroubleEnds(usize),
     /// A server that was down is back.
-    Returns(ServerNo),
+    Returns(ServerId),
     /// A server that was to leave is done.
-    Retires(ServerNo),
+    Retires(ServerId),
     /// A gateway that was told to stop is killed, and one that was killed starts.
     Kill(usize),
     Start(usize),
 }
 
 #[derive(Default)]
-pub struct Agenda {
-    due: BTreeMap<(Duration, u64), Due>,
+pub struct EventQueue {
+    due: BTreeMap<(Duration, u64), WorldEvent>,
     last: u64,
 }
 
-impl Agenda {
-    pub fn at(&mut self, when: Duration, due: Due) {
+impl EventQueue {
+    pub fn at(&mut self, when: Duration, due: WorldEvent) {
         self.last += 1;
         self.due.insert((when, self.last), due);
     }
@@ -58,7 +58,7 @@
     }
 
     /// What is due by now, and when it was.
-    pub fn pop(&mut self, now: Duration) -> Option<(Duration, Due)> {
+    pub fn pop(&mut self, now: Duration) -> Option<(Duration, WorldEvent)> {
         let first = self
             .due
             .first_entry()
