--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -10,19 +10,21 @@
 //! sound                           no rule was broken, nothing crashed
 //! breaks drains                   a rule was broken, and no other one was
 //! again                           plays the same once more: the results are the same to the byte
-//! figure served above 0.5         one of the figures, or a count of the day such as 'asked'
+//! figure served above 0.5         one of the figures, or a count of the day such as 'requests'
 //! read TEXT                       reads this as an experiment ('\n' parts lines) ...
 //! complains 2:1 unknown field     ... which is refused there, for this
 //! ```
 //!
 //! The engine on loopback is played by the scenarios of the command, in `tool/tests`.
 
-#[path = "../../tests/plays/mod.rs"]
-mod plays;
+#[path = "../../tests/scenario_runner/mod.rs"]
+mod scenario_runner;
 
+use scenario_runner::Scenario;
+use std::convert::Infallible;
+use wellcrank_lab::events::Rule;
 use wellcrank_lab::experiment::{Experiment, Trouble, Variant};
-use wellcrank_lab::measure::Results;
-use wellcrank_lab::referee::Rule;
+use wellcrank_lab::metrics::Results;
 use wellcrank_lab::simulated::{self, Fault};
 
 #[derive(Default)]
@@ -126,31 +128,30 @@
                 assert!(
                     it.sound(),
                     "{:?} {:?}",
-                    &it.broken[..it.broken.len().min(5)],
+                    &it.violations[..it.violations.len().min(5)],
                     it.crashes
                 );
             }
             ["breaks", name] => {
                 let it = self.results();
-                assert!(it.broken_count > 0, "nothing was broken");
-                let other = it.broken.iter().find(|broken| broken.rule != rule(name));
+                assert!(it.violation_count > 0, "nothing was broken");
+                let other = it
+                    .violations
+                    .iter()
+                    .find(|broken| broken.rule != rule(name));
                 assert!(other.is_none(), "{}", other.expect("found"));
-                let named = it.broken.iter().all(|broken| broken.at > 0.0);
+                let named = it.violations.iter().all(|broken| broken.at_seconds > 0.0);
                 let called = it
-                    .broken
+                    .violations
                     .iter()
-                    .all(|it| it.call.is_some() || it.rule == Rule::ColdServers);
+                    .all(|it| it.request.is_some() || it.rule == Rule::ColdServers);
                 assert!(named && called, "a broken rule names its time and API call");
             }
             ["figure", ref name @ .., how @ ("above" | "below"), bound] => {
                 let (name, bound) = (name.join(" "), bound.parse::<f64>().expect("a number"));
                 let it = self.results();
-                let counts = serde_json::to_value(&it.all).expect("counts");
-                let found = it
-                    .figures()
-                    .into_iter()
-                    .find(|(known, _)| *known == name)
-                    .map(|it| it.1);
+                let counts = serde_json::to_value(&it.totals).expect("counts");
+                let found = it.figure(&name);
                 let value = found.or(counts[&name].as_f64()).expect("a figure");
                 assert!(
                     if how == "above" {
@@ -183,10 +184,24 @@
     }
 }
 
+impl Scenario for Stage {
+    type Step = String;
+    type ParseError = Infallible;
+
+    fn new(_: &str) -> Self {
+        Self::default()
+    }
+
+    fn parse_line(line: &str) -> Result<Vec<String>, Infallible> {
+        Ok(vec![line.to_string()])
+    }
+
+    fn run_step(&mut self, step: &String) {
+        self.step(step);
+    }
+}
+
 #[test]
 fn every_scenario() {
-    plays::every_scenario(|stage: &mut Stage, _, line| match line {
-        "end" => (),
-        line => stage.step(line),
-    });
+    scenario_runner::run_all::<Stage>();
 }
