--- a/lab/src/loopback/clients.rs
+++ b/lab/src/loopback/clients.rs
@@ -138,7 +138,7 @@
         }
         list.push_str(&format!(
             ",units={},spread={},first={}",
-            origin.units, account.spread, account.first
+            origin.units, account.gateway_count, account.first_gateway
         ));
         let verb = if route.repeat == Repeat::Idempotent {
             "SVC.QUERY"
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -18,7 +18,7 @@
 use crate::metrics::{MisbehavingClients, Results, SecondMetrics};
 use crate::node_settings;
 use crate::record::{Recorded, Recorder};
-use crate::world::{Action, GatewayState, World};
+use crate::world::{Action, GatewayState, ResponseDelay, World};
 use mio::net::{TcpListener, UdpSocket};
 use mio::{Events, Interest, Poll, Registry, Token};
 use nanorand::{Rng, WyRand};
@@ -171,7 +171,7 @@
     let world = World::new(
         &changed,
         seed,
-        true,
+        ResponseDelay::AddedByWorld,
         SLACK,
         std::mem::take(&mut terms.replay),
     );
--- a/lab/src/loopback/servers.rs
+++ b/lab/src/loopback/servers.rs
@@ -5,7 +5,7 @@
 use crate::events::{AttemptId, ClientRequestId, ServerId};
 use crate::node_settings::{self, ListedServer};
 use crate::world::server::ListingState;
-use crate::world::{EndpointChange, ServerResponse};
+use crate::world::{AttemptArrival, EndpointChange, ServerResponse};
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
 use serde_json::Value;
@@ -221,9 +221,12 @@
                 let mut actions = Vec::new();
                 let of = self.world.on_attempt_arrival(
                     self.now,
-                    gateway,
-                    server,
-                    (ask, fresh),
+                    AttemptArrival {
+                        gateway,
+                        server,
+                        request: ask,
+                        fresh_connection: fresh,
+                    },
                     &mut actions,
                 );
                 if let Some(Place::Upstream(it)) = self.places.get_mut(key) {
--- a/lab/src/rule_checker.rs
+++ b/lab/src/rule_checker.rs
@@ -1,447 +1,565 @@
-//! The referee: checks the five rules from what the stand-ins saw. It shares no code with the program and
-//! knows nothing of how it decides. A broken rule names rule, time, API call and gateway.
+//! The rule checker: judges the five rules from what the emulated platform observed of the gateways.
+//!
+//! It shares no code with the program and knows nothing of how that decides. This holds also where both need
+//! the same thing, such as the token bucket of a ceiling: a fault of the program's must not hide itself from
+//! its checker. A violation names rule, time, request and gateway.
 
 use crate::events::{
     AttemptEnd, AttemptId, ClientOutcome, ClientRequestId, Rule, RuleViolation, ServerId,
 };
-use crate::experiment::{Experiment, Group, Repeat};
+use crate::experiment::{Experiment, Group, Repeat, RouteTerms};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-struct TrySeen {
-    of: AttemptId,
+/// The timeout that a gateway advertises to a server may exceed what the client has left by so much: the
+/// command's way from the gateway takes time.
+const ADVERTISED_TIMEOUT_SLACK: Duration = Duration::from_millis(150);
+/// An attempt may arrive so long after its client has closed its connection.
+const CLIENT_GONE_SLACK: Duration = Duration::from_millis(100);
+/// So many violations are kept; the rest are counted.
+const MAX_VIOLATIONS: usize = 200;
+
+/// An attempt as its server saw it.
+struct ObservedAttempt {
+    id: AttemptId,
     server: ServerId,
-    came: Duration,
-    end: Option<(Duration, AttemptEnd)>,
+    arrived_at: Duration,
+    end: Option<AttemptEnd>,
+}
+
+impl ObservedAttempt {
+    fn is_in_flight(&self) -> bool {
+        self.end.is_none()
+    }
+
+    /// Whether its effect may have happened: all but a rejected one.
+    fn may_have_run(&self) -> bool {
+        self.end != Some(AttemptEnd::Rejected)
+    }
+}
+
+/// A request that a gateway has accepted.
+pub(crate) struct AcceptedRequest {
+    /// The request.
+    pub(crate) id: ClientRequestId,
+    /// The gateway that accepted it.
+    pub(crate) gateway: usize,
+    /// Index of its route.
+    pub(crate) route: usize,
+    /// Index of its account.
+    pub(crate) account: u32,
+    /// Units that it asks for.
+    pub(crate) units: f64,
+    /// When the gateway accepted it.
+    pub(crate) accepted_at: Duration,
+    /// When its client timeout ends.
+    pub(crate) deadline: Duration,
 }
 
-struct Seen {
-    asked: Duration,
+/// What is known of an accepted request.
+struct ObservedRequest {
+    request: AcceptedRequest,
     /// When its client closed its connection.
-    left: Option<Duration>,
-    route: usize,
-    gateway: usize,
-    account: u32,
-    units: f64,
-    until: Duration,
-    tries: Vec<TrySeen>,
-    answer: Option<Duration>,
-    /// The client has gone, or the gateway was killed: nothing is owed any more.
+    client_gone_at: Option<Duration>,
+    attempts: Vec<ObservedAttempt>,
+    answered_at: Option<Duration>,
+    /// The client has gone or the gateway was killed: no answer is owed any more.
     excused: bool,
 }
 
-/// What a ceiling leaves.
-struct Ceiling {
-    left: f64,
-    at: Duration,
+/// The token bucket of a customer's hard ceiling.
+struct CeilingBucket {
+    units_left: f64,
+    filled_at: Duration,
+}
+
+/// Where a server stands.
+#[derive(Clone, Copy, Default)]
+struct ServerLocation {
+    cell: u64,
+    zone: usize,
 }
 
-pub struct RuleChecker {
-    terms: Experiment,
+/// A violation found while a record was borrowed.
+type Finding = (Rule, String);
+
+/// Observes a run and collects the rules that it breaks.
+pub(crate) struct RuleChecker {
+    experiment: Experiment,
+    /// How much later than a rule's figure is still in time, for what is on its way.
     slack: Duration,
-    asks: BTreeMap<ClientRequestId, Seen>,
-    open: Vec<BTreeSet<ClientRequestId>>,
-    /// Since when a gateway knows that a server drains or is gone.
-    told: BTreeMap<(usize, ServerId), Duration>,
-    /// Cell and zone of each server.
-    places: BTreeMap<ServerId, (u64, usize)>,
-    ceilings: BTreeMap<u32, Ceiling>,
-    plan_of: BTreeMap<u32, usize>,
-    /// A second try came while one was out: to be ended by then.
+    requests: BTreeMap<ClientRequestId, ObservedRequest>,
+    /// Requests without an answer, by gateway.
+    unanswered: Vec<BTreeSet<ClientRequestId>>,
+    /// Since when a gateway knows that a server drains or is removed.
+    draining_since: BTreeMap<(usize, ServerId), Duration>,
+    locations: BTreeMap<ServerId, ServerLocation>,
+    ceilings: BTreeMap<u32, CeilingBucket>,
+    plans: BTreeMap<u32, usize>,
+    /// Attempts that were in flight when another one came, and by when they have to end.
     overlaps: BTreeMap<(ClientRequestId, AttemptId), Duration>,
-    pub broken: Vec<RuleViolation>,
-    /// All of them; the list ends at some.
-    pub count: u64,
+    violations: Vec<RuleViolation>,
+    violation_count: u64,
 }
 
-/// What a server is told may be so much more than what the client has left.
-const TOLD_SLACK: Duration = Duration::from_millis(150);
-/// A try may begin so long after its client has left.
-const GONE_SLACK: Duration = Duration::from_millis(100);
-/// So many are kept.
-const KEPT: usize = 200;
-
 impl RuleChecker {
-    /// `slack`: how much later than a rule's figure is still in time, for what is under way.
-    pub fn new(terms: &Experiment, slack: Duration) -> RuleChecker {
+    /// `slack`: how much later than a rule's figure is still in time, for what is on its way.
+    pub(crate) fn new(experiment: &Experiment, slack: Duration) -> RuleChecker {
         RuleChecker {
-            terms: terms.clone(),
+            experiment: experiment.clone(),
             slack,
-            asks: BTreeMap::new(),
-            open: vec![BTreeSet::new(); terms.fleet.gateways],
-            told: BTreeMap::new(),
-            places: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            unanswered: vec![BTreeSet::new(); experiment.fleet.gateways],
+            draining_since: BTreeMap::new(),
+            locations: BTreeMap::new(),
             ceilings: BTreeMap::new(),
-            plan_of: BTreeMap::new(),
+            plans: BTreeMap::new(),
             overlaps: BTreeMap::new(),
-            broken: Vec::new(),
-            count: 0,
+            violations: Vec::new(),
+            violation_count: 0,
         }
     }
 
-    fn breaks(
+    /// How many rules were broken, those that were not kept included.
+    pub(crate) fn violation_count(&self) -> u64 {
+        self.violation_count
+    }
+
+    /// The first violations, in the order in which they were found.
+    pub(crate) fn take_violations(&mut self) -> Vec<RuleViolation> {
+        std::mem::take(&mut self.violations)
+    }
+
+    fn record_violation(
         &mut self,
         rule: Rule,
         now: Duration,
-        call: Option<ClientRequestId>,
+        request: Option<ClientRequestId>,
         gateway: Option<usize>,
-        what: String,
+        description: String,
     ) {
-        self.count += 1;
-        if self.broken.len() < KEPT {
-            self.broken.push(RuleViolation {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_VIOLATIONS {
+            self.violations.push(RuleViolation {
                 rule,
                 at_seconds: now.as_secs_f64(),
-                request: call.map(|id| id.0),
+                request: request.map(|id| id.0),
                 gateway,
-                description: what,
+                description,
             });
         }
     }
 
-    pub fn server(&mut self, server: ServerId, cell: u64, zone: usize) {
-        self.places.insert(server, (cell, zone));
+    /// There is a new server.
+    pub(crate) fn add_server(&mut self, server: ServerId, cell: u64, zone: usize) {
+        self.locations.insert(server, ServerLocation { cell, zone });
     }
 
-    pub fn account(&mut self, account: u32, plan: usize) {
-        self.plan_of.insert(account, plan);
+    /// There is a new account, under this plan.
+    pub(crate) fn add_account(&mut self, account: u32, plan: usize) {
+        self.plans.insert(account, plan);
     }
 
-    /// A gateway was told of a server, at the moment when that was written to it.
-    pub fn told(&mut self, now: Duration, gateway: usize, server: ServerId, wanted: bool) {
-        if wanted {
-            self.told.remove(&(gateway, server));
+    /// A gateway was notified of a server's state, at the moment when that was written to it.
+    pub(crate) fn on_gateway_notified(
+        &mut self,
+        now: Duration,
+        gateway: usize,
+        server: ServerId,
+        ready: bool,
+    ) {
+        if ready {
+            self.draining_since.remove(&(gateway, server));
         } else {
-            self.told.entry((gateway, server)).or_insert(now);
+            self.draining_since.entry((gateway, server)).or_insert(now);
         }
     }
 
-    /// A gateway that starts knows nothing of what its earlier life was told.
-    pub fn started(&mut self, gateway: usize) {
-        self.told.retain(|(told, _), _| *told != gateway);
+    /// A gateway that starts knows nothing of what its earlier process was notified of.
+    pub(crate) fn on_gateway_started(&mut self, gateway: usize) {
+        self.draining_since
+            .retain(|(notified, _), _| *notified != gateway);
     }
 
-    /// A gateway has taken an API call, to be answered by then.
-    pub fn asked(
-        &mut self,
-        ask: ClientRequestId,
-        gateway: usize,
-        route: usize,
-        account: u32,
-        units: f64,
-        (asked, until): (Duration, Duration),
-    ) {
-        self.open[gateway].insert(ask);
-        let tries = Vec::new();
-        let (left, answer, excused) = (None, None, false);
-        let seen = Seen {
-            asked,
-            left,
-            route,
-            gateway,
-            account,
-            units,
-            until,
-            tries,
-            answer,
-            excused,
-        };
-        self.asks.insert(ask, seen);
+    /// A gateway is killed after it was told to stop: all that it accepted before has its answer by now.
+    pub(crate) fn on_gateway_stopped(&mut self, now: Duration, gateway: usize) {
+        let overdue: Vec<(ClientRequestId, Duration)> = self.unanswered[gateway]
+            .iter()
+            .map(|id| (*id, self.requests[id].request.accepted_at))
+            .filter(|(_, accepted_at)| *accepted_at + self.slack < now)
+            .collect();
+        for (id, accepted_at) in overdue {
+            let waited = now - accepted_at;
+            let description = format!("unanswered at the kill, {waited:?} after it was accepted");
+            self.record_violation(Rule::OneAnswer, now, Some(id), Some(gateway), description);
+        }
+        self.on_gateway_killed(gateway);
     }
 
-    /// The client has closed its connection.
-    pub fn left(&mut self, now: Duration, ask: ClientRequestId) {
-        if let Some(seen) = self.asks.get_mut(&ask) {
-            (seen.excused, seen.left) = (true, Some(now));
-            self.open[seen.gateway].remove(&ask);
+    /// A gateway was killed: nothing is owed for what it held.
+    pub(crate) fn on_gateway_killed(&mut self, gateway: usize) {
+        for id in std::mem::take(&mut self.unanswered[gateway]) {
+            if let Some(observed) = self.requests.get_mut(&id) {
+                observed.excused = true;
+            }
         }
     }
 
-    /// A gateway that was told to stop is killed, at the earliest: all that came before has its answer.
-    pub fn stopped(&mut self, now: Duration, gateway: usize) {
-        let late = |ask: &ClientRequestId| self.asks[ask].asked + self.slack < now;
-        let unanswered: Vec<ClientRequestId> =
-            self.open[gateway].iter().copied().filter(late).collect();
-        for ask in unanswered {
-            let what = format!(
-                "unanswered at the kill, {:?} after it was taken",
-                now - self.asks[&ask].asked
-            );
-            self.breaks(Rule::OneAnswer, now, Some(ask), Some(gateway), what);
+    /// A gateway has accepted a request: from now on it owes an answer.
+    pub(crate) fn on_request_accepted(&mut self, request: AcceptedRequest) {
+        let id = request.id;
+        self.unanswered[request.gateway].insert(id);
+        let observed = ObservedRequest {
+            request,
+            client_gone_at: None,
+            attempts: Vec::new(),
+            answered_at: None,
+            excused: false,
+        };
+        self.requests.insert(id, observed);
+    }
+
+    /// No process took the request after all.
+    pub(crate) fn on_request_not_accepted(&mut self, id: ClientRequestId) {
+        if let Some(observed) = self.requests.get_mut(&id) {
+            observed.excused = true;
+            self.unanswered[observed.request.gateway].remove(&id);
         }
-        self.killed(gateway);
     }
 
-    /// No process took it after all.
-    pub fn not_taken(&mut self, ask: ClientRequestId) {
-        if let Some(seen) = self.asks.get_mut(&ask) {
-            seen.excused = true;
-            self.open[seen.gateway].remove(&ask);
+    /// The client has closed its connection.
+    pub(crate) fn on_client_gone(&mut self, now: Duration, id: ClientRequestId) {
+        if let Some(observed) = self.requests.get_mut(&id) {
+            observed.excused = true;
+            observed.client_gone_at = Some(now);
+            self.unanswered[observed.request.gateway].remove(&id);
         }
     }
 
-    /// A try says how long the gateway waits: no longer than the client does.
-    pub fn on_advertised_timeout(
+    /// An attempt says how long the gateway waits: no longer than the client does.
+    pub(crate) fn on_advertised_timeout(
         &mut self,
         now: Duration,
-        ask: ClientRequestId,
+        id: ClientRequestId,
         gateway: usize,
-        wait: Duration,
+        timeout: Duration,
     ) {
-        let Some(seen) = self.asks.get(&ask) else {
+        let Some(observed) = self.requests.get(&id) else {
             return;
         };
-        let left = seen.until.saturating_sub(now);
-        if wait > left + TOLD_SLACK + self.slack {
-            let what = format!("a server was told that {wait:?} are left, of {left:?}");
-            self.breaks(Rule::OneAnswer, now, Some(ask), Some(gateway), what);
+        let left = observed.request.deadline.saturating_sub(now);
+        if timeout > left + ADVERTISED_TIMEOUT_SLACK + self.slack {
+            let description = format!("a server was told that {timeout:?} are left, of {left:?}");
+            self.record_violation(Rule::OneAnswer, now, Some(id), Some(gateway), description);
         }
     }
 
-    pub fn killed(&mut self, gateway: usize) {
-        for ask in std::mem::take(&mut self.open[gateway]) {
-            if let Some(seen) = self.asks.get_mut(&ask) {
-                seen.excused = true;
-            }
-        }
-    }
-
-    /// A try has come to a server whole.
-    pub fn came(
+    /// An attempt has reached a server whole.
+    pub(crate) fn on_attempt_arrival(
         &mut self,
         now: Duration,
-        of: AttemptId,
-        ask: ClientRequestId,
+        attempt: AttemptId,
+        id: ClientRequestId,
         gateway: usize,
         server: ServerId,
     ) {
-        let slack = self.slack;
-        if let Some(since) = self.told.get(&(gateway, server)) {
-            let late = now.saturating_sub(*since);
-            if late > Duration::from_secs_f64(self.terms.fleet.drain_grace) + slack {
-                let what = format!(
-                    "sent to server {} {late:?} after being told it leaves",
-                    server.0
-                );
-                self.breaks(Rule::Drains, now, Some(ask), Some(gateway), what);
-            }
-        }
-        let Some(seen) = self.asks.get_mut(&ask) else {
+        self.check_draining(now, id, gateway, server);
+        let Some(observed) = self.requests.get(&id) else {
             return;
         };
-        let (first, places) = (seen.tries.is_empty(), &self.places);
-        let mut wrongs = Vec::new();
-        if let Some(answered) = seen.answer.filter(|answered| now > *answered + slack) {
-            let what = format!("a try {:?} after the final answer", now - answered);
-            wrongs.push((Rule::OneAnswer, what));
-        }
-        if let Some(left) = seen.left.filter(|left| now > *left + GONE_SLACK + slack) {
-            let what = format!("a try {:?} after its client had left", now - left);
-            wrongs.push((Rule::OneAnswer, what));
+        let first = observed.attempts.is_empty();
+        let mut findings = self.find_late_attempt(now, observed);
+        findings.extend(self.find_unsafe_repeat(now, observed, server));
+        self.record_attempt(now, attempt, id, server);
+        for (rule, description) in findings {
+            self.record_violation(rule, now, Some(id), Some(gateway), description);
         }
-        let route = &self.terms.routes[seen.route];
-        let ran = seen
-            .tries
-            .iter()
-            .find(|it| it.end.is_none_or(|(_, end)| end != AttemptEnd::Rejected));
-        if let Some(ran) = ran {
-            let known = ran.came + Duration::from_secs_f64(route.memory) + slack >= now;
-            let place = |server: &ServerId| places.get(server).copied().unwrap_or_default();
-            let (one, two) = (place(&ran.server), place(&server));
-            let dropped = match route.group {
-                Group::All => true,
-                Group::Cell => one.0 == two.0,
-                Group::Zone => one.1 == two.1,
-            };
-            match route.repeat {
-                Repeat::Idempotent => (),
-                Repeat::Tokened if known && dropped => (),
-                _ => {
-                    let what = format!(
-                        "sent again after a try at server {} that may have run",
-                        ran.server.0
-                    );
-                    wrongs.push((Rule::NoEffectTwice, what));
-                }
-            }
+        if first {
+            self.check_ceiling(now, id, gateway);
         }
-        for earlier in seen.tries.iter().filter(|it| it.end.is_none()) {
-            self.overlaps.insert((ask, earlier.of), now + slack);
+    }
+
+    fn record_attempt(
+        &mut self,
+        now: Duration,
+        attempt: AttemptId,
+        id: ClientRequestId,
+        server: ServerId,
+    ) {
+        let Some(observed) = self.requests.get_mut(&id) else {
+            return;
+        };
+        for earlier in observed.attempts.iter().filter(|it| it.is_in_flight()) {
+            self.overlaps.insert((id, earlier.id), now + self.slack);
         }
-        seen.tries.push(TrySeen {
-            of,
+        observed.attempts.push(ObservedAttempt {
+            id: attempt,
             server,
-            came: now,
+            arrived_at: now,
             end: None,
         });
-        let (account, units) = (seen.account, seen.units);
-        for (rule, what) in wrongs {
-            self.breaks(rule, now, Some(ask), Some(gateway), what);
-        }
-        if first {
-            self.ceiling(now, ask, gateway, account, units);
-        }
     }
 
-    /// Each first try takes its units from the ceiling of its customer.
-    fn ceiling(
+    /// Rule `Drains`: no attempt later than the grace period after the gateway knew.
+    fn check_draining(
         &mut self,
         now: Duration,
-        ask: ClientRequestId,
+        id: ClientRequestId,
         gateway: usize,
-        account: u32,
-        units: f64,
+        server: ServerId,
     ) {
-        let Some(plan) = self
-            .plan_of
-            .get(&account)
-            .map(|plan| &self.terms.plans[*plan])
-        else {
+        let Some(since) = self.draining_since.get(&(gateway, server)) else {
+            return;
+        };
+        let elapsed = now.saturating_sub(*since);
+        let grace = Duration::from_secs_f64(self.experiment.fleet.drain_grace);
+        if elapsed > grace + self.slack {
+            let description = format!(
+                "sent to server {} {elapsed:?} after being notified that it leaves",
+                server.0
+            );
+            self.record_violation(Rule::Drains, now, Some(id), Some(gateway), description);
+        }
+    }
+
+    /// Rule `OneAnswer`: no attempt after the final answer or after the client has gone.
+    fn find_late_attempt(&self, now: Duration, observed: &ObservedRequest) -> Vec<Finding> {
+        let mut findings = Vec::new();
+        if let Some(answered_at) = observed.answered_at {
+            if now > answered_at + self.slack {
+                let late = now - answered_at;
+                let description = format!("an attempt {late:?} after the final answer");
+                findings.push((Rule::OneAnswer, description));
+            }
+        }
+        if let Some(gone_at) = observed.client_gone_at {
+            if now > gone_at + CLIENT_GONE_SLACK + self.slack {
+                let late = now - gone_at;
+                let description = format!("an attempt {late:?} after its client had gone");
+                findings.push((Rule::OneAnswer, description));
+            }
+        }
+        findings
+    }
+
+    /// Rule `NoEffectTwice`: after an attempt that may have run another one needs a route that bears it.
+    fn find_unsafe_repeat(
+        &self,
+        now: Duration,
+        observed: &ObservedRequest,
+        server: ServerId,
+    ) -> Option<Finding> {
+        let earlier = observed.attempts.iter().find(|it| it.may_have_run())?;
+        let route = &self.experiment.routes[observed.request.route];
+        let safe = match route.repeat {
+            Repeat::Idempotent => true,
+            Repeat::Tokened => self.is_deduplicated(now, route, earlier, server),
+            Repeat::NonIdempotent => false,
+        };
+        if safe {
+            return None;
+        }
+        let description = format!(
+            "sent again after an attempt at server {} that may have run",
+            earlier.server.0
+        );
+        Some((Rule::NoEffectTwice, description))
+    }
+
+    /// Whether a server drops the repeat of an earlier attempt: in time, and in the same scope.
+    fn is_deduplicated(
+        &self,
+        now: Duration,
+        route: &RouteTerms,
+        earlier: &ObservedAttempt,
+        server: ServerId,
+    ) -> bool {
+        let window = Duration::from_secs_f64(route.memory);
+        let in_window = earlier.arrived_at + window + self.slack >= now;
+        let location = |server| self.locations.get(server).copied().unwrap_or_default();
+        let earlier_location = location(&earlier.server);
+        let present_location = location(&server);
+        let in_scope = match route.group {
+            Group::All => true,
+            Group::Cell => earlier_location.cell == present_location.cell,
+            Group::Zone => earlier_location.zone == present_location.zone,
+        };
+        in_window && in_scope
+    }
+
+    /// Rule `Ceilings`: each first attempt takes its units from the ceiling of its customer. The slack is a
+    /// share of the ceiling or one of the largest requests, whichever is more.
+    fn check_ceiling(&mut self, now: Duration, id: ClientRequestId, gateway: usize) {
+        let Some(observed) = self.requests.get(&id) else {
             return;
         };
+        let account = observed.request.account;
+        let units = observed.request.units;
+        let Some(plan) = self.plans.get(&account) else {
+            return;
+        };
+        let plan = &self.experiment.plans[*plan];
         if plan.ceiling_rate <= 0.0 {
             return;
         }
-        let more = 1.0 + plan.ceiling_slack;
-        let top = f64::from(self.terms.load.units_top);
-        // The slack is a part of the ceiling or one of the largest API calls, whichever is more.
-        let depth = (plan.ceiling_burst * more).max(plan.ceiling_burst + top);
-        let rate = plan.ceiling_rate * more;
-        let bucket = self.ceilings.entry(account).or_insert(Ceiling {
-            left: depth,
-            at: now,
+        let tolerance = 1.0 + plan.ceiling_slack;
+        let largest_request = f64::from(self.experiment.load.units_top);
+        let depth = (plan.ceiling_burst * tolerance).max(plan.ceiling_burst + largest_request);
+        let rate = plan.ceiling_rate * tolerance;
+        let bucket = self.ceilings.entry(account).or_insert(CeilingBucket {
+            units_left: depth,
+            filled_at: now,
         });
-        bucket.left =
-            (bucket.left + now.saturating_sub(bucket.at).as_secs_f64() * rate).min(depth) - units;
-        bucket.at = now;
-        if bucket.left < 0.0 {
-            let what = format!(
+        let elapsed = now.saturating_sub(bucket.filled_at).as_secs_f64();
+        bucket.units_left = (bucket.units_left + elapsed * rate).min(depth) - units;
+        bucket.filled_at = now;
+        if bucket.units_left < 0.0 {
+            let description = format!(
                 "account {account} of plan {} is {:.1} units past its ceiling",
-                plan.name, -bucket.left
+                plan.name, -bucket.units_left
             );
-            bucket.left = 0.0;
-            self.breaks(Rule::Ceilings, now, Some(ask), Some(gateway), what);
+            bucket.units_left = 0.0;
+            self.record_violation(Rule::Ceilings, now, Some(id), Some(gateway), description);
         }
     }
 
-    /// A try is no longer out.
-    pub fn over(&mut self, now: Duration, of: AttemptId, ask: ClientRequestId, end: AttemptEnd) {
-        let Some(seen) = self.asks.get_mut(&ask) else {
+    /// An attempt is no longer in flight.
+    pub(crate) fn on_attempt_end(
+        &mut self,
+        now: Duration,
+        attempt: AttemptId,
+        id: ClientRequestId,
+        end: AttemptEnd,
+    ) {
+        let Some(observed) = self.requests.get_mut(&id) else {
             return;
         };
-        let gateway = seen.gateway;
-        if let Some(it) = seen.tries.iter_mut().find(|it| it.of == of) {
-            it.end.get_or_insert((now, end));
+        let gateway = observed.request.gateway;
+        if let Some(ended) = observed.attempts.iter_mut().find(|it| it.id == attempt) {
+            ended.end.get_or_insert(end);
         }
-        if let Some(by) = self.overlaps.remove(&(ask, of)) {
-            if now > by {
-                let what = "two tries out at once".to_string();
-                self.breaks(Rule::NoEffectTwice, now, Some(ask), Some(gateway), what);
+        if let Some(latest) = self.overlaps.remove(&(id, attempt)) {
+            if now > latest {
+                self.record_overlap(now, id, Some(gateway));
             }
         }
     }
 
+    fn record_overlap(&mut self, now: Duration, id: ClientRequestId, gateway: Option<usize>) {
+        let description = "two attempts in flight at once".to_string();
+        self.record_violation(Rule::NoEffectTwice, now, Some(id), gateway, description);
+    }
+
     /// A client has an answer, or the end of its connection.
-    pub fn answered(&mut self, now: Duration, ask: ClientRequestId, verdict: ClientOutcome) {
-        let slack = self.slack;
-        let Some(seen) = self.asks.get_mut(&ask) else {
+    pub(crate) fn on_final_answer(
+        &mut self,
+        now: Duration,
+        id: ClientRequestId,
+        outcome: ClientOutcome,
+    ) {
+        let Some(observed) = self.requests.get_mut(&id) else {
             return;
         };
-        let gateway = seen.gateway;
-        self.open[gateway].remove(&ask);
-        let mut wrongs = Vec::new();
-        if seen.answer.replace(now).is_some() {
-            wrongs.push((Rule::OneAnswer, "a second final answer".to_string()));
-        } else if seen.excused {
+        let gateway = observed.request.gateway;
+        self.unanswered[gateway].remove(&id);
+        let mut findings: Vec<Finding> = Vec::new();
+        if observed.answered_at.replace(now).is_some() {
+            findings.push((Rule::OneAnswer, "a second final answer".into()));
+        } else if observed.excused {
             return;
         }
-        if now > seen.until + slack {
-            let what = format!("answered {:?} after the client timeout", now - seen.until);
-            wrongs.push((Rule::OneAnswer, what));
-        }
-        let route = &self.terms.routes[seen.route];
-        let may_have_run = seen
-            .tries
-            .iter()
-            .any(|it| it.end.is_none_or(|(_, end)| end != AttemptEnd::Rejected));
-        let harmless = match route.repeat {
-            Repeat::Idempotent => true,
-            // A client's next try is a new API call, but has the key that is known.
-            Repeat::Tokened => !may_have_run || route.group == Group::All,
-            Repeat::NonIdempotent => !may_have_run,
-        };
-        match verdict {
-            ClientOutcome::Served { correct: false } => {
-                wrongs.push((
-                    Rule::OneAnswer,
-                    "served with what no server made for it".into(),
-                ));
-            }
-            ClientOutcome::Disconnected => wrongs.push((
-                Rule::OneAnswer,
-                "the connection ended with no answer".into(),
-            )),
-            ClientOutcome::Rejected if !harmless => {
-                let what = "called harmless to try again though a try may have run".to_string();
-                wrongs.push((Rule::NoEffectTwice, what));
-            }
-            _ => (),
+        let deadline = observed.request.deadline;
+        if now > deadline + self.slack {
+            let late = now - deadline;
+            let description = format!("answered {late:?} after the client timeout");
+            findings.push((Rule::OneAnswer, description));
         }
-        for (rule, what) in wrongs {
-            self.breaks(rule, now, Some(ask), Some(gateway), what);
+        let route = &self.experiment.routes[observed.request.route];
+        findings.extend(find_wrong_answer(observed, route, outcome));
+        for (rule, description) in findings {
+            self.record_violation(rule, now, Some(id), Some(gateway), description);
         }
     }
 
-    /// The time of an API call is over, slack and all.
-    pub fn time_up(&mut self, now: Duration, ask: ClientRequestId) {
-        let Some(seen) = self.asks.get(&ask) else {
+    /// The client timeout of a request is over, slack and all.
+    pub(crate) fn on_deadline(&mut self, now: Duration, id: ClientRequestId) {
+        let Some(observed) = self.requests.get_mut(&id) else {
             return;
         };
-        let gateway = seen.gateway;
-        if seen.answer.is_none() && !seen.excused {
-            self.open[gateway].remove(&ask);
-            let what = "no final answer by the client timeout".to_string();
-            self.breaks(Rule::OneAnswer, now, Some(ask), Some(gateway), what);
-        }
-        // From here on only what is still out can matter.
-        if let Some(seen) = self.asks.get_mut(&ask) {
-            seen.excused = true;
-            seen.answer.get_or_insert(now);
+        let gateway = observed.request.gateway;
+        let owed = observed.answered_at.is_none() && !observed.excused;
+        // From here on only attempts that are still in flight can matter.
+        observed.excused = true;
+        observed.answered_at.get_or_insert(now);
+        if owed {
+            self.unanswered[gateway].remove(&id);
+            let description = "no final answer by the client timeout".to_string();
+            self.record_violation(Rule::OneAnswer, now, Some(id), Some(gateway), description);
         }
     }
 
-    pub fn fell(&mut self, now: Duration, server: ServerId) {
-        let what = format!(
-            "cold server {} was pushed over by all gateways together",
+    /// A server that was warming up was overloaded by gateways that knew of its start.
+    pub(crate) fn on_server_overload(&mut self, now: Duration, server: ServerId) {
+        let description = format!(
+            "server {}, still warming up, was overloaded by all gateways together",
             server.0
         );
-        self.breaks(Rule::ColdServers, now, None, None, what);
-    }
-
-    /// The day is over: what overlaps still is judged, and records that are done with are dropped.
-    pub fn finish(&mut self, now: Duration) {
-        for ((ask, _), by) in std::mem::take(&mut self.overlaps) {
-            if now > by {
-                let gateway = self.asks.get(&ask).map(|seen| seen.gateway);
-                self.breaks(
-                    Rule::NoEffectTwice,
-                    now,
-                    Some(ask),
-                    gateway,
-                    "two tries out at once".into(),
-                );
+        self.record_violation(Rule::ColdServers, now, None, None, description);
+    }
+
+    /// The run is over: attempts that overlap still are judged.
+    pub(crate) fn finish(&mut self, now: Duration) {
+        for ((id, _), latest) in std::mem::take(&mut self.overlaps) {
+            if now > latest {
+                let observed = self.requests.get(&id);
+                let gateway = observed.map(|observed| observed.request.gateway);
+                self.record_overlap(now, id, gateway);
             }
         }
     }
 
-    /// What is long over is forgotten, so that a long day does not fill the memory.
-    pub fn forget(&mut self, before: Duration) {
-        while let Some(entry) = self
-            .asks
-            .first_entry()
-            .filter(|entry| entry.get().until < before)
-        {
+    /// Requests whose client timeout ended before this moment are forgotten, so that a long run does not fill
+    /// the memory.
+    pub(crate) fn forget_before(&mut self, moment: Duration) {
+        while let Some(entry) = self.requests.first_entry() {
+            if entry.get().request.deadline >= moment {
+                return;
+            }
             entry.remove();
         }
     }
 }
+
+/// What is wrong with an answer itself.
+fn find_wrong_answer(
+    observed: &ObservedRequest,
+    route: &RouteTerms,
+    outcome: ClientOutcome,
+) -> Option<Finding> {
+    match outcome {
+        ClientOutcome::Served { correct: false } => Some((
+            Rule::OneAnswer,
+            "served with what no server made for it".into(),
+        )),
+        ClientOutcome::Disconnected => Some((
+            Rule::OneAnswer,
+            "the connection ended with no answer".into(),
+        )),
+        ClientOutcome::Rejected if !is_safe_to_resend(observed, route) => Some((
+            Rule::NoEffectTwice,
+            "rejected as safe to send again though an attempt may have run".into(),
+        )),
+        _ => None,
+    }
+}
+
+/// Whether the client may send its request again: what it sends is a new request, with the same idempotency
+/// key.
+fn is_safe_to_resend(observed: &ObservedRequest, route: &RouteTerms) -> bool {
+    let may_have_run = observed.attempts.iter().any(ObservedAttempt::may_have_run);
+    match route.repeat {
+        Repeat::Idempotent => true,
+        Repeat::Tokened => !may_have_run || route.group == Group::All,
+        Repeat::NonIdempotent => !may_have_run,
+    }
+}
--- a/lab/src/simulated.rs
+++ b/lab/src/simulated.rs
@@ -13,7 +13,7 @@
 use crate::record::Recorded;
 use crate::world::counter::CounterResponse;
 use crate::world::server::ListingState;
-use crate::world::{Action, EndpointChange, ServerResponse, World};
+use crate::world::{Action, AttemptArrival, EndpointChange, ResponseDelay, ServerResponse, World};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -170,7 +170,13 @@
     let changed = experiment
         .with(variant)
         .map_err(|wrongs| format!("{wrongs:?}"))?;
-    let world = World::new(&changed, seed, false, SLACK, terms.replay.clone());
+    let world = World::new(
+        &changed,
+        seed,
+        ResponseDelay::AddedByEngine,
+        SLACK,
+        terms.replay.clone(),
+    );
     let engine: Box<dyn DecisionEngine> = match &variant.simulator {
         Some(program) => Box::new(ExternalEngine::start(program)?),
         None => Box::new(InProcess::default()),
@@ -616,8 +622,8 @@
                 .into(),
             units,
             deadline: ORIGIN + until,
-            first_gateway: account.first as u32,
-            gateway_count: account.spread as u32,
+            first_gateway: account.first_gateway as u32,
+            gateway_count: account.gateway_count as u32,
         };
         let call = OpenCall {
             until,
@@ -860,9 +866,16 @@
             return Ok(());
         }
         let mut actions = Vec::new();
-        let there =
-            self.world
-                .on_attempt_arrival(self.now, key.0, server, (key.2, fresh), &mut actions);
+        let there = self.world.on_attempt_arrival(
+            self.now,
+            AttemptArrival {
+                gateway: key.0,
+                server,
+                request: key.2,
+                fresh_connection: fresh,
+            },
+            &mut actions,
+        );
         self.trying.insert(there, key);
         if let Some(out) = self.gateways[key.0].tries.get_mut(&(key.2, key.3)) {
             out.there = Some(there);
@@ -891,9 +904,9 @@
             ServerResponse::Success { units, load } => {
                 let load = load.map_or_else(BTreeMap::new, |load| {
                     [
-                        ("inflight", load.inflight as f64),
-                        ("queue", load.queue as f64),
-                        ("util", load.util),
+                        ("inflight", load.in_flight as f64),
+                        ("queue", load.queued as f64),
+                        ("util", load.utilization),
                     ]
                     .map(|(name, value)| (name.to_string(), value))
                     .into()
--- a/lab/src/world/counter/tests.rs
+++ b/lab/src/world/counter/tests.rs
@@ -1,33 +1,66 @@
 use super::*;
 
-#[test]
-fn calls_take_turns_and_names_end() {
-    let ms = Duration::from_millis;
-    let terms = Terms {
+fn milliseconds(span: u64) -> Duration {
+    Duration::from_millis(span)
+}
+
+fn service(gateway_count: usize) -> CounterService {
+    let terms = CounterTerms {
         parts: 1,
         bears: 10.0,
-        latency: ms(1),
+        latency_ms: 1.0,
         queue: 2,
+        ..CounterTerms::default()
     };
-    let mut counter = Counter::new(&terms);
-    let call = Call {
-        gateway: 0,
-        counter: 0,
-        name: 5,
-        add: 2.0,
-        keep: ms(1000),
-    };
-    assert_eq!(counter.take(ms(0), &call, &terms), Turn::At(ms(101)));
-    assert_eq!(counter.take(ms(0), &call, &terms), Turn::At(ms(201)));
-    assert_eq!(
-        counter.take(ms(0), &call, &terms),
-        Turn::Now(CounterResponse::Busy)
-    );
-    assert_eq!(counter.add(ms(101), &call), 2.0);
-    assert_eq!(counter.add(ms(201), &call), 4.0);
-    assert_eq!(counter.add(ms(1200), &call), 2.0);
-    counter.mode = Mode::Silent;
-    assert_eq!(counter.take(ms(2000), &call, &terms), Turn::Never);
-    counter.empty();
-    assert_eq!(counter.add(ms(1201), &call), 2.0);
+    CounterService::new(&terms, gateway_count)
+}
+
+fn call(service: &mut CounterService, gateway: usize, now: u64) -> (CounterCallId, CallOutcome) {
+    service.on_call(milliseconds(now), gateway, 5, 2.0, milliseconds(1000))
+}
+
+#[test]
+fn calls_take_turns_and_names_expire() {
+    let mut service = service(1);
+    let (first, outcome) = call(&mut service, 0, 0);
+    assert_eq!(outcome, CallOutcome::DoneAt(milliseconds(101)));
+    let (second, outcome) = call(&mut service, 0, 0);
+    assert_eq!(outcome, CallOutcome::DoneAt(milliseconds(201)));
+    let (_, outcome) = call(&mut service, 0, 0);
+    assert_eq!(outcome, CallOutcome::Immediate(CounterResponse::Busy));
+    let mut finish = |id, now| service.finish_call(milliseconds(now), id);
+    assert_eq!(finish(first, 101), Some(CounterResponse::Total(2.0)));
+    assert_eq!(finish(second, 201), Some(CounterResponse::Total(4.0)));
+    let (third, _) = call(&mut service, 0, 1100);
+    let (fourth, _) = call(&mut service, 0, 1100);
+    let mut finish = |id, now| service.finish_call(milliseconds(now), id);
+    assert_eq!(finish(third, 1200), Some(CounterResponse::Total(2.0)));
+    service.clear_primary();
+    let mut finish = |id, now| service.finish_call(milliseconds(now), id);
+    assert_eq!(finish(fourth, 1201), Some(CounterResponse::Total(2.0)));
+}
+
+#[test]
+fn a_silent_counter_answers_neither_new_calls_nor_those_that_wait() {
+    let mut service = service(1);
+    let (waiting, _) = call(&mut service, 0, 0);
+    service.set_primary_mode(CounterMode::Silent);
+    assert_eq!(service.finish_call(milliseconds(101), waiting), None);
+    assert_eq!(call(&mut service, 0, 2000).1, CallOutcome::NoAnswer);
+}
+
+#[test]
+fn a_second_counter_has_counts_of_its_own_until_all_use_the_first_again() {
+    let mut service = service(2);
+    service.start_secondary();
+    service.assign_secondary(1);
+    for gateway in [0, 1] {
+        let (id, _) = call(&mut service, gateway, 0);
+        let response = service.finish_call(milliseconds(101), id);
+        assert_eq!(response, Some(CounterResponse::Total(2.0)));
+    }
+    assert_eq!(service.assign_primary_to_all(), [1]);
+    let (id, _) = call(&mut service, 1, 200);
+    let response = service.finish_call(milliseconds(301), id);
+    assert_eq!(response, Some(CounterResponse::Total(4.0)));
 }
--- a/lab/src/world/event_queue.rs
+++ b/lab/src/world/event_queue.rs
@@ -1,69 +1,78 @@
-//! What falls due in the world, in one ordered structure.
+//! What falls due in the world, ordered by time; what is due at the same moment keeps the order in which it was
+//! scheduled.
 
 use crate::events::{AttemptId, ClientRequestId, CounterCallId, OperationId, ServerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Something that happens in the world at a known time.
 #[derive(Clone, Copy, Debug)]
-pub enum WorldEvent {
-    /// The next API call that no answer waits for.
+pub(super) enum WorldEvent {
+    /// The next operation of the accounts may arrive.
     Arrival,
-    /// One of the recorded ones.
-    Replayed(usize),
-    /// A client asks again.
-    Again(OperationId),
-    /// A client's patience, and the end of its time.
-    Leaves(ClientRequestId),
-    TimeUp(ClientRequestId),
-    /// A server has done a try's work.
-    Served(ServerId, AttemptId),
-    /// What a server says has come where it is heard.
-    Said(AttemptId),
-    /// A line of the counter is done with a call.
-    Counted(CounterCallId),
-    /// A change of the list reaches a gateway.
-    Told {
+    /// A recorded request is replayed; its index in the recording.
+    ReplayedArrival(usize),
+    /// A client sends another request for its operation.
+    ClientRetry(OperationId),
+    /// A client gives up waiting before its timeout.
+    ClientGivesUp(ClientRequestId),
+    /// The client timeout of a request is over, with what the rules allow beyond it.
+    ClientTimeout(ClientRequestId),
+    /// A server has done an attempt's work.
+    WorkDone(ServerId, AttemptId),
+    /// A server's response is sent, or has arrived where the engine adds no delay.
+    ResponseDue(AttemptId),
+    /// The counter is done with a call.
+    CounterCallDone(CounterCallId),
+    /// Discovery is to notify a gateway of a change of the endpoint list.
+    NotificationDue {
+        /// The gateway.
         gateway: usize,
+        /// The change's number.
         change: usize,
     },
-    /// A trouble begins, takes a step, ends.
-    Trouble {
-        place: usize,
+    /// A fault takes one of its steps; the first one, 0, begins it.
+    FaultStep {
+        /// The fault's index in the experiment.
+        fault: usize,
+        /// The step, counted from 0.
         step: usize,
     },
-    TroubleEnds(usize),
+    /// A fault ends; its index in the experiment.
+    FaultEnd(usize),
     /// A server that was down is back.
-    Returns(ServerId),
-    /// A server that was to leave is done.
-    Retires(ServerId),
-    /// A gateway that was told to stop is killed, and one that was killed starts.
-    Kill(usize),
-    Start(usize),
+    ServerReturns(ServerId),
+    /// A draining server has finished what it had.
+    ServerRetires(ServerId),
+    /// A gateway that was told to stop is killed.
+    GatewayKill(usize),
+    /// A gateway that was killed is started again.
+    GatewayStart(usize),
 }
 
+/// Scheduled events, the earliest first.
 #[derive(Default)]
-pub struct EventQueue {
-    due: BTreeMap<(Duration, u64), WorldEvent>,
-    last: u64,
+pub(super) struct EventQueue {
+    events: BTreeMap<(Duration, u64), WorldEvent>,
+    last_serial: u64,
 }
 
 impl EventQueue {
-    pub fn at(&mut self, when: Duration, due: WorldEvent) {
-        self.last += 1;
-        self.due.insert((when, self.last), due);
+    /// Schedules an event.
+    pub(super) fn schedule(&mut self, due: Duration, event: WorldEvent) {
+        self.last_serial += 1;
+        self.events.insert((due, self.last_serial), event);
     }
 
-    pub fn next(&self) -> Option<Duration> {
-        self.due.keys().next().map(|key| key.0)
+    /// When the next event is due.
+    pub(super) fn next_due(&self) -> Option<Duration> {
+        self.events.keys().next().map(|(due, _)| *due)
     }
 
-    /// What is due by now, and when it was.
-    pub fn pop(&mut self, now: Duration) -> Option<(Duration, WorldEvent)> {
-        let first = self
-            .due
-            .first_entry()
-            .filter(|entry| entry.key().0 <= now)?;
-        let when = first.key().0;
-        Some((when, first.remove()))
+    /// Takes the next event that is due by now, with the time at which it was due.
+    pub(super) fn pop_due(&mut self, now: Duration) -> Option<(Duration, WorldEvent)> {
+        let first = self.events.first_entry()?;
+        let (due, _) = *first.key();
+        (due <= now).then(|| (due, first.remove()))
     }
 }
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -1,342 +1,438 @@
-//! The troubles of a day: what each kind does to the world when it begins, at its steps and when it ends.
+//! The faults of a run: what each kind does to the world when it begins, at its further steps and when it ends.
 
-use super::clients::Surge;
-use super::counter::{Counter, Mode};
+use super::clients::{AccountScan, Surge};
+use super::counter::CounterMode;
 use super::event_queue::WorldEvent;
-use super::server::{Health, ListingState};
-use super::{secs, Action, GatewayState, World};
+use super::gateways::GatewayState;
+use super::server::{Health, ListingState, Server};
+use super::{seconds, Action, TimedValue, World};
 use crate::events::ServerId;
-use crate::experiment::{Trouble, TroubleKind};
+use crate::experiment::{Trouble, TroubleKind as Kind};
 use nanorand::Rng;
+use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Servers that are to leave finish what they have for so long before their process ends.
-const LEAVING: Duration = Duration::from_secs(2);
-/// A client timeout that the platform waits for before it kills counts as no more than this, in seconds.
-const LONGEST_COUNTED: f64 = 3.0;
-/// A gateway's process is started again so long after it has ended.
-const AGAIN: Duration = Duration::from_millis(300);
+/// A draining server finishes what it has for so long before its process ends.
+const DRAIN_TIME: Duration = Duration::from_secs(2);
+/// The longest client timeout that the platform waits for before it kills a gateway that was told to stop, in
+/// seconds.
+const MAX_STOP_WAIT_SECONDS: f64 = 3.0;
+/// The platform waits so much longer than the client timeout, in seconds.
+const STOP_MARGIN_SECONDS: f64 = 0.7;
+/// A gateway's process is started again so long after it was killed.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+/// The least patience that a fault leaves to clients, as a share of their timeout.
+const MIN_PATIENCE: f64 = 0.05;
+/// The busiest gateway of an account that shifts moves on by 1 to this many gateways.
+const MAX_SHIFT: u32 = 7;
+
+/// What faults have changed and have to change back.
+#[derive(Default)]
+pub(super) struct FaultState {
+    /// Share of the responses that cannot be parsed.
+    pub(super) malformed_share: TimedValue,
+    /// The servers that a fault affects, by the fault's index.
+    affected_servers: BTreeMap<usize, Vec<ServerId>>,
+    /// The gateways that a fault affects, by the fault's index.
+    affected_gateways: BTreeMap<usize, Vec<usize>>,
+}
+
+/// One step of a fault.
+#[derive(Clone, Copy)]
+struct FaultStep {
+    now: Duration,
+    /// The fault's index in the experiment.
+    fault: usize,
+    /// The step, counted from 0.
+    step: usize,
+}
 
 impl World {
-    /// What a trouble needs before the day begins.
-    pub(super) fn expect(&mut self, place: usize) {
-        let it = self.experiment.troubles[place].clone();
-        let (from, to) = (secs(it.at), secs(it.at + it.lasts));
-        let plan = it.plan.as_ref().and_then(|name| self.experiment.plan(name));
-        match it.kind {
-            TroubleKind::Surge | TroubleKind::DeadlineSurge | TroubleKind::PlanBurst => {
-                let grows = it.kind == TroubleKind::DeadlineSurge;
-                self.clients.expect(Surge {
-                    plan,
-                    from,
-                    to,
-                    factor: it.factor,
-                    grows,
-                });
+    /// Schedules all faults of the experiment, and prepares what has to be known before the run.
+    pub(super) fn schedule_faults(&mut self) {
+        for (index, fault) in self.experiment.troubles.clone().iter().enumerate() {
+            let start = seconds(fault.at);
+            let end = seconds(fault.at + fault.lasts);
+            match fault.kind {
+                Kind::Surge | Kind::DeadlineSurge | Kind::PlanBurst => {
+                    let plan = fault.plan.as_ref();
+                    self.clients.expect_surge(Surge {
+                        plan: plan.and_then(|name| self.experiment.plan(name)),
+                        span: start..end,
+                        factor: fault.factor,
+                        grows: fault.kind == Kind::DeadlineSurge,
+                    });
+                }
+                Kind::Scan => self.clients.expect_scan(AccountScan {
+                    span: start..end,
+                    share: fault.share,
+                }),
+                _ => (),
+            }
+            self.schedule_fault_step(start, index, 0);
+            if fault.lasts > 0.0 {
+                self.event_queue.schedule(end, WorldEvent::FaultEnd(index));
             }
-            TroubleKind::Scan => self.scan.push((from, to, it.share)),
-            _ => (),
         }
+    }
+
+    fn schedule_fault_step(&mut self, due: Duration, fault: usize, step: usize) {
         self.event_queue
-            .at(from, WorldEvent::Trouble { place, step: 0 });
-        if it.lasts > 0.0 {
-            self.event_queue.at(to, WorldEvent::TroubleEnds(place));
+            .schedule(due, WorldEvent::FaultStep { fault, step });
+    }
+
+    /// Schedules the further steps of a fault, spread over its time.
+    fn schedule_further_steps(&mut self, begun: FaultStep, lasts: f64, step_count: usize) {
+        let interval = seconds(lasts / step_count.max(1) as f64);
+        for step in 1..step_count {
+            let due = begun.now + interval * step as u32;
+            self.schedule_fault_step(due, begun.fault, step);
         }
     }
 
-    /// Some of the servers that are in service, by chance: so many of all.
-    fn some_servers(&mut self, share: f64) -> Vec<ServerId> {
-        let fit =
-            |it: &super::Server| it.listing == ListingState::Active && it.health == Health::Up;
-        let all = self.servers.iter().enumerate().filter(|(_, it)| fit(it));
-        let mut all: Vec<ServerId> = all.map(|(place, _)| ServerId(place as u32)).collect();
-        let wanted = (all.len() as f64 * share).round() as usize;
-        self.chance.shuffle(&mut all);
-        all.truncate(wanted);
-        all
+    /// A fault begins, or takes a further step.
+    pub(super) fn on_fault_step(
+        &mut self,
+        now: Duration,
+        fault: usize,
+        step: usize,
+        actions: &mut Vec<Action>,
+    ) {
+        let at = FaultStep { now, fault, step };
+        let fault = self.experiment.troubles[fault].clone();
+        let until = now + seconds(fault.lasts);
+        match fault.kind {
+            Kind::CounterSilent => self.counters.set_primary_mode(CounterMode::Silent),
+            Kind::CounterBusy => self.counters.set_primary_mode(CounterMode::Busy),
+            Kind::CounterReset => self.reset_counter(actions),
+            Kind::CounterSlow => {
+                let mode = CounterMode::Slow(fault.factor);
+                self.counters.set_primary_mode(mode);
+            }
+            Kind::CounterEmpty => self.counters.clear_primary(),
+            Kind::CounterSplit => self.assign_second_counter(fault.share, actions),
+            Kind::CounterSwap => self.assign_second_counter(1.0, actions),
+            Kind::ServersSlow => self.impair_servers(at, &fault, slow_down),
+            Kind::ServersFailing => self.impair_servers(at, &fault, fail_some),
+            Kind::RouteUnanswered => self.mute_route(at, &fault),
+            Kind::ServersSilent => self.take_servers_down(&fault, Health::Silent, until, actions),
+            Kind::ServersCrash => self.take_servers_down(&fault, Health::Down, until, actions),
+            Kind::ServersReplace => self.replace_server(at, &fault, actions),
+            Kind::AnswersSpoilt => {
+                self.faults.malformed_share = TimedValue {
+                    until,
+                    value: fault.share,
+                }
+            }
+            Kind::ListLate => self.endpoint_list.delay_until(until, fault.factor),
+            Kind::ListSilent => self.endpoint_list.silence_until(until),
+            Kind::ListWrong => self.delist_servers(at, &fault),
+            // These are known from the start of the run.
+            Kind::Surge | Kind::DeadlineSurge | Kind::PlanBurst | Kind::Scan => (),
+            Kind::Shift => self.shift_accounts(fault.share),
+            Kind::Impatient => self.clients.patience = fault.factor.clamp(MIN_PATIENCE, 1.0),
+            Kind::Heedless => self.clients.ignoring_share = fault.share,
+            Kind::BadClients => actions.push(Action::AddMisbehavingClients(fault.factor as usize)),
+            Kind::GatewaysKill => self.kill_gateways(at, fault.share, until, actions),
+            Kind::GatewaysRestart => self.restart_gateway(at, &fault, actions),
+            Kind::GatewaysMove => self.move_gateways(fault.share, actions),
+            Kind::ZoneCut => self.network.cut_zone(fault.zone, until),
+            Kind::ZoneLost => self.silence_zone(fault.zone, until, actions),
+            Kind::PeersLost => self.network.lose_datagrams_until(until, fault.share),
+        }
     }
 
-    fn some_gateways(&mut self, share: f64) -> Vec<usize> {
-        let mut all: Vec<usize> = (0..self.gateways.len()).collect();
-        let wanted = (all.len() as f64 * share).round() as usize;
-        self.chance.shuffle(&mut all);
-        all.truncate(wanted);
-        all
+    /// A fault ends; those that are not named here end by themselves.
+    pub(super) fn on_fault_end(&mut self, now: Duration, index: usize, actions: &mut Vec<Action>) {
+        let fault = self.experiment.troubles[index].clone();
+        match fault.kind {
+            Kind::CounterSilent | Kind::CounterBusy | Kind::CounterReset | Kind::CounterSlow => {
+                self.counters.set_primary_mode(CounterMode::Answering);
+                if fault.empty {
+                    self.counters.clear_primary();
+                }
+            }
+            Kind::CounterSplit => {
+                let moved = self.counters.assign_primary_to_all();
+                actions.extend(moved.into_iter().map(Action::MovePlatform));
+            }
+            Kind::ServersSlow => self.relieve_servers(index, |server| {
+                server.slowdown /= fault.factor.max(1e-9);
+            }),
+            Kind::ServersFailing => self.relieve_servers(index, |server| {
+                server.failure_share = 0.0;
+            }),
+            Kind::RouteUnanswered => self.relieve_servers(index, |server| {
+                server.muted_routes.pop();
+            }),
+            Kind::ListWrong => self.relist_servers(now, index),
+            Kind::Impatient => self.clients.patience = 1.0,
+            Kind::Heedless => self.clients.ignoring_share = 0.0,
+            _ => (),
+        }
     }
 
-    fn at_server(&mut self, server: ServerId) -> &mut super::Server {
-        &mut self.servers[server.0 as usize]
+    // ---- the counter ----
+
+    fn reset_counter(&mut self, actions: &mut Vec<Action>) {
+        self.counters.set_primary_mode(CounterMode::Resetting);
+        actions.push(Action::ResetCounterConnections);
     }
 
-    /// A server's process ends; connections are reset.
-    fn fell_down(&mut self, server: ServerId, health: Health, actions: &mut Vec<Action>) {
-        if self.at_server(server).health == Health::Fallen {
-            return;
-        }
-        self.at_server(server).crash(health);
-        if health == Health::Down {
-            actions.push(Action::StopServer(server));
+    /// A share of the gateways uses a second counter, which starts empty.
+    fn assign_second_counter(&mut self, share: f64, actions: &mut Vec<Action>) {
+        self.counters.start_secondary();
+        for gateway in self.draw_gateways(share) {
+            self.counters.assign_secondary(gateway);
+            actions.push(Action::MovePlatform(gateway));
         }
     }
 
-    /// A server that was to leave has finished what it had: its process ends and the list forgets it.
-    pub(super) fn retires(&mut self, now: Duration, server: ServerId, actions: &mut Vec<Action>) {
-        self.at_server(server).listing = ListingState::Removed;
-        self.fell_down(server, Health::Down, actions);
-        self.change(now, server, ListingState::Removed);
+    // ---- servers ----
+
+    /// A share of the servers in service, by chance.
+    fn draw_servers(&mut self, share: f64) -> Vec<ServerId> {
+        let in_service =
+            |server: &Server| server.listing == ListingState::Active && server.health == Health::Up;
+        let servers = self.servers().filter(|(_, server)| in_service(server));
+        let mut drawn: Vec<ServerId> = servers.map(|(id, _)| id).collect();
+        let count = (drawn.len() as f64 * share).round() as usize;
+        self.rng.shuffle(&mut drawn);
+        drawn.truncate(count);
+        drawn
     }
 
-    /// A server that was away is back, cold, under its old name.
-    pub(super) fn returns(&mut self, now: Duration, server: ServerId, actions: &mut Vec<Action>) {
-        let it = self.at_server(server);
-        if matches!(it.health, Health::Up | Health::Fallen) || it.listing != ListingState::Active {
-            return;
+    /// Impairs a share of the servers until the fault ends.
+    fn impair_servers(&mut self, at: FaultStep, fault: &Trouble, impair: fn(&mut Server, f64)) {
+        let servers = self.draw_servers(fault.share);
+        for server in &servers {
+            impair(self.server_mut(*server), fault.factor);
         }
-        let was_silent = it.health == Health::Silent;
-        it.start(now);
-        // What a silent machine still held open is reset when it is back.
-        if was_silent {
-            it.incarnation += 1;
-            actions.push(Action::StopServer(server));
+        self.faults.affected_servers.insert(at.fault, servers);
+    }
+
+    /// A share of the servers leaves one route unanswered until the fault ends.
+    fn mute_route(&mut self, at: FaultStep, fault: &Trouble) {
+        let servers = self.draw_servers(fault.share);
+        let name = fault.route.as_ref();
+        let route = name.and_then(|name| self.experiment.route(name));
+        for server in &servers {
+            self.server_mut(*server).muted_routes.extend(route);
         }
-        actions.push(Action::RestartServer(server));
-        self.change(now, server, ListingState::Active);
+        self.faults.affected_servers.insert(at.fault, servers);
     }
 
-    pub(super) fn trouble(
+    /// Ends what a fault did to its servers.
+    fn relieve_servers(&mut self, fault: usize, relieve: impl Fn(&mut Server)) {
+        let servers = self.faults.affected_servers.remove(&fault);
+        for server in servers.unwrap_or_default() {
+            relieve(self.server_mut(server));
+        }
+    }
+
+    /// A share of the servers is silent or down until then.
+    fn take_servers_down(
         &mut self,
-        now: Duration,
-        place: usize,
-        step: usize,
+        fault: &Trouble,
+        health: Health,
+        until: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let it = self.experiment.troubles[place].clone();
-        let until = now + secs(it.lasts);
-        match it.kind {
-            TroubleKind::CounterSilent => self.counters[0].mode = Mode::Silent,
-            TroubleKind::CounterBusy => self.counters[0].mode = Mode::Busy,
-            TroubleKind::CounterReset => {
-                self.counters[0].mode = Mode::Reset;
-                actions.push(Action::ResetCounterConnections);
-            }
-            TroubleKind::CounterSlow => self.counters[0].mode = Mode::Slow(it.factor),
-            TroubleKind::CounterEmpty => self.counters[0].empty(),
-            TroubleKind::CounterSplit | TroubleKind::CounterSwap => {
-                self.counters[1] = Counter::new(&self.counter_terms());
-                let share = if it.kind == TroubleKind::CounterSplit {
-                    it.share
-                } else {
-                    1.0
-                };
-                for gateway in self.some_gateways(share) {
-                    self.gateways[gateway].counter = 1;
-                    actions.push(Action::MovePlatform(gateway));
-                }
-            }
-            TroubleKind::ServersSlow
-            | TroubleKind::ServersFailing
-            | TroubleKind::RouteUnanswered => {
-                let servers = self.some_servers(it.share);
-                let route = it
-                    .route
-                    .as_ref()
-                    .and_then(|name| self.experiment.route(name));
-                for server in &servers {
-                    let at = self.at_server(*server);
-                    match it.kind {
-                        TroubleKind::ServersSlow => at.slow *= it.factor,
-                        TroubleKind::ServersFailing => at.failing = it.factor.min(1.0),
-                        _ => at.mute.extend(route),
-                    }
-                }
-                self.taken_servers.insert(place, servers);
-            }
-            TroubleKind::ServersSilent | TroubleKind::ServersCrash => {
-                let silent = it.kind == TroubleKind::ServersSilent;
-                let health = if silent { Health::Silent } else { Health::Down };
-                for server in self.some_servers(it.share) {
-                    self.fell_down(server, health, actions);
-                    self.event_queue.at(until, WorldEvent::Returns(server));
-                }
-            }
-            TroubleKind::ZoneLost => {
-                for server in (0..self.servers.len() as u32).map(ServerId) {
-                    let at = self.at_server(server);
-                    if at.zone == it.zone
-                        && at.listing == ListingState::Active
-                        && at.health == Health::Up
-                    {
-                        self.fell_down(server, Health::Silent, actions);
-                        self.event_queue.at(until, WorldEvent::Returns(server));
-                    }
-                }
-            }
-            TroubleKind::ServersReplace => self.replace(now, place, step, &it, actions),
-            TroubleKind::AnswersSpoilt => self.spoilt = (until, it.share),
-            TroubleKind::ListLate => self.late_list = (until, it.factor),
-            TroubleKind::ListSilent => self.silent_list = until,
-            TroubleKind::ListWrong => {
-                let servers = self.some_servers(it.share);
-                for server in &servers {
-                    self.change(now, *server, ListingState::Removed);
-                }
-                self.taken_servers.insert(place, servers);
-            }
-            TroubleKind::Surge
-            | TroubleKind::DeadlineSurge
-            | TroubleKind::PlanBurst
-            | TroubleKind::Scan => {}
-            TroubleKind::Shift => {
-                for account in &mut self.clients.accounts {
-                    if self.chance.generate::<f64>() < it.share {
-                        account.moved += 1 + (self.chance.generate::<u32>() % 7) as usize;
-                    }
-                }
-            }
-            TroubleKind::Impatient => self.clients.pressure.patience = it.factor.clamp(0.05, 1.0),
-            TroubleKind::Heedless => self.clients.pressure.heedless = it.share,
-            TroubleKind::BadClients => {
-                actions.push(Action::AddMisbehavingClients(it.factor as usize))
-            }
-            TroubleKind::GatewaysKill => {
-                for gateway in self.some_gateways(it.share) {
-                    self.kill(now, gateway, actions);
-                    self.event_queue.at(until, WorldEvent::Start(gateway));
-                }
-            }
-            TroubleKind::GatewaysRestart => self.restart(now, place, step, &it, actions),
-            TroubleKind::GatewaysMove => {
-                for gateway in self.some_gateways(it.share) {
-                    actions.push(Action::MovePlatform(gateway));
-                }
-            }
-            TroubleKind::ZoneCut => self.cut.push((it.zone, until)),
-            TroubleKind::PeersLost => self.deaf = (until, it.share),
+        for server in self.draw_servers(fault.share) {
+            self.take_server_down(server, health, actions);
+            self.schedule_return(server, until);
         }
     }
 
-    /// The further steps of a trouble, spread over its time.
-    fn steps(&mut self, now: Duration, place: usize, lasts: f64, count: usize) {
-        let each = secs(lasts / count.max(1) as f64);
-        for later in 1..count {
-            self.event_queue.at(
-                now + each * later as u32,
-                WorldEvent::Trouble { place, step: later },
-            );
+    /// A whole zone's servers are silent until then.
+    fn silence_zone(&mut self, zone: usize, until: Duration, actions: &mut Vec<Action>) {
+        let affected = |server: &Server| {
+            server.zone == zone
+                && server.listing == ListingState::Active
+                && server.health == Health::Up
+        };
+        let servers = self.servers().filter(|(_, server)| affected(server));
+        let ids: Vec<ServerId> = servers.map(|(id, _)| id).collect();
+        for server in ids {
+            self.take_server_down(server, Health::Silent, actions);
+            self.schedule_return(server, until);
         }
     }
 
-    /// Servers are replaced one after another, each by a new one that starts cold.
-    fn replace(
+    fn schedule_return(&mut self, server: ServerId, due: Duration) {
+        self.event_queue
+            .schedule(due, WorldEvent::ServerReturns(server));
+    }
+
+    /// A server's process ends, or is not heard any more.
+    fn take_server_down(&mut self, server: ServerId, health: Health, actions: &mut Vec<Action>) {
+        if self.server(server).health == Health::Overloaded {
+            return;
+        }
+        self.server_mut(server).crash(health);
+        if health == Health::Down {
+            actions.push(Action::StopServer(server));
+        }
+    }
+
+    /// A server that was away is back under its old name, and warms up.
+    pub(super) fn on_server_returns(
         &mut self,
         now: Duration,
-        place: usize,
-        step: usize,
-        it: &Trouble,
+        id: ServerId,
         actions: &mut Vec<Action>,
     ) {
-        if step == 0 {
-            let servers = self.some_servers(it.share);
-            self.steps(now, place, it.lasts, servers.len());
-            self.taken_servers.insert(place, servers);
+        let server = self.server_mut(id);
+        let is_away = matches!(server.health, Health::Silent | Health::Down);
+        if !is_away || server.listing != ListingState::Active {
+            return;
+        }
+        let was_silent = server.health == Health::Silent;
+        server.start(now);
+        if was_silent {
+            // What a silent machine still held open is reset when it is back.
+            server.incarnation += 1;
+            actions.push(Action::StopServer(id));
+        }
+        actions.push(Action::RestartServer(id));
+        self.change_endpoint(now, id, ListingState::Active);
+    }
+
+    /// Servers are replaced one after another, each by a new one that warms up.
+    fn replace_server(&mut self, at: FaultStep, fault: &Trouble, actions: &mut Vec<Action>) {
+        if at.step == 0 {
+            let servers = self.draw_servers(fault.share);
+            self.schedule_further_steps(at, fault.lasts, servers.len());
+            self.faults.affected_servers.insert(at.fault, servers);
         }
-        let Some(old) = self.taken_servers[&place].get(step).copied() else {
+        let Some(old) = self.faults.affected_servers[&at.fault].get(at.step) else {
             return;
         };
-        let (zone, kind) = (
-            self.at_server(old).zone,
-            self.at_server(old).machine_type.clone(),
-        );
-        let kind = self
-            .experiment
-            .fleet
-            .kinds
-            .iter()
-            .position(|known| known.name == kind)
+        let old = *old;
+        let zone = self.server(old).zone;
+        let machine_type = self.server(old).machine_type.as_str();
+        let mut kinds = self.experiment.fleet.kinds.iter();
+        let kind = kinds
+            .position(|kind| kind.name == machine_type)
             .unwrap_or(0);
-        self.at_server(old).listing = ListingState::Draining;
-        self.change(now, old, ListingState::Draining);
-        let fresh = self.build(zone, kind);
-        // It is listed by the change that tells its start, not by the one that made it.
-        self.changes.pop();
-        self.at_server(fresh).start(now);
-        actions.push(Action::AddServer(fresh));
-        self.change(now, fresh, ListingState::Active);
-        self.event_queue.at(now + LEAVING, WorldEvent::Retires(old));
+        self.server_mut(old).listing = ListingState::Draining;
+        self.change_endpoint(at.now, old, ListingState::Draining);
+        let replacement = self.add_server(zone, kind);
+        self.server_mut(replacement).start(at.now);
+        actions.push(Action::AddServer(replacement));
+        self.change_endpoint(at.now, replacement, ListingState::Active);
+        self.event_queue
+            .schedule(at.now + DRAIN_TIME, WorldEvent::ServerRetires(old));
     }
 
-    /// Gateways are told to stop one after another, and killed when all that they had must be answered.
-    fn restart(
+    /// A draining server has finished what it had: its process ends and the endpoint list drops it.
+    pub(super) fn on_server_retires(
         &mut self,
         now: Duration,
-        place: usize,
-        step: usize,
-        it: &Trouble,
+        server: ServerId,
+        actions: &mut Vec<Action>,
+    ) {
+        self.server_mut(server).listing = ListingState::Removed;
+        self.take_server_down(server, Health::Down, actions);
+        self.change_endpoint(now, server, ListingState::Removed);
+    }
+
+    // ---- the endpoint list ----
+
+    /// The list drops a share of the servers, though they are in service.
+    fn delist_servers(&mut self, at: FaultStep, fault: &Trouble) {
+        let servers = self.draw_servers(fault.share);
+        for server in &servers {
+            self.change_endpoint(at.now, *server, ListingState::Removed);
+        }
+        self.faults.affected_servers.insert(at.fault, servers);
+    }
+
+    /// The list gives the servers that it had dropped as they are.
+    fn relist_servers(&mut self, now: Duration, fault: usize) {
+        let servers = self.faults.affected_servers.remove(&fault);
+        for server in servers.unwrap_or_default() {
+            let listing = self.server(server).listing;
+            self.change_endpoint(now, server, listing);
+        }
+    }
+
+    // ---- clients ----
+
+    /// A share of the accounts comes through another busiest gateway.
+    fn shift_accounts(&mut self, share: f64) {
+        for account in &mut self.clients.accounts {
+            if self.rng.generate::<f64>() < share {
+                let shift = 1 + self.rng.generate::<u32>() % MAX_SHIFT;
+                account.busiest_offset += shift as usize;
+            }
+        }
+    }
+
+    // ---- gateways ----
+
+    /// A share of the gateways, by chance.
+    fn draw_gateways(&mut self, share: f64) -> Vec<usize> {
+        let mut drawn: Vec<usize> = (0..self.gateways.count()).collect();
+        let count = (drawn.len() as f64 * share).round() as usize;
+        self.rng.shuffle(&mut drawn);
+        drawn.truncate(count);
+        drawn
+    }
+
+    fn kill_gateways(
+        &mut self,
+        at: FaultStep,
+        share: f64,
+        until: Duration,
         actions: &mut Vec<Action>,
     ) {
-        if step == 0 {
-            let gateways = self.some_gateways(it.share);
-            self.steps(now, place, it.lasts, gateways.len());
-            self.taken_gateways.insert(place, gateways);
+        for gateway in self.draw_gateways(share) {
+            self.on_gateway_kill(at.now, gateway, actions);
+            self.event_queue
+                .schedule(until, WorldEvent::GatewayStart(gateway));
+        }
+    }
+
+    /// Discovery and counter of a share of the gateways get new addresses.
+    fn move_gateways(&mut self, share: f64, actions: &mut Vec<Action>) {
+        let moved = self.draw_gateways(share);
+        actions.extend(moved.into_iter().map(Action::MovePlatform));
+    }
+
+    /// Gateways are told to stop one after another, and killed when all that they had must be answered.
+    fn restart_gateway(&mut self, at: FaultStep, fault: &Trouble, actions: &mut Vec<Action>) {
+        if at.step == 0 {
+            let gateways = self.draw_gateways(fault.share);
+            self.schedule_further_steps(at, fault.lasts, gateways.len());
+            self.faults.affected_gateways.insert(at.fault, gateways);
         }
-        let Some(gateway) = self.taken_gateways[&place].get(step).copied() else {
+        let Some(gateway) = self.faults.affected_gateways[&at.fault].get(at.step) else {
             return;
         };
-        if self.gateways[gateway].state != GatewayState::Ready {
+        let gateway = *gateway;
+        if self.gateways.state(gateway) != GatewayState::Ready {
             return;
         }
-        self.gateways[gateway].state = GatewayState::Stopping;
-        self.gateways[gateway].since = now;
+        self.gateways
+            .set_state(at.now, gateway, GatewayState::Stopping);
         actions.push(Action::StopGateway(gateway));
-        let gone = now + secs(self.experiment.longest_wait().min(LONGEST_COUNTED) + 0.7);
-        self.event_queue.at(gone, WorldEvent::Kill(gateway));
+        let longest_wait = self.experiment.longest_wait().min(MAX_STOP_WAIT_SECONDS);
+        let killed_at = at.now + seconds(longest_wait + STOP_MARGIN_SECONDS);
         self.event_queue
-            .at(gone + AGAIN, WorldEvent::Start(gateway));
+            .schedule(killed_at, WorldEvent::GatewayKill(gateway));
+        let started_at = killed_at + RESTART_DELAY;
+        self.event_queue
+            .schedule(started_at, WorldEvent::GatewayStart(gateway));
     }
+}
 
-    pub(super) fn trouble_ends(&mut self, now: Duration, place: usize, actions: &mut Vec<Action>) {
-        let it = self.experiment.troubles[place].clone();
-        match it.kind {
-            TroubleKind::CounterSilent
-            | TroubleKind::CounterBusy
-            | TroubleKind::CounterReset
-            | TroubleKind::CounterSlow => {
-                self.counters[0].mode = Mode::Answers;
-                if it.empty {
-                    self.counters[0].empty();
-                }
-            }
-            TroubleKind::CounterSplit => {
-                for gateway in 0..self.gateways.len() {
-                    if std::mem::replace(&mut self.gateways[gateway].counter, 0) != 0 {
-                        actions.push(Action::MovePlatform(gateway));
-                    }
-                }
-            }
-            TroubleKind::ServersSlow => {
-                for server in self.taken_servers.remove(&place).unwrap_or_default() {
-                    self.at_server(server).slow /= it.factor.max(1e-9);
-                }
-            }
-            TroubleKind::ServersFailing => {
-                for server in self.taken_servers.remove(&place).unwrap_or_default() {
-                    self.at_server(server).failing = 0.0;
-                }
-            }
-            TroubleKind::RouteUnanswered => {
-                for server in self.taken_servers.remove(&place).unwrap_or_default() {
-                    self.at_server(server).mute.pop();
-                }
-            }
-            TroubleKind::ListWrong => {
-                for server in self.taken_servers.remove(&place).unwrap_or_default() {
-                    let listing = self.at_server(server).listing;
-                    self.change(now, server, listing);
-                }
-            }
-            TroubleKind::Impatient => self.clients.pressure.patience = 1.0,
-            TroubleKind::Heedless => self.clients.pressure.heedless = 0.0,
-            _ => (),
-        }
-    }
+/// A server takes so many times as long.
+fn slow_down(server: &mut Server, factor: f64) {
+    server.slowdown *= factor;
+}
+
+/// A share of a server's responses are errors.
+fn fail_some(server: &mut Server, share: f64) {
+    server.failure_share = share.min(1.0);
 }
--- /dev/null
+++ b/lab/src/world/requests.rs
@@ -0,0 +1,346 @@
+//! Requests of clients: how they arrive, which gateway they go to, how they end and when they are sent again.
+
+use super::event_queue::WorldEvent;
+use super::gateways::GatewayState;
+use super::{seconds, Action, World};
+use crate::events::{ClientOutcome, ClientRequestId, OperationId};
+use crate::record::Recorded;
+use crate::rule_checker::AcceptedRequest;
+use nanorand::Rng;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// One request as a client sends it.
+pub(crate) struct ClientRequest {
+    /// What the client wants by it.
+    pub(crate) operation: OperationId,
+    /// The gateway that the front routed it to.
+    pub(crate) gateway: usize,
+    /// When it was meant to be sent: latency counts from here.
+    pub(crate) scheduled_at: Duration,
+    /// When its client timeout ends.
+    pub(crate) deadline: Duration,
+    /// The client has its answer, or waits no longer.
+    pub(crate) closed: bool,
+    /// At least one attempt for it has reached a server.
+    pub(super) forwarded: bool,
+}
+
+/// Recorded requests that are played in place of drawn arrivals.
+pub(super) struct Replay {
+    requests: Vec<Recorded>,
+    /// Index of the account of each recorded one.
+    accounts: BTreeMap<u64, usize>,
+}
+
+impl Replay {
+    /// The requests of a recording; none: arrivals are drawn.
+    pub(super) fn new(requests: Vec<Recorded>) -> Replay {
+        Replay {
+            requests,
+            accounts: BTreeMap::new(),
+        }
+    }
+}
+
+impl World {
+    /// Schedules the first arrival, or all that were recorded.
+    pub(super) fn schedule_arrivals(&mut self) {
+        if self.replay.requests.is_empty() {
+            self.schedule_next_arrival(Duration::ZERO);
+        }
+        for (index, recorded) in self.replay.requests.iter().enumerate() {
+            let arrival = WorldEvent::ReplayedArrival(index);
+            self.event_queue.schedule(recorded.at, arrival);
+        }
+    }
+
+    fn schedule_next_arrival(&mut self, now: Duration) {
+        if let Some(next) = self.clients.draw_next_arrival(now) {
+            if next < self.length {
+                self.event_queue.schedule(next, WorldEvent::Arrival);
+            }
+        }
+    }
+
+    /// The next operation arrives, if one does.
+    pub(super) fn on_arrival(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        if let Some(known_account) = self.clients.draw_arrival(now) {
+            let account = self.draw_new_account(now, known_account);
+            let operation = self.clients.draw_operation(now, account, &self.experiment);
+            self.begin_operation(now, operation, actions);
+        }
+        self.schedule_next_arrival(now);
+    }
+
+    /// While new accounts arrive, one of the same plan in place of the one that was drawn, by chance.
+    fn draw_new_account(&mut self, now: Duration, known_account: usize) -> usize {
+        let Some(share) = self.clients.scan_share(now) else {
+            return known_account;
+        };
+        if self.rng.generate::<f64>() >= share {
+            return known_account;
+        }
+        let plan = self.clients.accounts[known_account].plan;
+        self.add_account(plan)
+    }
+
+    fn add_account(&mut self, plan: usize) -> usize {
+        let account = self.clients.add_new_account(&self.experiment, plan);
+        self.rule_checker.add_account(account as u32, plan);
+        account
+    }
+
+    /// A recorded request arrives, if the experiment knows its route and plan.
+    pub(super) fn on_replayed_arrival(
+        &mut self,
+        now: Duration,
+        index: usize,
+        actions: &mut Vec<Action>,
+    ) {
+        let recorded = self.replay.requests[index].clone();
+        let Some(route) = self.experiment.route(&recorded.route) else {
+            return;
+        };
+        let Some(plan) = self.experiment.plan(&recorded.plan) else {
+            return;
+        };
+        let account = self.replayed_account(recorded.account, plan);
+        let max_units = f64::from(self.experiment.load.units_top);
+        let units = recorded.units.clamp(1.0, max_units);
+        let operation = self
+            .clients
+            .add_operation(now, account, route, units, &self.experiment);
+        self.begin_operation(now, operation, actions);
+    }
+
+    fn replayed_account(&mut self, name: u64, plan: usize) -> usize {
+        if let Some(account) = self.replay.accounts.get(&name) {
+            return *account;
+        }
+        let account = self.add_account(plan);
+        self.clients.accounts[account].name = name;
+        self.replay.accounts.insert(name, account);
+        account
+    }
+
+    /// What an answer to an operation is worth: its billed value times the plan's price.
+    fn operation_value(&self, operation: usize) -> f64 {
+        let operation = &self.clients.operations[operation];
+        let plan = self.clients.accounts[operation.account as usize].plan;
+        let price = self.experiment.plans[plan].price;
+        self.experiment.routes[operation.route].billed_value * price * operation.units
+    }
+
+    /// A client wants something new: inside the quota it counts as requested value.
+    fn begin_operation(&mut self, now: Duration, operation: usize, actions: &mut Vec<Action>) {
+        if self.clients.operations[operation].entitled {
+            self.metrics.second_at(now).requested_value += self.operation_value(operation);
+        }
+        self.send_request(now, OperationId(operation as u32), actions);
+    }
+
+    /// A client sends a request for an operation, to the gateway that the front routes it to.
+    pub(super) fn send_request(
+        &mut self,
+        now: Duration,
+        operation: OperationId,
+        actions: &mut Vec<Action>,
+    ) {
+        let wanted = self.operation(operation);
+        let account = wanted.account as usize;
+        let route = wanted.route;
+        if wanted.done || now >= self.length {
+            return;
+        }
+        self.metrics.second_at(now).requests += 1;
+        let Some(gateway) = self.route_request(now, account) else {
+            self.metrics.second_at(now).unreachable += 1;
+            self.schedule_retry(now, operation, None);
+            return;
+        };
+        let timeout = seconds(self.experiment.routes[route].client_timeout);
+        let id = ClientRequestId(self.requests.len() as u32);
+        self.requests.push(ClientRequest {
+            operation,
+            gateway,
+            scheduled_at: now,
+            deadline: now + timeout,
+            closed: false,
+            forwarded: false,
+        });
+        self.schedule_request_end(now, id, timeout);
+        actions.push(Action::SendRequest(id));
+    }
+
+    /// The gateway that a request of an account goes to; none where the front leads it to one that is down.
+    fn route_request(&mut self, now: Duration, account: usize) -> Option<usize> {
+        let failure_notice = seconds(self.experiment.load.front_notices);
+        let order = self.clients.draw_gateway_order(account, now);
+        let gateway = order
+            .into_iter()
+            .find(|gateway| self.gateways.is_routed_to(now, *gateway, failure_notice))?;
+        (self.gateways.state(gateway) != GatewayState::Down).then_some(gateway)
+    }
+
+    /// When the client of a new request gives up, if it does, and when its timeout is over.
+    fn schedule_request_end(&mut self, now: Duration, id: ClientRequestId, timeout: Duration) {
+        let least_patience = self.experiment.load.patience * self.clients.patience;
+        let patience = least_patience + (1.0 - least_patience) * self.rng.generate::<f64>();
+        if patience < 1.0 {
+            let gives_up_at = now + timeout.mul_f64(patience);
+            self.event_queue
+                .schedule(gives_up_at, WorldEvent::ClientGivesUp(id));
+        }
+        let timeout_over = now + timeout + self.slack;
+        self.event_queue
+            .schedule(timeout_over, WorldEvent::ClientTimeout(id));
+    }
+
+    /// The gateway has accepted a request: from now on it owes an answer.
+    pub(crate) fn on_request_accepted(&mut self, now: Duration, id: ClientRequestId) {
+        let request = self.request(id);
+        let operation = self.operation(request.operation);
+        let accepted = AcceptedRequest {
+            id,
+            gateway: request.gateway,
+            route: operation.route,
+            account: operation.account,
+            units: operation.units,
+            accepted_at: now,
+            deadline: request.deadline,
+        };
+        self.rule_checker.on_request_accepted(accepted);
+    }
+
+    /// No gateway has accepted a request: its process has gone, perhaps in the moment in which it was written.
+    pub(crate) fn on_request_not_accepted(&mut self, now: Duration, id: ClientRequestId) {
+        self.rule_checker.on_request_not_accepted(id);
+        if let Some(operation) = self.close_request(id) {
+            self.metrics.second_at(now).unreachable += 1;
+            self.schedule_retry(now, operation, None);
+        }
+    }
+
+    /// Marks a request as closed; its operation, unless it was closed before.
+    fn close_request(&mut self, id: ClientRequestId) -> Option<OperationId> {
+        let request = &mut self.requests[id.0 as usize];
+        let was_closed = std::mem::replace(&mut request.closed, true);
+        (!was_closed).then_some(request.operation)
+    }
+
+    /// The client sends another request, if it does: when it was told to, or after a wait of its own.
+    fn schedule_retry(
+        &mut self,
+        now: Duration,
+        operation: OperationId,
+        retry_after: Option<Duration>,
+    ) {
+        let load = &self.experiment.load;
+        let wanted = &mut self.clients.operations[operation.0 as usize];
+        if wanted.retries >= load.retries || wanted.done {
+            return;
+        }
+        wanted.retries += 1;
+        let account = &self.clients.accounts[wanted.account as usize];
+        let honors_retry_after =
+            account.honors_retry_after && self.rng.generate::<f64>() >= self.clients.ignoring_share;
+        let own_wait = seconds(load.retry_wait).mul_f64(0.5 + self.rng.generate::<f64>());
+        let wait = match retry_after {
+            Some(retry_after) if honors_retry_after => retry_after,
+            _ => own_wait,
+        };
+        self.event_queue
+            .schedule(now + wait, WorldEvent::ClientRetry(operation));
+    }
+
+    /// A client gives up waiting before its timeout.
+    pub(super) fn on_client_gives_up(
+        &mut self,
+        now: Duration,
+        id: ClientRequestId,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(operation) = self.close_request(id) {
+            self.rule_checker.on_client_gone(now, id);
+            self.metrics.second_at(now).unanswered += 1;
+            actions.push(Action::CloseClient(id));
+            self.schedule_retry(now, operation, None);
+        }
+    }
+
+    /// The client timeout of a request is over.
+    pub(super) fn on_client_timeout(&mut self, now: Duration, id: ClientRequestId) {
+        self.rule_checker.on_deadline(now, id);
+        if let Some(operation) = self.close_request(id) {
+            self.metrics.second_at(now).unanswered += 1;
+            self.schedule_retry(now, operation, None);
+        }
+    }
+
+    /// A client has its final answer; `retry_after` is for how long a rejection asks it to wait.
+    pub(crate) fn on_final_answer(
+        &mut self,
+        now: Duration,
+        id: ClientRequestId,
+        outcome: ClientOutcome,
+        retry_after: Option<Duration>,
+    ) {
+        self.rule_checker.on_final_answer(now, id, outcome);
+        let Some(operation) = self.close_request(id) else {
+            return;
+        };
+        let scheduled_at = self.request(id).scheduled_at;
+        let latency = now.saturating_sub(scheduled_at);
+        match outcome {
+            ClientOutcome::Served { .. } => {
+                self.metrics.record_success(now, latency);
+                self.finish_operation(operation, scheduled_at, latency);
+            }
+            ClientOutcome::Rejected => {
+                self.metrics.record_rejection(now, latency);
+                self.record_room_at_rejection(now, operation);
+                self.schedule_retry(now, operation, retry_after);
+            }
+            ClientOutcome::Failed | ClientOutcome::Disconnected => {
+                self.metrics.record_failure(now, latency);
+                self.schedule_retry(now, operation, None);
+            }
+        }
+    }
+
+    /// An operation is served: its value counts once, in the second in which the request was meant to be sent.
+    fn finish_operation(
+        &mut self,
+        operation: OperationId,
+        scheduled_at: Duration,
+        latency: Duration,
+    ) {
+        let index = operation.0 as usize;
+        let finished = &self.clients.operations[index];
+        let route = &self.experiment.routes[finished.route];
+        let value_share = if latency <= seconds(route.latency_target) {
+            1.0
+        } else {
+            route.late_worth
+        };
+        if finished.within_quota && !finished.done {
+            let value = self.operation_value(index);
+            self.metrics.second_at(scheduled_at).value_in_time += value * value_share;
+        }
+        self.clients.operations[index].done = true;
+    }
+
+    /// Whether the customer's quota and concurrency limit had room for a request that was rejected.
+    fn record_room_at_rejection(&mut self, now: Duration, operation: OperationId) {
+        let rejected = &self.clients.operations[operation.0 as usize];
+        let units = rejected.units;
+        let account = &mut self.clients.accounts[rejected.account as usize];
+        let limit = self.experiment.plans[account.plan].cap;
+        let has_room = account.has_room(now, units, limit);
+        let has_half_room = account.has_half_room(now, units, limit);
+        let second = self.metrics.second_at(now);
+        second.rejected_within_quota += u64::from(has_room);
+        second.rejected_with_half_quota += u64::from(has_half_room);
+    }
+}
--- a/lab/src/world/server/tests.rs
+++ b/lab/src/world/server/tests.rs
@@ -1,60 +1,77 @@
 use super::*;
 
-fn server(queue: usize) -> Server {
-    let overload_for = Duration::from_secs(1);
-    let build = Build {
+fn server(max_queue: usize) -> Server {
+    Server::new(ServerSpec {
+        name: "s".into(),
+        zone: 0,
+        cell: 0,
+        machine_type: "k".into(),
         cores: 1,
         speed: 2.0,
-        queue,
-        cold_from: 0.5,
-        cold: 10.0,
-        fall_multiple: 3.0,
-        overload_for,
+        max_queue,
+        initial_power: 0.5,
+        warm_up_seconds: 10.0,
+        overload_factor: 3.0,
+        overload_window: Duration::from_secs(1),
         mean_work: 0.1,
-    };
-    Server::new("s".into(), 0, 0, "k".into(), build)
+    })
 }
 
-fn task(of: u32, work: f64) -> Task {
+fn task(attempt: u32, work: f64) -> Task {
     Task {
-        of: AttemptId(of),
+        attempt: AttemptId(attempt),
         work,
-        told: true,
+        start_known: true,
     }
 }
 
 #[test]
-fn work_takes_its_time_and_waits_in_line() {
-    let (mut server, now) = (server(1), Duration::from_secs(5));
+fn work_takes_its_time_and_waits_in_the_queue() {
+    let mut server = server(1);
+    let now = Duration::from_secs(5);
+    let later = now + Duration::from_millis(500);
     assert_eq!(
-        server.take(now, task(1, 1.0)),
-        Taken::Begun(now + Duration::from_millis(500))
+        server.admit_task(now, task(1, 1.0)),
+        Admission::Started(later)
     );
-    assert_eq!(server.take(now, task(2, 1.0)), Taken::Waits);
-    assert_eq!(server.take(now, task(3, 1.0)), Taken::TurnedAway);
-    server.slow = 4.0;
-    let later = now + Duration::from_millis(500);
+    assert_eq!(server.admit_task(now, task(2, 1.0)), Admission::Queued);
+    assert_eq!(server.admit_task(now, task(3, 1.0)), Admission::Rejected);
+    server.slowdown = 4.0;
     assert_eq!(
-        server.over(later, AttemptId(1)),
-        Some((AttemptId(2), later + Duration::from_secs(2)))
+        server.finish_task(later, AttemptId(1)),
+        Some(StartedTask {
+            attempt: AttemptId(2),
+            done_at: later + Duration::from_secs(2)
+        })
     );
 }
 
 #[test]
-fn a_cold_server_falls_over_under_too_much_and_not_under_its_share() {
-    let mut cold = server(100);
-    cold.start(Duration::ZERO);
+fn a_server_that_warms_up_is_overloaded_by_too_much_and_not_by_its_share() {
+    let mut server = server(100);
+    server.start(Duration::ZERO);
     // It does 1 a second of work at first; 3 times that within a second is too much.
-    for of in 0..12 {
-        cold.take(Duration::from_millis(of * 80), task(of as u32, 0.24));
+    for number in 0..12 {
+        let now = Duration::from_millis(number * 80);
+        server.admit_task(now, task(number as u32, 0.24));
     }
-    assert_eq!(cold.health, Health::Up);
-    for of in 12..30 {
-        cold.take(
-            Duration::from_millis(960 + (of - 12) * 10),
-            task(of as u32, 0.24),
-        );
+    assert_eq!(server.health, Health::Up);
+    for number in 12..30 {
+        let now = Duration::from_millis(960 + (number - 12) * 10);
+        server.admit_task(now, task(number as u32, 0.24));
     }
-    assert_eq!(cold.health, Health::Fallen);
-    assert!(cold.pushed_knowingly());
+    assert_eq!(server.health, Health::Overloaded);
+    assert!(server.was_overloaded_knowingly());
+}
+
+#[test]
+fn a_start_is_known_from_the_change_that_listed_it_first() {
+    let mut server = server(1);
+    server.start(Duration::from_secs(3));
+    server.record_listed_start(7);
+    server.record_listed_start(9);
+    assert!(!server.is_start_known(7));
+    assert!(server.is_start_known(8));
+    server.start(Duration::from_secs(5));
+    assert!(!server.is_start_known(20));
 }
--- a/lab/src/world/token_bucket.rs
+++ b/lab/src/world/token_bucket.rs
@@ -1,53 +1,59 @@
-//! Units that refill with time; the meter of what is true, which no gateway sees.
+//! A token bucket: the true meter of a customer's quota, which no gateway sees. The program's own bucket in
+//! `src/` is another one on purpose: what judges the program shares no code with it.
 
 use std::time::Duration;
 
+/// Units that refill with time up to a depth.
 #[derive(Clone, Debug)]
-pub struct TokenBucket {
-    pub rate: f64,
-    pub depth: f64,
-    pub left: f64,
-    at: Duration,
+pub(crate) struct TokenBucket {
+    /// Units a second; 0: it never runs out.
+    rate: f64,
+    /// The most that it holds.
+    depth: f64,
+    units_left: f64,
+    filled_at: Duration,
 }
 
 impl TokenBucket {
-    /// No rate and no depth: it never ends.
-    pub fn full(rate: f64, depth: f64) -> TokenBucket {
+    /// A full bucket.
+    pub(super) fn full(rate: f64, depth: f64) -> TokenBucket {
         TokenBucket {
             rate,
             depth,
-            left: depth,
-            at: Duration::ZERO,
+            units_left: depth,
+            filled_at: Duration::ZERO,
         }
     }
 
-    pub fn bounded(&self) -> bool {
-        self.rate > 0.0
+    /// The most that it holds.
+    pub(super) fn depth(&self) -> f64 {
+        self.depth
     }
 
-    fn fill(&mut self, now: Duration) {
-        let span = now.saturating_sub(self.at).as_secs_f64();
-        self.left = (self.left + span * self.rate).min(self.depth);
-        self.at = self.at.max(now);
+    fn refill(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.filled_at).as_secs_f64();
+        self.units_left = (self.units_left + elapsed * self.rate).min(self.depth);
+        self.filled_at = self.filled_at.max(now);
     }
 
-    pub fn holds(&mut self, now: Duration, units: f64) -> bool {
-        self.fill(now);
-        !self.bounded() || self.left >= units
+    /// Whether so many units are left.
+    pub(super) fn holds(&mut self, now: Duration, units: f64) -> bool {
+        self.refill(now);
+        self.rate <= 0.0 || self.units_left >= units
     }
 
-    /// Pays if it can.
-    pub fn pay(&mut self, now: Duration, units: f64) -> bool {
+    /// Takes units if they are left; says whether they were.
+    pub(super) fn take(&mut self, now: Duration, units: f64) -> bool {
         let fits = self.holds(now, units);
         if fits {
-            self.left -= units;
+            self.units_left -= units;
         }
         fits
     }
 
-    /// What was paid turns out to be more or less.
-    pub fn settle(&mut self, now: Duration, more: f64) {
-        self.fill(now);
-        self.left = (self.left - more).min(self.depth);
+    /// What was taken turns out to have been so much more, or less where it is negative.
+    pub(super) fn settle(&mut self, now: Duration, more_units: f64) {
+        self.refill(now);
+        self.units_left = (self.units_left - more_units).min(self.depth);
     }
 }
