--- a/src/control/ceiling.rs
+++ b/src/control/ceiling.rs
@@ -1,31 +1,36 @@
-//! The hard ceiling of a plan, kept by each gateway alone.
+//! The hard ceiling of a plan, which each gateway keeps alone for each customer.
 
-use super::customers::Customer;
-use super::token_bucket::TokenBucket;
+use super::token_bucket::{Refill, TokenBucket};
 use crate::settings::Plan;
 use std::time::Duration;
 
-/// Takes a request's units from the customer's ceiling; says whether they were there. The ceiling's bucket is empty at
-/// the gateway's start, since an earlier process may have spent it; a request that was charged without the counter's
-/// word counts for all of the customer's gateways.
-pub(super) fn try_pass(
-    customer: &mut Customer,
-    plan: &Plan,
-    units: f64,
-    is_uncounted: bool,
-    started_at: Duration,
-    now: Duration,
-) -> bool {
-    if plan.ceiling_rate <= 0.0 {
-        return true;
+/// What the hard ceiling of a customer's plan leaves to this gateway.
+#[derive(Default)]
+pub(super) struct Ceiling {
+    /// None until the first request under a ceiling.
+    bucket: Option<TokenBucket>,
+}
+
+impl Ceiling {
+    /// Takes units from the ceiling of `plan`; says whether they were there, as they always are where the plan has no
+    /// ceiling. The bucket was empty when the gateway started (`started_at`), since an earlier process may have spent
+    /// it.
+    pub(super) fn try_take(
+        &mut self,
+        plan: &Plan,
+        units: f64,
+        started_at: Duration,
+        now: Duration,
+    ) -> bool {
+        if plan.ceiling_rate <= 0.0 {
+            return true;
+        }
+        let refill = Refill {
+            rate: plan.ceiling_rate,
+            capacity: plan.ceiling_burst,
+        };
+        self.bucket
+            .get_or_insert_with(|| TokenBucket::new(0.0, started_at))
+            .try_take(now, refill, units)
     }
-    let charged = if is_uncounted {
-        units * customer.gateway_count
-    } else {
-        units
-    };
-    customer
-        .ceiling
-        .get_or_insert_with(|| TokenBucket::new(0.0, started_at))
-        .try_take(now, plan.ceiling_rate, plan.ceiling_burst, charged)
 }
--- a/src/control/customer_quotas.rs
+++ b/src/control/customer_quotas.rs
@@ -2,7 +2,6 @@
 //! quota. A decision that needs the counter's reply is [`Decision::Pending`], and comes back by
 //! [`CustomerQuotas::on_counter_reply`].
 
-use super::ceiling;
 use super::context::Context;
 use super::counter_client::{CallPurpose, CounterCall, CounterClient, LeaseRenewal};
 use super::counter_names::{interval_at, lease_counter, window_counter};
@@ -136,7 +135,7 @@
         };
         let customer = self.customers.get_or_insert(&request.customer);
         customer.record_request(context.now, request, gateway_rank, terms.window);
-        let even_split = quota / customer.gateway_count;
+        let even_split = quota / customer.place.count;
         let has_small_quota = even_split < request.units;
         self.counter
             .pacer
@@ -234,8 +233,7 @@
         let period = lease_period_at(customer_id, context.now);
         let customer = self.customers.get_or_insert(customer_id);
         let local_limit = acquisition.local_limit(
-            customer.gateway_rank,
-            customer.gateway_count,
+            customer.place,
             customer.demand_without(acquisition.units, acquisition.window),
             period,
         );
@@ -511,8 +509,9 @@
             .settle(units, is_uncounted);
     }
 
-    /// Takes a request's units from the hard ceiling of its plan, if there is one; says whether they were there.
-    /// `started_at` is when the gateway started.
+    /// Takes a request's units from the hard ceiling of its plan, if there is one; says whether they were there. A request
+    /// that the counter does not count is charged for all of the customer's gateways. `started_at` is when the gateway
+    /// started.
     pub(super) fn try_pass_ceiling(
         &mut self,
         context: &Context,
@@ -522,14 +521,14 @@
     ) -> bool {
         let plan = context.settings.plan(&request.plan);
         let customer = self.customers.get_or_insert(&request.customer);
-        ceiling::try_pass(
-            customer,
-            plan,
-            request.units,
-            is_uncounted,
-            started_at,
-            context.now,
-        )
+        let charged = if is_uncounted {
+            request.units * customer.place.count
+        } else {
+            request.units
+        };
+        customer
+            .ceiling
+            .try_take(plan, charged, started_at, context.now)
     }
 
     /// Forgets the customers that have not been heard of for long.
--- a/src/control/customers.rs
+++ b/src/control/customers.rs
@@ -1,8 +1,8 @@
 //! What a gateway knows of each customer: its demand, its leases, its quota and its ceiling.
 
-use super::leases::CustomerLeases;
+use super::ceiling::Ceiling;
+use super::leases::{CustomerLeases, GatewayPlace};
 use super::quota::{RateQuota, RateTerms, UnitDemand};
-use super::token_bucket::TokenBucket;
 use crate::port::{CustomerId, Request};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,10 +13,8 @@
 /// One customer, as this gateway sees it.
 #[derive(Default)]
 pub(super) struct Customer {
-    /// How many gateways the customer's requests come through.
-    pub(super) gateway_count: f64,
-    /// This gateway's place among them, from 0.
-    pub(super) gateway_rank: f64,
+    /// This gateway's place among those that the customer's requests come through.
+    pub(super) place: GatewayPlace,
     /// Recent demand here, in units a second.
     pub(super) demand: f64,
     last_request_at: Duration,
@@ -25,7 +23,7 @@
     /// The rate quota.
     pub(super) quota: RateQuota,
     /// What a hard ceiling leaves to this gateway.
-    pub(super) ceiling: Option<TokenBucket>,
+    pub(super) ceiling: Ceiling,
 }
 
 impl Customer {
@@ -37,8 +35,10 @@
         gateway_rank: f64,
         window: f64,
     ) {
-        self.gateway_count = f64::from(request.gateway_count.max(1));
-        self.gateway_rank = gateway_rank;
+        self.place = GatewayPlace {
+            rank: gateway_rank,
+            count: f64::from(request.gateway_count.max(1)),
+        };
         let idle = now.saturating_sub(self.last_request_at).as_secs_f64();
         self.demand = self.demand * (-idle / window).exp() + request.units / window;
         self.last_request_at = now;
@@ -47,7 +47,7 @@
     /// The customer's demand over all its gateways without a request of so many units, if they ask alike; in units a
     /// second.
     pub(super) fn demand_without(&self, units: f64, window: f64) -> f64 {
-        (self.demand - units / window) * self.gateway_count
+        (self.demand - units / window) * self.place.count
     }
 
     /// What a request of so many units adds to.
@@ -55,7 +55,7 @@
         UnitDemand {
             units,
             before: self.demand_without(units, terms.window),
-            gateway_count: self.gateway_count,
+            gateway_count: self.place.count,
         }
     }
 }
--- a/src/control/leases.rs
+++ b/src/control/leases.rs
@@ -19,6 +19,15 @@
 /// Who asks for less than this share of its cap or rate has left its quota alone.
 pub(super) const LOW_DEMAND_RATIO: f64 = 0.2;
 
+/// A gateway's place among the gateways that a customer's requests come through.
+#[derive(Clone, Copy, Default)]
+pub(super) struct GatewayPlace {
+    /// Its number among them, from 0.
+    pub(super) rank: f64,
+    /// How many they are.
+    pub(super) count: f64,
+}
+
 /// One lease of this gateway.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct LeaseId(pub(super) u64);
@@ -60,12 +69,11 @@
     /// second over all gateways).
     pub(super) fn local_limit(
         &self,
-        gateway_rank: f64,
-        gateway_count: f64,
+        place: GatewayPlace,
         demand_before: f64,
         current_period: u64,
     ) -> f64 {
-        let share = local_share(self.limit, gateway_rank, gateway_count, current_period);
+        let share = local_share(self.limit, place, current_period);
         let asks_little = demand_before * self.seconds_per_unit < self.limit * LOW_DEMAND_RATIO;
         share.max(if asks_little { 1.0 } else { 0.0 })
     }
@@ -173,9 +181,9 @@
 
 /// A gateway's part of a customer's cap: the parts of all gateways sum to the cap, and the remainder goes round by
 /// period.
-fn local_share(limit: f64, gateway_rank: f64, gateway_count: f64, period: u64) -> f64 {
-    let turn = (gateway_rank + period as f64) % gateway_count;
-    let remainder = limit % gateway_count;
+fn local_share(limit: f64, place: GatewayPlace, period: u64) -> f64 {
+    let turn = (place.rank + period as f64) % place.count;
+    let remainder = limit % place.count;
     let extra = if turn < remainder { 1.0 } else { 0.0 };
-    (limit / gateway_count).floor() + extra
+    (limit / place.count).floor() + extra
 }
--- a/src/control/quota.rs
+++ b/src/control/quota.rs
@@ -5,7 +5,7 @@
 //! recent demand. The customer's token bucket, which all gateways share, is followed from the totals.
 
 use super::leases::{LeaseId, LOW_DEMAND_RATIO};
-use super::token_bucket::TokenBucket;
+use super::token_bucket::{Refill, TokenBucket};
 use crate::port::{CounterName, CounterReply, RequestId};
 use crate::settings::Plan;
 use std::time::Duration;
@@ -181,8 +181,11 @@
         let local_quota = self
             .local_quota
             .get_or_insert_with(|| TokenBucket::new(start_units, now));
-        let local_rate = terms.rate / demand.gateway_count;
-        let fits = local_quota.try_take(now, local_rate, even_split.max(units), units);
+        let refill = Refill {
+            rate: terms.rate / demand.gateway_count,
+            capacity: even_split.max(units),
+        };
+        let fits = local_quota.try_take(now, refill, units);
         if self.leased_units >= units {
             if !fits {
                 local_quota.clear();
--- a/src/control/token_bucket.rs
+++ b/src/control/token_bucket.rs
@@ -2,6 +2,15 @@
 
 use std::time::Duration;
 
+/// How a bucket refills.
+#[derive(Clone, Copy)]
+pub(super) struct Refill {
+    /// Units a second.
+    pub(super) rate: f64,
+    /// The most units that the bucket holds.
+    pub(super) capacity: f64,
+}
+
 /// Units that refill with time.
 ///
 /// The laboratory's rule checker has a bucket of its own on purpose: it shares no code with what it checks.
@@ -19,16 +28,10 @@
         }
     }
 
-    /// Refills at `rate` units a second up to `capacity` and takes `amount`, if it is there; says whether it was.
-    pub(super) fn try_take(
-        &mut self,
-        now: Duration,
-        rate: f64,
-        capacity: f64,
-        amount: f64,
-    ) -> bool {
+    /// Refills the bucket and takes `amount`, if it is there; says whether it was.
+    pub(super) fn try_take(&mut self, now: Duration, refill: Refill, amount: f64) -> bool {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
-        self.units = (self.units + elapsed * rate).min(capacity);
+        self.units = (self.units + elapsed * refill.rate).min(refill.capacity);
         self.updated_at = now;
         let fits = self.units >= amount;
         if fits {
