--- a/src/control/counter_client.rs
+++ b/src/control/counter_client.rs
@@ -11,8 +11,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How cheap a call may be that can be done without: it is made while at least this part of the tokens is there.
-const DISPENSABLE: f64 = 0.7;
+/// The part of the tokens that a call leaves in reserve which can be done without.
+const SPARE_CALL_RESERVE: f64 = 0.7;
 
 /// What a call on the counter was made for, and what its reply is handed on to.
 pub(super) enum CallPurpose {
@@ -83,16 +83,17 @@
         self.circuit.is_open(now)
     }
 
-    /// Whether a call may be made for what is so cheap, from 0 (dear) to 1. Where calls are scarce, the dear requests
-    /// are so judged by the counter, the others by this gateway's share of the quotas.
-    pub(super) fn may_call(&mut self, now: Duration, cheapness: f64) -> bool {
-        let allowed = self.pacer.allows(now, cheapness);
-        !self.is_circuit_open(now) && allowed
+    /// Whether a call may be made that leaves that part of the tokens in reserve ([`RatePacer::reserve_ratio`]). Where
+    /// calls are scarce, valuable requests are so decided by the counter, the others by this gateway's share of the
+    /// quotas. The pacer is asked in any case, since that refills its tokens.
+    pub(super) fn may_call(&mut self, now: Duration, reserve_ratio: f64) -> bool {
+        let is_allowed = self.pacer.allows(now, reserve_ratio);
+        !self.is_circuit_open(now) && is_allowed
     }
 
     /// Whether a call may be made that can be done without.
     pub(super) fn has_spare_calls(&mut self, now: Duration) -> bool {
-        self.may_call(now, DISPENSABLE)
+        self.may_call(now, SPARE_CALL_RESERVE)
     }
 
     /// Makes a call; its reply comes to [`CounterClient::on_reply`].
@@ -125,16 +126,19 @@
         if calls.is_empty() {
             self.pending.remove(&name);
         }
-        let latency = now.saturating_sub(answered.called_at);
-        let is_down = self
-            .pacer
-            .record_reply(now, latency, timeout, reply.is_applied());
-        if is_down {
-            if let Some(open_for) = self.circuit.trip(now, reply) {
-                let line = format!("counter circuit open for {open_for:?}: {reply:?}");
-                context.port.log(&line);
-            }
+        if reply.is_applied() {
+            let latency = now.saturating_sub(answered.called_at);
+            self.pacer.record_success(latency, timeout);
+        } else if self.pacer.record_error(now, timeout) {
+            self.trip_circuit(context, reply);
         }
         Some(answered.purpose)
     }
+
+    fn trip_circuit(&mut self, context: &mut Context, reply: CounterReply) {
+        if let Some(open_for) = self.circuit.trip(context.now, reply) {
+            let line = format!("counter circuit open for {open_for:?}: {reply:?}");
+            context.port.log(&line);
+        }
+    }
 }
--- a/src/control/customer_quotas.rs
+++ b/src/control/customer_quotas.rs
@@ -167,9 +167,9 @@
         let customer_id = &request.customer;
         let terms = RateTerms::of(plan);
         let value = value_of(&context.settings, request);
-        let cheapness = self.counter.pacer.cheapness(value, 1.0);
+        let reserve_ratio = self.counter.pacer.reserve_ratio(value, 1.0);
         let is_spared = self.is_lease_call_spared(now, customer_id, &terms, limit);
-        let is_silent = is_spared || !self.counter.may_call(now, cheapness);
+        let is_silent = is_spared || !self.counter.may_call(now, reserve_ratio);
         self.last_lease = LeaseId(self.last_lease.0 + 1);
         let acquisition = LeaseAcquisition {
             request: request.id.clone(),
@@ -367,9 +367,9 @@
             .map_or(0.0, |known| known.demand);
         let requests_per_block = (recent * terms.window * SCARCE_BLOCK_WINDOWS / units).max(1.0);
         let value = value_of(&context.settings, request);
-        let cheapness = self.counter.pacer.cheapness(value, requests_per_block);
+        let reserve_ratio = self.counter.pacer.reserve_ratio(value, requests_per_block);
         let calls_are_scarce = !self.counter.has_spare_calls(now);
-        let is_silent = !self.counter.may_call(now, cheapness);
+        let is_silent = !self.counter.may_call(now, reserve_ratio);
         let customer = self.customers.get_or_insert(&request.customer);
         let demand = customer.unit_demand(units, &terms);
         let reservation = customer
--- a/src/control/rate_pacer.rs
+++ b/src/control/rate_pacer.rs
@@ -1,5 +1,7 @@
-//! How often this gateway may call the shared counter where gateways crowd it: additive increase on prompt replies,
-//! multiplicative decrease on errors, so that the gateways share what the counter bears without a message.
+//! How often this gateway may call the shared counter where gateways overload it: additive increase on prompt replies,
+//! multiplicative decrease on errors, so that the gateways share the counter's capacity without a message.
+//!
+//! Calls take tokens. A call for a request of little value leaves some of the tokens in reserve for more valuable ones.
 
 use crate::settings::Settings;
 use std::time::Duration;
@@ -34,8 +36,8 @@
 /// A reply within this part of the counter's timeout is prompt.
 const PROMPT_RATIO: f64 = 0.7;
 
-/// An error is taken for crowding where this gateway makes more calls than this in one timeout.
-const CROWDING_CALLS_PER_TIMEOUT: f64 = 0.5;
+/// An error is taken for overload where this gateway makes more calls than this in one timeout.
+const OVERLOAD_CALLS_PER_TIMEOUT: f64 = 0.5;
 
 /// After an error has slowed the rate, the next one does so only after so many timeouts.
 const DECREASE_INTERVAL_TIMEOUTS: u32 = 4;
@@ -58,7 +60,7 @@
 /// What a request moves the mean value by.
 const VALUE_SMOOTHING: f64 = 0.05;
 
-/// The least mean value that cheapness is measured against.
+/// The least mean value that a request is measured against: quotients stay sound.
 const MIN_MEAN_VALUE: f64 = 1e-9;
 
 /// The pace of calls on the counter.
@@ -109,17 +111,18 @@
         self.small_quota_ratio >= SMALL_QUOTA_THRESHOLD
     }
 
-    /// How little a request matters for which one call stands, or `calls` for one: 0 and below for the mean value and
-    /// more, 1 for nothing.
-    pub(super) fn cheapness(&self, value: f64, calls: f64) -> f64 {
-        1.0 - value * calls / self.mean_value.max(MIN_MEAN_VALUE)
+    /// The part of the tokens that one call for so many requests of that value each has to leave in reserve: 0 and below
+    /// for the mean value of a request and more, 1 for no value.
+    pub(super) fn reserve_ratio(&self, value: f64, requests: f64) -> f64 {
+        1.0 - value * requests / self.mean_value.max(MIN_MEAN_VALUE)
     }
 
-    /// Whether a call may be made for what is so cheap: one token is enough for what is dear (0 and below), all that
-    /// can accumulate are wanted for what matters least (1). Everything may call where calls are not paced.
-    pub(super) fn allows(&mut self, now: Duration, cheapness: f64) -> bool {
+    /// Whether a call may be made that has to leave that part of the tokens in reserve: one token is enough without a
+    /// reserve (0 and below), all that can accumulate are needed with a reserve of 1. Calls that are not paced may
+    /// always be made.
+    pub(super) fn allows(&mut self, now: Duration, reserve_ratio: f64) -> bool {
         let burst = self.refill(now);
-        let needed = 1.0 + (burst - 1.0) * cheapness.clamp(0.0, 1.0);
+        let needed = 1.0 + (burst - 1.0) * reserve_ratio.clamp(0.0, 1.0);
         let is_unpaced = !self.quotas_are_small() && self.slow_start_threshold.is_infinite();
         is_unpaced || self.tokens >= needed
     }
@@ -141,31 +144,26 @@
         burst
     }
 
-    /// A call was answered after `latency`, with or without success; says whether the counter is down. Where this
-    /// gateway makes a call in two timeouts or more, and so may crowd the counter, or where quotas are small, an error
-    /// slows the calls below what was made of late, and errors in a row are an outage; elsewhere one error is.
-    /// Trade-off: a counter that is slow for one gateway is used less; an outage is known a second later.
-    pub(super) fn record_reply(
-        &mut self,
-        now: Duration,
-        latency: Duration,
-        timeout: Duration,
-        succeeded: bool,
-    ) -> bool {
-        let may_crowd = self.quotas_are_small()
-            || self.recent_rate * timeout.as_secs_f64() > CROWDING_CALLS_PER_TIMEOUT;
-        if succeeded {
-            self.consecutive_errors = 0;
-            if latency < timeout.mul_f64(PROMPT_RATIO) {
-                self.increase();
-            }
-            return false;
+    /// A call succeeded after `latency`: a prompt reply raises the rate.
+    pub(super) fn record_success(&mut self, latency: Duration, timeout: Duration) {
+        self.consecutive_errors = 0;
+        if latency < timeout.mul_f64(PROMPT_RATIO) {
+            self.increase();
         }
+    }
+
+    /// A call failed or timed out; says whether that shows an outage of the counter. Where this gateway makes a call in
+    /// two timeouts or more, and so may overload the counter, or where quotas are small, an error lowers the rate below
+    /// that of recent calls, and several errors in a row are an outage; elsewhere one error is. Trade-off: a counter that
+    /// is slow for one gateway is used less; an outage is known a second later.
+    pub(super) fn record_error(&mut self, now: Duration, timeout: Duration) -> bool {
+        let may_overload = self.quotas_are_small()
+            || self.recent_rate * timeout.as_secs_f64() > OVERLOAD_CALLS_PER_TIMEOUT;
         let may_slow = now >= self.slowed_at + timeout * DECREASE_INTERVAL_TIMEOUTS;
-        if may_crowd && may_slow {
+        if may_overload && may_slow {
             self.decrease(now);
         }
-        self.consecutive_errors >= OUTAGE_ERRORS || !may_crowd
+        self.consecutive_errors >= OUTAGE_ERRORS || !may_overload
     }
 
     fn increase(&mut self) {
