--- a/src/control.rs
+++ b/src/control.rs
@@ -12,7 +12,7 @@
 //! | module | what it decides or keeps |
 //! | --- | --- |
 //! | `requests` | records of open requests and of attempts |
-//! | `customer_quotas` | what each customer may do: `customers`, `leases`, `quota`, `ceiling`, `token_bucket` |
+//! | `customer_quotas` | what each customer may do: `customers`, `leases`, `quota`, `ceiling`, with `token_bucket`, `observed_bucket` and `unit_reports` |
 //! | `counter_client` | calls on the counter, with `rate_pacer`, `circuit_breaker` and `counter_names` |
 //! | `load_balancer` | what is known of endpoints: `endpoints`, `failure_rate`, `latency`, `machine_types`, `throughput` |
 //! | `endpoint_picker` | which endpoint an attempt goes to; `slow_start` what one may be sent that has just started |
@@ -36,6 +36,7 @@
 mod load_balancer;
 mod load_shedding;
 mod machine_types;
+mod observed_bucket;
 mod quota;
 mod rate_pacer;
 mod requests;
@@ -45,6 +46,7 @@
 mod throughput;
 mod timers;
 mod token_bucket;
+mod unit_reports;
 
 use crate::port::{
     AttemptNumber, AttemptResult, CounterName, CounterReply, CustomerId, EndpointId,
@@ -53,18 +55,19 @@
 use crate::settings::{DiscoveryMode, Settings};
 use context::Context;
 use customer_quotas::{
-    value_of, CustomerQuotas, Decision, GrantedLease, LeaseDenial, QuotaDenial, Reserved,
-    Resumption,
+    value_of, CustomerQuotas, GrantedLease, LeaseDenial, LeaseOutcome, Resumption,
 };
 use leases::LeasePurpose;
 use load_balancer::LoadBalancer;
 use load_shedding::LoadShedder;
 use nanorand::{Rng, WyRand};
+use quota::Reservation;
 use requests::{InFlightAttempt, OpenRequest};
 use retries::{EffectGuard, RetryBudget};
 use retry_after::DEFAULT_RETRY_AFTER;
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use std::task::Poll;
 use std::time::Duration;
 use timers::{Timer, TimerQueue};
 
@@ -190,8 +193,8 @@
                 request,
                 customer,
                 purpose,
-                decision,
-            }) => self.on_lease_decision(&request, &customer, purpose, decision),
+                outcome,
+            }) => self.on_lease_outcome(&request, &customer, purpose, outcome),
             Some(Resumption::Block {
                 customer,
                 granted,
@@ -310,25 +313,23 @@
         };
         let customer = open.request.customer.clone();
         let baseline = self.balancer.baseline_latency(&open.request.route);
-        let decision =
+        let outcome =
             self.quotas
                 .acquire_lease(&mut self.context, &open.request, purpose, baseline);
-        match decision {
-            Decision::Granted(lease) => self.on_lease_decision(id, &customer, purpose, Ok(lease)),
-            Decision::Denied(denial) => self.on_lease_decision(id, &customer, purpose, Err(denial)),
-            Decision::Pending => (),
+        if let Poll::Ready(outcome) = outcome {
+            self.on_lease_outcome(id, &customer, purpose, outcome);
         }
     }
 
     /// A first attempt is charged only once it has its lease; a further one was charged with the first.
-    fn on_lease_decision(
+    fn on_lease_outcome(
         &mut self,
         id: &RequestId,
         customer: &CustomerId,
         purpose: LeasePurpose,
-        decision: Result<GrantedLease, LeaseDenial>,
+        outcome: LeaseOutcome,
     ) {
-        match (decision, purpose) {
+        match (outcome, purpose) {
             (Ok(lease), LeasePurpose::FirstAttempt) => self.reserve_units(id, customer, lease),
             (Ok(lease), LeasePurpose::Retry) => self.send_attempt(id, customer, lease),
             (Err(denial), _) => self.respond(id, self.until_lease_is_free(id, &denial)),
@@ -342,16 +343,14 @@
                 .quotas
                 .release_lease(&mut self.context, customer, lease);
         };
-        let decision = self
+        let reservation = self
             .quotas
             .reserve_units(&mut self.context, &open.request, lease);
-        match decision {
-            Decision::Granted(reserved) => {
-                open.is_uncounted |= reserved == Reserved::Uncounted;
-                self.send_attempt(id, customer, lease);
-            }
-            Decision::Denied(QuotaDenial) => self.reject_unreserved(id, customer, lease),
-            Decision::Pending => (),
+        open.is_uncounted |= reservation == Reservation::Uncounted;
+        match reservation {
+            Reservation::Counted | Reservation::Uncounted => self.send_attempt(id, customer, lease),
+            Reservation::Denied => self.reject_unreserved(id, customer, lease),
+            Reservation::AwaitsBlock => (),
         }
     }
 
--- a/src/control/counter_client.rs
+++ b/src/control/counter_client.rs
@@ -3,7 +3,8 @@
 
 use super::circuit_breaker::CircuitBreaker;
 use super::context::Context;
-use super::leases::{LeaseAcquisition, LeaseId};
+use super::counter_names::{lease_counter, window_counter};
+use super::leases::{LeaseAcquisition, LeaseId, LEASE_TTL};
 use super::quota::BlockAcquisition;
 use super::rate_pacer::RatePacer;
 use crate::port::{CounterName, CounterReply, CustomerId};
@@ -14,6 +15,9 @@
 /// The part of the tokens that a call leaves in reserve which can be done without.
 const SPARE_CALL_RESERVE: f64 = 0.7;
 
+/// The counter keeps the name of a window for so many windows.
+const WINDOW_TTL_WINDOWS: u32 = 3;
+
 /// What a call on the counter was made for, and what its reply is handed on to.
 pub(super) enum CallPurpose {
     /// A customer's lease is acquired.
@@ -39,13 +43,45 @@
 /// One call on the counter.
 pub(super) struct CounterCall {
     /// The number that is added to.
-    pub(super) name: CounterName,
+    name: CounterName,
     /// What is added, below zero to take off.
-    pub(super) amount: f64,
+    amount: f64,
     /// How long the counter keeps the name.
-    pub(super) ttl: Duration,
-    /// What for.
-    pub(super) purpose: CallPurpose,
+    ttl: Duration,
+    purpose: CallPurpose,
+}
+
+impl CounterCall {
+    /// Adds so many leases of a customer to the name of a period.
+    pub(super) fn add_leases(
+        customer: &CustomerId,
+        period: u64,
+        count: f64,
+        purpose: CallPurpose,
+    ) -> CounterCall {
+        CounterCall {
+            name: lease_counter(customer, period),
+            amount: count,
+            ttl: LEASE_TTL,
+            purpose,
+        }
+    }
+
+    /// Adds units of a customer to the name of a window of that number and length.
+    pub(super) fn add_units(
+        customer: &CustomerId,
+        window: u64,
+        length: Duration,
+        units: f64,
+        purpose: CallPurpose,
+    ) -> CounterCall {
+        CounterCall {
+            name: window_counter(customer, window),
+            amount: units,
+            ttl: length * WINDOW_TTL_WINDOWS,
+            purpose,
+        }
+    }
 }
 
 /// A call that is not answered yet.
--- a/src/control/customer_quotas.rs
+++ b/src/control/customer_quotas.rs
@@ -1,56 +1,35 @@
 //! What each customer may do, kept on the shared counter: concurrency leases (steps 2 to 4 of the design) and the rate
-//! quota. A decision that needs the counter's reply is [`Decision::Pending`], and comes back by
-//! [`CustomerQuotas::on_counter_reply`].
+//! quota. A decision that needs the counter's reply comes back by [`CustomerQuotas::on_counter_reply`].
 
 use super::context::Context;
 use super::counter_client::{CallPurpose, CounterCall, CounterClient, LeaseRenewal};
-use super::counter_names::{interval_at, lease_counter, window_counter};
-use super::customers::{Customer, CustomerTable};
+use super::counter_names::interval_at;
+use super::customers::CustomerTable;
 use super::leases::{
-    LeaseAcquisition, LeaseDecision, LeaseId, LeasePurpose, LEASE_PERIOD, LEASE_TTL, RENEW_AHEAD,
+    LeaseAcquisition, LeaseDecision, LeaseId, LeasePurpose, LEASE_PERIOD, RENEW_AHEAD,
 };
 use super::quota::{
-    BlockAcquisition, BlockDecision, CallBudget, RateTerms, Reservation, UnitReports,
-    WaitingRequest, SCARCE_BLOCK_WINDOWS,
+    BlockAcquisition, CallBudget, CounterAccess, RateTerms, Reservation, WaitingRequest,
+    SCARCE_BLOCK_WINDOWS,
 };
+use super::unit_reports::UnitReports;
 use crate::port::{CounterName, CounterReply, CustomerId, Request, RequestId};
 use crate::settings::{Plan, Settings};
+use std::task::Poll;
 use std::time::Duration;
 
-/// The counter keeps the name of a window for so many windows.
-const WINDOW_TTL_WINDOWS: u32 = 3;
-
-/// What a request was decided to get.
-pub(super) enum Decision<Grant, Denial> {
-    /// It has it.
-    Granted(Grant),
-    /// It does not get it.
-    Denied(Denial),
-    /// The counter was asked.
-    Pending,
-}
-
 /// The lease of an attempt; none where the plan states no cap.
 pub(super) type GrantedLease = Option<LeaseId>;
 
-/// How many attempts are ahead of one whose lease was denied.
+/// The lease of an attempt, or why it gets none.
+pub(super) type LeaseOutcome = Result<GrantedLease, LeaseDenial>;
+
+/// A lease was denied: the customer's attempts have reached the cap.
 pub(super) struct LeaseDenial {
-    /// Attempts beyond the cap.
+    /// Attempts beyond the cap, which are ahead of this one.
     pub(super) ahead: f64,
 }
 
-/// A request's units were denied by the local quota, as the counter could not be asked.
-pub(super) struct QuotaDenial;
-
-/// How a request's units were reserved.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Reserved {
-    /// With the counter's word.
-    Counted,
-    /// Without it.
-    Uncounted,
-}
-
 /// What a reply of the counter has decided.
 pub(super) enum Resumption {
     /// The lease of a request.
@@ -62,13 +41,13 @@
         /// For which of its attempts.
         purpose: LeasePurpose,
         /// The lease, or why there is none.
-        decision: Result<GrantedLease, LeaseDenial>,
+        outcome: LeaseOutcome,
     },
     /// The block for which requests of a customer have waited.
     Block {
         /// Whose requests.
         customer: CustomerId,
-        /// They may reserve their units again; else they are rejected.
+        /// The block was granted: they may reserve their units again. Else they are rejected.
         granted: bool,
         /// Which requests.
         waiting: Vec<WaitingRequest>,
@@ -150,18 +129,18 @@
             .map_or(Duration::ZERO, |known| known.quota.rejected_until())
     }
 
-    /// Acquires a lease for a request's next attempt: adds one on the counter and waits for the total. A plan without a
-    /// cap has nothing to hold its customers under. `baseline_latency` is that of the route, in seconds.
+    /// Acquires a lease for a request's next attempt: adds one on the counter and waits for the total, unless it is
+    /// decided without the counter. `baseline_latency` is that of the route, in seconds.
     pub(super) fn acquire_lease(
         &mut self,
         context: &mut Context,
         request: &Request,
         purpose: LeasePurpose,
         baseline_latency: Option<f64>,
-    ) -> Decision<GrantedLease, LeaseDenial> {
+    ) -> Poll<LeaseOutcome> {
         let plan = context.settings.plan(&request.plan);
         let Some(limit) = concurrency_limit(plan) else {
-            return Decision::Granted(None);
+            return Poll::Ready(Ok(None));
         };
         let now = context.now;
         let customer_id = &request.customer;
@@ -169,12 +148,11 @@
         let value = value_of(&context.settings, request);
         let reserve_ratio = self.counter.pacer.reserve_ratio(value, 1.0);
         let is_spared = self.is_lease_call_spared(now, customer_id, &terms, limit);
-        let is_silent = is_spared || !self.counter.may_call(now, reserve_ratio);
-        self.last_lease = LeaseId(self.last_lease.0 + 1);
+        let may_call = !is_spared && self.counter.may_call(now, reserve_ratio);
         let acquisition = LeaseAcquisition {
             request: request.id.clone(),
             purpose,
-            lease: self.last_lease,
+            lease: self.next_lease(),
             period: lease_period_at(customer_id, now),
             limit,
             units: request.units,
@@ -182,21 +160,20 @@
             seconds_per_unit: baseline_latency.unwrap_or(0.0) / request.units.max(1.0),
             is_spared,
         };
-        if is_silent {
+        if !may_call {
             let reply = CounterReply::NotApplied;
-            return match self.decide_lease(context, customer_id, &acquisition, reply) {
-                Ok(lease) => Decision::Granted(lease),
-                Err(denial) => Decision::Denied(denial),
-            };
+            return Poll::Ready(self.decide_lease(context, customer_id, &acquisition, reply));
         }
-        let call = CounterCall {
-            name: lease_counter(customer_id, acquisition.period),
-            amount: 1.0,
-            ttl: LEASE_TTL,
-            purpose: CallPurpose::AcquireLease(customer_id.clone(), acquisition),
-        };
+        let period = acquisition.period;
+        let call_purpose = CallPurpose::AcquireLease(customer_id.clone(), acquisition);
+        let call = CounterCall::add_leases(customer_id, period, 1.0, call_purpose);
         self.counter.call(context, call);
-        Decision::Pending
+        Poll::Pending
+    }
+
+    fn next_lease(&mut self) -> LeaseId {
+        self.last_lease = LeaseId(self.last_lease.0 + 1);
+        self.last_lease
     }
 
     /// Calls being scarce where quotas are small, a cap goes uncounted until the units seen in this window could fill
@@ -229,7 +206,7 @@
         customer_id: &CustomerId,
         acquisition: &LeaseAcquisition,
         reply: CounterReply,
-    ) -> Result<GrantedLease, LeaseDenial> {
+    ) -> LeaseOutcome {
         let period = lease_period_at(customer_id, context.now);
         let customer = self.customers.get_or_insert(customer_id);
         let local_limit = acquisition.local_limit(
@@ -264,18 +241,13 @@
         period: u64,
         leases: Vec<LeaseId>,
     ) {
-        let amount = leases.len() as f64;
-        let renewal = LeaseRenewal {
+        let count = leases.len() as f64;
+        let purpose = CallPurpose::RenewLeases(LeaseRenewal {
             customer: customer.clone(),
             period,
             leases,
-        };
-        let call = CounterCall {
-            name: lease_counter(customer, period),
-            amount,
-            ttl: LEASE_TTL,
-            purpose: CallPurpose::RenewLeases(renewal),
-        };
+        });
+        let call = CounterCall::add_leases(customer, period, count, purpose);
         self.counter.call(context, call);
     }
 
@@ -303,12 +275,7 @@
         period: u64,
         count: f64,
     ) {
-        let call = CounterCall {
-            name: lease_counter(customer, period),
-            amount: -count,
-            ttl: LEASE_TTL,
-            purpose: CallPurpose::GiveBack,
-        };
+        let call = CounterCall::add_leases(customer, period, -count, CallPurpose::GiveBack);
         self.counter.call(context, call);
     }
 
@@ -350,48 +317,58 @@
         }
     }
 
-    /// Reserves the units of a request that has its lease: from the block in hand, from a new block, or by the local
+    /// Reserves the units of a request that has its lease: from the block in hand, from a new block, or from the local
     /// quota.
     pub(super) fn reserve_units(
         &mut self,
         context: &mut Context,
         request: &Request,
         lease: GrantedLease,
-    ) -> Decision<Reserved, QuotaDenial> {
+    ) -> Reservation {
         let now = context.now;
-        let units = request.units;
         let terms = RateTerms::of(context.settings.plan(&request.plan));
-        let recent = self
+        let access = self.counter_access(context, request, &terms);
+        let customer = self.customers.get_or_insert(&request.customer);
+        let demand = customer.unit_demand(request.units, &terms);
+        let reservation = customer.quota.reserve(now, &terms, demand, access);
+        if reservation == Reservation::Uncounted {
+            self.unit_reports.add_unreported(request.units);
+        }
+        if reservation == Reservation::AwaitsBlock {
+            let waiting = WaitingRequest {
+                request: request.id.clone(),
+                lease,
+            };
+            if customer.quota.wait_for_block(waiting) {
+                self.lease_block(context, &request.customer, &terms, request.units);
+            }
+        }
+        reservation
+    }
+
+    /// Whether the counter can be asked for the units of a request. One block pays for several requests of a customer
+    /// that asks often, and is worth so much more.
+    fn counter_access(
+        &mut self,
+        context: &Context,
+        request: &Request,
+        terms: &RateTerms,
+    ) -> CounterAccess {
+        let demand = self
             .customers
             .get(&request.customer)
             .map_or(0.0, |known| known.demand);
-        let requests_per_block = (recent * terms.window * SCARCE_BLOCK_WINDOWS / units).max(1.0);
+        let requests_per_block =
+            (demand * terms.window * SCARCE_BLOCK_WINDOWS / request.units).max(1.0);
         let value = value_of(&context.settings, request);
         let reserve_ratio = self.counter.pacer.reserve_ratio(value, requests_per_block);
-        let calls_are_scarce = !self.counter.has_spare_calls(now);
-        let is_silent = !self.counter.may_call(now, reserve_ratio);
-        let customer = self.customers.get_or_insert(&request.customer);
-        let demand = customer.unit_demand(units, &terms);
-        let reservation = customer
-            .quota
-            .reserve(now, &terms, demand, is_silent, calls_are_scarce);
-        match reservation {
-            Reservation::Unlimited | Reservation::FromBlock => Decision::Granted(Reserved::Counted),
-            Reservation::Uncounted { allowed: true } => {
-                self.unit_reports.add_unreported(units);
-                Decision::Granted(Reserved::Uncounted)
-            }
-            Reservation::Uncounted { allowed: false } => Decision::Denied(QuotaDenial),
-            Reservation::NeedsBlock => {
-                let waiting = WaitingRequest {
-                    request: request.id.clone(),
-                    lease,
-                };
-                if customer.quota.wait_for_block(waiting) {
-                    self.lease_block(context, &request.customer, &terms, units);
-                }
-                Decision::Pending
-            }
+        let has_spare_calls = self.counter.has_spare_calls(context.now);
+        if !self.counter.may_call(context.now, reserve_ratio) {
+            CounterAccess::Unavailable
+        } else if has_spare_calls {
+            CounterAccess::Available
+        } else {
+            CounterAccess::Scarce
         }
     }
 
@@ -404,43 +381,36 @@
         units: f64,
     ) {
         let has_spare_calls = self.counter.has_spare_calls(context.now);
-        let window = interval_at(customer_id, terms.window_length(), context.now);
+        let length = terms.window_length();
+        let window = interval_at(customer_id, length, context.now);
         let customer = self.customers.get_or_insert(customer_id);
-        let size = size_block(
-            customer,
-            context.now,
-            window.number,
-            terms,
-            units,
-            has_spare_calls,
-        );
+        let demand = customer.unit_demand(units, terms);
+        let size = customer.quota.block_size(terms, demand, has_spare_calls);
+        customer
+            .quota
+            .enter_window(context.now, window.number, terms);
         let unreported = self.unit_reports.report_block(size, has_spare_calls);
-        let name = window_counter(customer_id, window.number);
         let block = BlockAcquisition {
             units,
             size,
             unreported,
             terms: *terms,
-            counter: name,
-            window_starts_at: window.starts_at,
-        };
-        let call = CounterCall {
-            name,
-            amount: size + unreported,
-            ttl: terms.window_length() * WINDOW_TTL_WINDOWS,
-            purpose: CallPurpose::LeaseBlock(customer_id.clone(), block),
+            window,
         };
+        let purpose = CallPurpose::LeaseBlock(customer_id.clone(), block);
+        let amount = size + unreported;
+        let call = CounterCall::add_units(customer_id, window.number, length, amount, purpose);
         self.counter.call(context, call);
     }
 
-    /// The counter has told of a block: what overshot goes back.
+    /// The counter has replied about a block: what overshot goes back. Says whether the block was granted.
     fn on_block_reply(
         &mut self,
         context: &mut Context,
         customer_id: &CustomerId,
         block: &BlockAcquisition,
         reply: CounterReply,
-    ) -> BlockDecision {
+    ) -> bool {
         let calls = CallBudget {
             quotas_are_small: self.counter.pacer.quotas_are_small(),
             has_spare_calls: self.counter.has_spare_calls(context.now),
@@ -454,15 +424,16 @@
                 .offset_unreported(decision.left_on_counter);
         }
         if decision.give_back > 0.0 {
-            let call = CounterCall {
-                name: block.counter,
-                amount: -decision.give_back,
-                ttl: block.terms.window_length() * WINDOW_TTL_WINDOWS,
-                purpose: CallPurpose::GiveBack,
-            };
+            let call = CounterCall::add_units(
+                customer_id,
+                block.window.number,
+                block.terms.window_length(),
+                -decision.give_back,
+                CallPurpose::GiveBack,
+            );
             self.counter.call(context, call);
         }
-        decision
+        decision.granted
     }
 
     /// The counter has answered the oldest call on a name: gives what is decided by it, if anything waits for it.
@@ -474,18 +445,16 @@
     ) -> Option<Resumption> {
         match self.counter.on_reply(context, name, reply)? {
             CallPurpose::AcquireLease(customer, acquisition) => {
-                let decision = self.decide_lease(context, &customer, &acquisition, reply);
+                let outcome = self.decide_lease(context, &customer, &acquisition, reply);
                 Some(Resumption::Lease {
                     request: acquisition.request,
                     customer,
                     purpose: acquisition.purpose,
-                    decision,
+                    outcome,
                 })
             }
             CallPurpose::LeaseBlock(customer, block) => {
-                let granted = self
-                    .on_block_reply(context, &customer, &block, reply)
-                    .granted;
+                let granted = self.on_block_reply(context, &customer, &block, reply);
                 let waiting = self.customers.get_or_insert(&customer).quota.take_waiting();
                 Some(Resumption::Block {
                     customer,
@@ -536,19 +505,3 @@
         self.customers.forget_idle(now);
     }
 }
-
-/// Enters the window and sizes the block that a customer leases in it.
-fn size_block(
-    customer: &mut Customer,
-    now: Duration,
-    window: u64,
-    terms: &RateTerms,
-    units: f64,
-    has_spare_calls: bool,
-) -> f64 {
-    let demand = customer.unit_demand(units, terms);
-    let recent_demand = customer.demand * terms.window_length().as_secs_f64();
-    customer
-        .quota
-        .size_block(now, window, terms, demand, recent_demand, has_spare_calls)
-}
--- a/src/control/customers.rs
+++ b/src/control/customers.rs
@@ -54,6 +54,7 @@
     pub(super) fn unit_demand(&self, units: f64, terms: &RateTerms) -> UnitDemand {
         UnitDemand {
             units,
+            here: self.demand,
             before: self.demand_without(units, terms.window),
             gateway_count: self.place.count,
         }
--- a/src/control/quota.rs
+++ b/src/control/quota.rs
@@ -4,9 +4,11 @@
 //! One add to the name of the customer and the current window (burst over rate long) leases a block of units, sized by
 //! recent demand. The customer's token bucket, which all gateways share, is followed from the totals.
 
+use super::counter_names::Interval;
 use super::leases::{LeaseId, LOW_DEMAND_RATIO};
+use super::observed_bucket::ObservedBucket;
 use super::token_bucket::{Refill, TokenBucket};
-use crate::port::{CounterName, CounterReply, RequestId};
+use crate::port::{CounterReply, RequestId};
 use crate::settings::Plan;
 use std::time::Duration;
 
@@ -28,12 +30,6 @@
 /// The longest such rejection, as a part of the window.
 const MAX_REJECTION_WINDOWS: f64 = 0.5;
 
-/// How much of what was reported and not reported to the counter stays after each block.
-const REPORT_DECAY: f64 = 0.95;
-
-/// An add stands for at most so many unreported units to each of its own.
-const MAX_UNREPORTED_RATIO: f64 = 10.0;
-
 /// The terms of a plan's rate quota.
 #[derive(Clone, Copy)]
 pub(super) struct RateTerms {
@@ -63,6 +59,14 @@
         }
     }
 
+    /// How the customer's bucket refills over all gateways.
+    fn refill(&self) -> Refill {
+        Refill {
+            rate: self.rate,
+            capacity: self.burst,
+        }
+    }
+
     /// The length of a window.
     pub(super) fn window_length(&self) -> Duration {
         Duration::from_secs_f64(self.window)
@@ -80,14 +84,25 @@
 /// How a request's units were reserved.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum Reservation {
-    /// From the block in hand.
-    FromBlock,
-    /// The counter was not asked: by the local quota, if that allowed it.
-    Uncounted { allowed: bool },
-    /// There is no such quota.
-    Unlimited,
-    /// Not yet: a block has to be leased.
-    NeedsBlock,
+    /// From a block that the counter counts, or under a plan without a rate quota.
+    Counted,
+    /// From the local quota: the counter does not count them.
+    Uncounted,
+    /// The counter could not be asked and the local quota is spent.
+    Denied,
+    /// Not yet: a block has to be leased from the counter.
+    AwaitsBlock,
+}
+
+/// Whether the counter can be asked for the units of a request.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(super) enum CounterAccess {
+    /// It can't: it is down, or the request is worth too little for one of few calls.
+    Unavailable,
+    /// It can, but calls are few: only for what the local quota can't give.
+    Scarce,
+    /// It can.
+    Available,
 }
 
 /// What a customer asks for, as the reservation of its units needs it.
@@ -95,6 +110,8 @@
 pub(super) struct UnitDemand {
     /// The units of the request.
     pub(super) units: f64,
+    /// The customer's recent demand at this gateway, in units a second.
+    pub(super) here: f64,
     /// The customer's recent demand without this request, over all its gateways, in units a second.
     pub(super) before: f64,
     /// How many gateways the customer comes through.
@@ -111,10 +128,8 @@
     pub(super) unreported: f64,
     /// The terms under which it was leased.
     pub(super) terms: RateTerms,
-    /// The window's name on the counter.
-    pub(super) counter: CounterName,
-    /// When the window began.
-    pub(super) window_starts_at: Duration,
+    /// The window in whose name it is counted.
+    pub(super) window: Interval,
 }
 
 /// What a reply about a block leads to.
@@ -158,50 +173,55 @@
 
     /// Whether the units that were seen in that window reach `units`.
     pub(super) fn has_seen(&self, window: u64, units: f64) -> bool {
-        self.bucket.window == window && self.bucket.total >= units
+        self.bucket.has_seen(window, units)
     }
 
-    /// Reserves a request's units from the block in hand or, where the counter can't be asked (`is_silent`) or calls on
-    /// it are scarce and the local quota suffices, from the local quota. Counted sends draw on the local quota too, so
-    /// that an outage gives no new burst here.
+    /// Reserves a request's units from the block in hand, or from the local quota where the counter can't be asked or
+    /// is better not asked. Counted units are taken from the local quota too, so that an outage gives no new burst here.
     pub(super) fn reserve(
         &mut self,
         now: Duration,
         terms: &RateTerms,
         demand: UnitDemand,
-        is_silent: bool,
-        calls_are_scarce: bool,
+        access: CounterAccess,
     ) -> Reservation {
         if terms.rate <= 0.0 {
-            return Reservation::Unlimited;
+            return Reservation::Counted;
         }
         let units = demand.units;
         let even_split = terms.burst / demand.gateway_count;
         let start_units = if terms.has_ceiling { 0.0 } else { even_split };
-        let local_quota = self
-            .local_quota
-            .get_or_insert_with(|| TokenBucket::new(start_units, now));
         let refill = Refill {
             rate: terms.rate / demand.gateway_count,
             capacity: even_split.max(units),
         };
-        let fits = local_quota.try_take(now, refill, units);
+        let local_quota = self
+            .local_quota
+            .get_or_insert_with(|| TokenBucket::new(start_units, now));
+        let fits_locally = local_quota.try_take(now, refill, units);
         if self.leased_units >= units {
-            if !fits {
+            if !fits_locally {
                 local_quota.clear();
             }
             self.leased_units -= units;
-            return Reservation::FromBlock;
+            return Reservation::Counted;
         }
-        if is_silent || (fits && calls_are_scarce) {
-            // A split over many gateways may be under a unit: who asked for little before this request passes.
-            let asks_little = !terms.has_ceiling && demand.before < terms.rate * LOW_DEMAND_RATIO;
-            return Reservation::Uncounted {
-                allowed: fits || asks_little,
-            };
+        let is_decided_locally = match access {
+            CounterAccess::Unavailable => true,
+            CounterAccess::Scarce => fits_locally,
+            CounterAccess::Available => false,
+        };
+        if !is_decided_locally {
+            local_quota.give_back(if fits_locally { units } else { 0.0 });
+            return Reservation::AwaitsBlock;
+        }
+        // The even split over many gateways may be less than a unit, so a customer of low demand passes beyond it.
+        let has_low_demand = !terms.has_ceiling && demand.before < terms.rate * LOW_DEMAND_RATIO;
+        if fits_locally || has_low_demand {
+            Reservation::Uncounted
+        } else {
+            Reservation::Denied
         }
-        local_quota.give_back(if fits { units } else { 0.0 });
-        Reservation::NeedsBlock
     }
 
     /// Has a request wait for a block; says whether it is the first one, which leases it.
@@ -215,38 +235,36 @@
         std::mem::take(&mut self.waiting)
     }
 
-    /// Enters a window and sizes the block to lease in it: a window's recent demand (`recent_demand`, in units), but no
-    /// more than the even split, which is also the first block; while calls are scarce, half a window's demand.
-    pub(super) fn size_block(
-        &mut self,
-        now: Duration,
-        window: u64,
+    /// The units of a block that is to be leased for a request: a window's recent demand, but no more than the even
+    /// split, which is also the first block; while calls are scarce, half a window's demand. Units in hand count.
+    pub(super) fn block_size(
+        &self,
         terms: &RateTerms,
         demand: UnitDemand,
-        recent_demand: f64,
         has_spare_calls: bool,
     ) -> f64 {
-        let was_followed = self.bucket.window > 0;
-        // A bucket that was not followed is taken to be full, or empty under a hard ceiling.
-        let assumed_level = if terms.has_ceiling { 0.0 } else { terms.burst };
-        self.bucket
-            .enter_window(window, terms.window_length(), assumed_level, now);
+        let window_demand = demand.here * terms.window_length().as_secs_f64();
         let even_split = terms.burst / demand.gateway_count;
-        let usual = if was_followed {
-            even_split.min(recent_demand)
+        let wanted = if !has_spare_calls {
+            window_demand * SCARCE_BLOCK_WINDOWS
+        } else if self.bucket.is_followed() {
+            even_split.min(window_demand)
         } else {
             even_split
         };
-        let wanted = if has_spare_calls {
-            usual
-        } else {
-            recent_demand * SCARCE_BLOCK_WINDOWS
-        };
         (wanted.max(demand.units) - self.leased_units).ceil()
     }
 
-    /// The reply about a block: what the bucket can't give goes back, and the requests that wait are told. Without a
-    /// reply they go on, and find the counter silent.
+    /// Follows the customer's bucket into the window of that number. A bucket that was not followed through the last one
+    /// is taken to be full, or empty under a hard ceiling.
+    pub(super) fn enter_window(&mut self, now: Duration, window: u64, terms: &RateTerms) {
+        let assumed_level = if terms.has_ceiling { 0.0 } else { terms.burst };
+        self.bucket
+            .enter_window(window, terms.window_length(), assumed_level, now);
+    }
+
+    /// The reply about a block: units that the customer's bucket can't give go back. Without a reply the waiting requests
+    /// go on, and find that the counter can't be asked.
     pub(super) fn on_block_reply(
         &mut self,
         now: Duration,
@@ -254,21 +272,17 @@
         reply: CounterReply,
         calls: CallBudget,
     ) -> BlockDecision {
-        let reported = block.size + block.unreported;
-        let Some(total) = reply.total_or(self.bucket.total + block.size + block.unreported) else {
+        let Some(total) = reply.total_or(self.bucket.total() + block.size + block.unreported)
+        else {
             return BlockDecision {
                 granted: true,
                 give_back: 0.0,
                 left_on_counter: 0.0,
             };
         };
-        self.bucket.follow(
-            total - block.size - block.unreported,
-            now,
-            block.terms.rate,
-            block.terms.burst,
-        );
-        let available = self.bucket.level.floor().clamp(0.0, block.size);
+        let total_before = total - block.size - block.unreported;
+        self.bucket.follow(total_before, now, block.terms.refill());
+        let available = self.bucket.level().floor().clamp(0.0, block.size);
         let granted = self.leased_units + available >= block.units;
         let taken = if granted { available } else { 0.0 };
         let give_back = if calls.has_spare_calls {
@@ -277,20 +291,19 @@
             0.0
         };
         self.leased_units += taken;
-        self.bucket.level -= taken;
-        self.bucket.total = total - give_back;
-        if granted {
-            return BlockDecision {
-                granted,
-                give_back,
-                left_on_counter: 0.0,
-            };
+        self.bucket.take(taken, total - give_back);
+        if !granted {
+            self.rejected_until = self.rejection_end(now, block, calls);
         }
-        self.rejected_until = self.rejection_end(now, block, calls);
+        let left_on_counter = if granted {
+            0.0
+        } else {
+            block.size + block.unreported - give_back
+        };
         BlockDecision {
             granted,
             give_back,
-            left_on_counter: reported - give_back,
+            left_on_counter,
         }
     }
 
@@ -304,9 +317,9 @@
     ) -> Duration {
         let window = block.terms.window_length();
         if !calls.has_spare_calls && calls.quotas_are_small {
-            return block.window_starts_at + window;
+            return block.window.starts_at + window;
         }
-        let missing = block.units - self.leased_units - self.bucket.level;
+        let missing = block.units - self.leased_units - self.bucket.level();
         let wait = (missing / block.terms.rate)
             .clamp(MIN_REJECTION, window.as_secs_f64() * MAX_REJECTION_WINDOWS);
         now + Duration::from_secs_f64(wait)
@@ -320,78 +333,3 @@
         }
     }
 }
-
-/// A customer's token bucket as the totals on the counter show it: they tell what all gateways took.
-#[derive(Default)]
-struct ObservedBucket {
-    /// Units in the bucket.
-    level: f64,
-    /// The window that was entered last, 0: none.
-    window: u64,
-    /// The length of that window.
-    length: Duration,
-    /// The total that was seen last in its name.
-    total: f64,
-    /// When the level was last moved.
-    updated_at: Duration,
-}
-
-impl ObservedBucket {
-    /// Enters the window of that number and length. A bucket that was followed through the last one goes on, also where
-    /// new settings have changed the length; one that was not is taken to hold `assumed_level`.
-    fn enter_window(&mut self, window: u64, length: Duration, assumed_level: f64, now: Duration) {
-        if self.window == window && self.length == length {
-            return;
-        }
-        let length_changed = self.length != length && now < self.updated_at + self.length;
-        let was_followed = self.window + 1 == window || (length_changed && self.window > 0);
-        if !was_followed {
-            self.level = assumed_level;
-            self.updated_at = now;
-        }
-        self.window = window;
-        self.length = length;
-        self.total = 0.0;
-    }
-
-    /// Refills at the rate, and gives what the total shows taken since the last look.
-    fn follow(&mut self, total: f64, now: Duration, rate: f64, burst: f64) {
-        let refill = now.saturating_sub(self.updated_at).as_secs_f64() * rate;
-        self.level = (self.level + refill - (total - self.total)).min(burst);
-        self.total = total;
-        self.updated_at = now;
-    }
-}
-
-/// Units of late that were reported to the counter, and sent without a report, over all customers.
-#[derive(Default)]
-pub(super) struct UnitReports {
-    reported: f64,
-    unreported: f64,
-}
-
-impl UnitReports {
-    /// Units were sent without a report.
-    pub(super) fn add_unreported(&mut self, units: f64) {
-        self.unreported += units;
-    }
-
-    /// Units that were reported and not used stand for unreported ones.
-    pub(super) fn offset_unreported(&mut self, units: f64) {
-        self.unreported = (self.unreported - units).max(0.0);
-    }
-
-    /// A block of `size` is reported; gives the units that are to be reported beside it. Where calls are scarce, an add
-    /// also stands for what this gateway sent without one. Trade-off: it is charged to this customer, whoever they went to.
-    pub(super) fn report_block(&mut self, size: f64, has_spare_calls: bool) -> f64 {
-        let ratio = (self.unreported / self.reported.max(1.0)).min(MAX_UNREPORTED_RATIO);
-        let beside = if has_spare_calls {
-            0.0
-        } else {
-            (size * ratio).round()
-        };
-        self.reported = self.reported * REPORT_DECAY + size;
-        self.unreported *= REPORT_DECAY;
-        beside
-    }
-}
