--- a/src/control/endpoint_picker.rs
+++ b/src/control/endpoint_picker.rs
@@ -30,7 +30,7 @@
 pub(super) struct EndpointPicker<'a> {
     /// The endpoint list.
     pub(super) endpoints: &'a EndpointTable,
-    /// What endpoints in slow start bear.
+    /// What may be sent to endpoints in slow start.
     pub(super) slow_start: SlowStartView<'a>,
     /// The failure rates of the routes at all endpoints.
     pub(super) failures: &'a FailureRates,
@@ -50,33 +50,33 @@
         last: Option<&EndpointId>,
         route: &RouteName,
     ) -> Option<EndpointId> {
-        let is_eligible = |id: &EndpointId| {
-            self.endpoints
-                .get(id)
-                .is_some_and(|endpoint| self.is_eligible(endpoint, guard))
-        };
-        let mut candidates = self.candidates(rng, |id| Some(id) != last && is_eligible(id));
-        let route_rate = self.failures.of_route(route, self.slow_start.now);
-        let rank = |id: &EndpointId| {
-            let rate = self.failure_rate(id, route, route_rate);
-            (rate / (route_rate + TOLERATED_FAILURE_RATE) * FAILURE_STEPS) as u32
-        };
-        candidates.sort_by_cached_key(|id| rank(id));
+        let mut candidates =
+            self.candidates(rng, |id| Some(id) != last && self.is_eligible(id, guard));
+        let route_rate = self.failures.overall_rate(route, self.slow_start.now);
+        candidates.sort_by_cached_key(|id| self.failure_rank(id, route, route_rate));
         match candidates[..] {
-            [] => last.filter(|id| is_eligible(id)).cloned(),
+            [] => last.filter(|id| self.is_eligible(id, guard)).cloned(),
             [only] => Some(only.clone()),
             [one, other, ..] => {
-                let picked = self.cheaper(rng, one, other, route, route_rate);
+                let picked = self.pick_by_cost(rng, one, other, route, route_rate);
                 Some(picked.clone())
             }
         }
     }
 
     /// Whether an attempt may go to an endpoint at all: the rules on drains, effects and slow starts.
-    fn is_eligible(&self, endpoint: &EndpointRecord, guard: &EffectGuard) -> bool {
-        endpoint.entry.state == EndpointState::Ready
-            && guard.allows(endpoint, self.slow_start.now)
-            && self.has_capacity(endpoint)
+    fn is_eligible(&self, id: &EndpointId, guard: &EffectGuard) -> bool {
+        self.endpoints.get(id).is_some_and(|endpoint| {
+            endpoint.entry.state == EndpointState::Ready
+                && guard.allows(endpoint, self.slow_start.now)
+                && self.has_capacity(endpoint)
+        })
+    }
+
+    /// An endpoint's failure rate in whole steps against that of the route, lowest first.
+    fn failure_rank(&self, id: &EndpointId, route: &RouteName, route_rate: f64) -> u32 {
+        let rate = self.failure_rate(id, route, route_rate);
+        (rate / (route_rate + TOLERATED_FAILURE_RATE) * FAILURE_STEPS) as u32
     }
 
     /// Whether an endpoint has capacity for one more attempt of this gateway: by an even part of the concurrency limit,
@@ -128,9 +128,10 @@
             .is_some_and(|endpoint| self.slow_start.factor(endpoint) >= 1.0)
     }
 
-    /// The one of two endpoints that this gateway's own counts favour. With nothing in flight at both, as in a gateway
-    /// of many, they say little: it goes by chance, in proportion, else all gateways crowd what looks a little better.
-    fn cheaper<'b>(
+    /// The one of two endpoints at which an attempt costs less. With nothing in flight at both, as in a gateway of many,
+    /// costs say little: one is chosen at random, in proportion, else all gateways would send to the one that looks a
+    /// little better.
+    fn pick_by_cost<'b>(
         &self,
         rng: &mut WyRand,
         one: &'b EndpointId,
@@ -161,7 +162,7 @@
     fn failure_rate(&self, id: &EndpointId, route: &RouteName, route_rate: f64) -> f64 {
         let now = self.slow_start.now;
         self.endpoints.get(id).map_or(route_rate, |endpoint| {
-            endpoint.failures.at_endpoint(route, now, route_rate)
+            endpoint.failures.endpoint_rate(route, now, route_rate)
         })
     }
 
--- a/src/control/endpoints.rs
+++ b/src/control/endpoints.rs
@@ -2,18 +2,24 @@
 
 use super::failure_rate::FailureRates;
 use crate::port::{Endpoint, EndpointId, EndpointState, EndpointUpdate, UnixTime, UpdateTiming};
-use crate::settings::Settings;
+use crate::settings::{Rules, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wellcrank_fleet::slow_start::SlowStartPermits;
 use wellcrank_fleet::subset::{self, SubsetSize};
 
-/// So long a removed endpoint may come back as it was; later it will have started anew.
+/// A removed endpoint that is listed again within this time may not have started anew.
 const REMEMBER_REMOVED_FOR: Duration = Duration::from_secs(600);
 
-/// A list tells of a start so late at the most. Source: the operators' terms.
+/// Discovery lists an endpoint so long after its start at the latest.
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 
+/// What an attempt moves the latency ratio of its endpoint by.
+const LATENCY_SMOOTHING: f64 = 0.1;
+
+/// The least slow-start window, in seconds, whatever the settings say.
+const MIN_SLOW_START_WINDOW: f64 = 1e-9;
+
 /// An endpoint of the list, and what this gateway knows of it.
 pub(super) struct EndpointRecord {
     /// What discovery says of it.
@@ -30,6 +36,38 @@
     pub(super) permits: SlowStartPermits,
 }
 
+impl EndpointRecord {
+    /// How much of its full capacity the endpoint has by now, by its age: from the stated floor to 1.
+    pub(super) fn slow_start_factor(&self, rules: &Rules, now: Duration) -> f64 {
+        let Some(started_at) = self.started_at else {
+            return 1.0;
+        };
+        let floor = rules.slow_start_floor;
+        let window = rules
+            .slow_start_window
+            .as_secs_f64()
+            .max(MIN_SLOW_START_WINDOW);
+        let age = now.saturating_sub(started_at).as_secs_f64();
+        (floor + (1.0 - floor) * age / window).min(1.0)
+    }
+
+    /// An attempt took `ratio` times what its route and this endpoint's machine type take.
+    pub(super) fn record_latency_ratio(&mut self, ratio: f64) {
+        self.latency_ratio += (ratio - self.latency_ratio) * LATENCY_SMOOTHING;
+    }
+}
+
+/// When and by which gateway an update of the endpoint list was received.
+#[derive(Clone, Copy)]
+pub(super) struct UpdateReceipt {
+    /// When, by the adapter's clock.
+    pub(super) now: Duration,
+    /// This gateway's number.
+    pub(super) gateway_index: u32,
+    /// By what the ages of the endpoints are reckoned.
+    pub(super) timing: UpdateTiming,
+}
+
 /// What is kept of an endpoint that is no longer listed: it may be listed again without having started anew.
 struct RemovedEndpoint {
     entry_started_at: Option<UnixTime>,
@@ -100,18 +138,12 @@
     }
 
     /// News from discovery. The subset is as before until [`EndpointTable::refresh_subset`].
-    pub(super) fn update(
-        &mut self,
-        now: Duration,
-        gateway_index: u32,
-        timing: UpdateTiming,
-        update: EndpointUpdate,
-    ) {
+    pub(super) fn update(&mut self, receipt: UpdateReceipt, update: EndpointUpdate) {
         match update {
             EndpointUpdate::Snapshot(entries) => {
-                self.remove_unlisted(now, &entries);
+                self.remove_unlisted(receipt.now, &entries);
                 for entry in entries {
-                    self.apply(now, gateway_index, timing, entry);
+                    self.apply(receipt, entry);
                 }
                 self.ring = self.by_id.keys().cloned().collect();
                 self.ring
@@ -120,7 +152,7 @@
             EndpointUpdate::Delta(entries) => {
                 for entry in entries {
                     self.update_ring(&entry);
-                    self.apply(now, gateway_index, timing, entry);
+                    self.apply(receipt, entry);
                 }
             }
         }
@@ -153,9 +185,9 @@
     }
 
     /// Follows one entry of the list. An endpoint that has not started anew keeps what is known of it.
-    fn apply(&mut self, now: Duration, gateway_index: u32, timing: UpdateTiming, entry: Endpoint) {
+    fn apply(&mut self, receipt: UpdateReceipt, entry: Endpoint) {
         if entry.state == EndpointState::Removed {
-            return self.remove(now, entry.id);
+            return self.remove(receipt.now, entry.id);
         }
         let id = entry.id.clone();
         let record = match self.by_id.remove(&id) {
@@ -164,7 +196,7 @@
             }
             known => {
                 let in_flight = known.map_or(0, |record| record.in_flight);
-                self.new_record(now, gateway_index, timing, entry, in_flight)
+                self.new_record(receipt, entry, in_flight)
             }
         };
         self.by_id.insert(id, record);
@@ -173,9 +205,7 @@
     /// An endpoint of which nothing is known yet but attempts that are out from before it started anew.
     fn new_record(
         &mut self,
-        now: Duration,
-        gateway_index: u32,
-        timing: UpdateTiming,
+        receipt: UpdateReceipt,
         entry: Endpoint,
         in_flight: u32,
     ) -> EndpointRecord {
@@ -187,7 +217,7 @@
             .filter(|removed| removed.entry_started_at == entry.started_at);
         let started_at = match returned {
             Some(removed) => removed.started_at,
-            None => start_on_adapter_clock(now, timing, entry.started_at),
+            None => start_on_adapter_clock(receipt.now, receipt.timing, entry.started_at),
         };
         EndpointRecord {
             entry,
@@ -195,7 +225,7 @@
             in_flight,
             latency_ratio: 1.0,
             failures: FailureRates::default(),
-            permits: SlowStartPermits::new(gateway_index, salt, now),
+            permits: SlowStartPermits::new(receipt.gateway_index, salt, receipt.now),
         }
     }
 
@@ -216,19 +246,19 @@
     }
 
     /// Chooses the subset anew: all endpoints that this gateway can keep connections to open and learn of, or a part.
-    /// Trade-off: what befalls many endpoints of one gateway's subset befalls it more; the others are then used too.
+    /// Trade-off: a gateway suffers more from what happens to endpoints of its subset; the others are then used too.
     pub(super) fn refresh_subset(&mut self, now: Duration, settings: &Settings, load: SubsetLoad) {
         let idle_timeout = settings.limits.idle_timeout.as_secs_f64();
         let endpoints = self.ring.len();
         let limit_each = load.concurrency_limit / self.subset.len().max(1) as f64;
-        let size = SubsetSize {
+        let needed = SubsetSize {
             attempt_rate: load.attempt_rate,
             idle_timeout,
             in_flight: load.in_flight,
             in_flight_each: limit_each.min(load.max_per_endpoint),
         };
         let size = if idle_timeout > 0.0 {
-            size.of(endpoints)
+            needed.of(endpoints)
         } else {
             endpoints
         };
@@ -238,7 +268,7 @@
             .collect();
         let warmed_up = self.subset.iter().filter(|id| {
             let record = &self.by_id[*id];
-            super::slow_start::factor(record, &settings.rules, now) >= 1.0
+            record.slow_start_factor(&settings.rules, now) >= 1.0
         });
         self.warmed_up_in_subset = warmed_up.count() as f64;
     }
@@ -256,9 +286,8 @@
 }
 
 /// When an endpoint started, by the adapter's clock. Its age is asked of the wall clock once; from then on it is a span.
-/// A list tells of a start late, by [`MAX_NOTIFICATION_DELAY`] at the most: an endpoint that the last list did not name
-/// is no older than that, whatever the wall clock says. Trade-off: one that is told later still is in slow start for
-/// longer.
+/// An endpoint that the last update did not list is no older than the time since then and [`MAX_NOTIFICATION_DELAY`],
+/// whatever the wall clock says. Trade-off: one that is listed later still is in slow start for longer.
 fn start_on_adapter_clock(
     now: Duration,
     timing: UpdateTiming,
--- a/src/control/failure_rate.rs
+++ b/src/control/failure_rate.rs
@@ -1,4 +1,4 @@
-//! How many of recent attempts failed, by route: at one endpoint and anywhere.
+//! How many of recent attempts failed, by route: at one endpoint and at all of them.
 
 use crate::port::{AttemptOutcome, AttemptResult, RouteName};
 use std::collections::BTreeMap;
@@ -10,10 +10,10 @@
 /// What an answered error counts, against 1 for an answer that never came.
 const ERROR_WEIGHT: f64 = 0.25;
 
-/// Attempts by which a route's failure rate leans on none.
+/// A route's overall rate is taken as though so many more attempts had not failed.
 const ROUTE_PRIOR_ATTEMPTS: f64 = 5.0;
 
-/// Attempts by which an endpoint's failure rate leans on the route's.
+/// An endpoint's rate is taken as though so many more attempts had failed at the route's overall rate.
 const ENDPOINT_PRIOR_ATTEMPTS: f64 = 2.0;
 
 /// A share of recent attempts that failed; attempts fade with time.
@@ -66,19 +66,19 @@
         }
     }
 
-    /// The share of a route's attempts that fails anywhere, from the rates of all endpoints together.
-    pub(super) fn of_route(&self, route: &RouteName, now: Duration) -> f64 {
+    /// The share of a route's attempts that fails at all endpoints together, where these are the rates of all.
+    pub(super) fn overall_rate(&self, route: &RouteName, now: Duration) -> f64 {
         self.by_route
             .get(route)
             .map_or(0.0, |rate| rate.estimate(now, 0.0, ROUTE_PRIOR_ATTEMPTS))
     }
 
-    /// The share of a route's attempts that is likely to fail here, at one endpoint. It is kept by route, as an endpoint
-    /// may leave one unanswered and serve the others, and leans on what fails `anywhere`: where many endpoints are
-    /// struck, one that is not known yet is less trusted than one that answers.
-    pub(super) fn at_endpoint(&self, route: &RouteName, now: Duration, anywhere: f64) -> f64 {
-        self.by_route.get(route).map_or(anywhere, |rate| {
-            rate.estimate(now, anywhere, ENDPOINT_PRIOR_ATTEMPTS)
+    /// The share of a route's attempts that is likely to fail at an endpoint, where these are its rates. They are kept by
+    /// route, as an endpoint may leave one unanswered and serve the others, and lean on the route's `overall` rate: where
+    /// many endpoints fail, one that is not known yet is less trusted than one that answers.
+    pub(super) fn endpoint_rate(&self, route: &RouteName, now: Duration, overall: f64) -> f64 {
+        self.by_route.get(route).map_or(overall, |rate| {
+            rate.estimate(now, overall, ENDPOINT_PRIOR_ATTEMPTS)
         })
     }
 }
--- a/src/control/latency.rs
+++ b/src/control/latency.rs
@@ -18,6 +18,9 @@
 /// So many answers make the mean that [`BaselineLatency::with_prior`] begins with.
 const FIRST_ANSWERS: u32 = 16;
 
+/// Stands for the latency target of a route that states none, in seconds.
+const DEFAULT_TARGET: f64 = 1.0;
+
 /// The baseline latency of one route, in seconds.
 #[derive(Clone, Copy)]
 pub(super) struct BaselineLatency {
@@ -101,24 +104,27 @@
         }
     }
 
-    /// The mean baseline over all routes, in seconds; NaN while no attempt has ended. A few answers say little: the
-    /// route's latency target stands beside them as one more answer.
-    pub(super) fn mean_with_targets(&self, settings: &Settings) -> f64 {
+    /// The mean baseline over all routes, in seconds, once an attempt has ended. A few answers say little: the route's
+    /// latency target stands beside them as one more answer.
+    pub(super) fn mean_with_targets(&self, settings: &Settings) -> Option<f64> {
+        if self.by_route.is_empty() {
+            return None;
+        }
         let estimates = self
             .by_route
             .iter()
-            .map(|(route, baseline)| baseline.with_prior(target_or_one_second(settings, route)));
-        estimates.sum::<f64>() / self.by_route.len() as f64
+            .map(|(route, baseline)| baseline.with_prior(target_or_default(settings, route)));
+        Some(estimates.sum::<f64>() / self.by_route.len() as f64)
     }
 }
 
-/// The latency target of a route in seconds; one second where none is stated.
-fn target_or_one_second(settings: &Settings, route: &RouteName) -> f64 {
+/// The latency target of a route in seconds, or [`DEFAULT_TARGET`].
+fn target_or_default(settings: &Settings, route: &RouteName) -> f64 {
     let target = settings.route(route).latency_target.as_secs_f64();
     if target > 0.0 {
         target
     } else {
-        1.0
+        DEFAULT_TARGET
     }
 }
 
--- a/src/control/load_balancer.rs
+++ b/src/control/load_balancer.rs
@@ -4,13 +4,13 @@
 use super::concurrency_limit::{ConcurrencyLimiter, FleetShare, INITIAL_LIMIT_PER_ENDPOINT};
 use super::context::Context;
 use super::endpoint_picker::EndpointPicker;
-use super::endpoints::{EndpointTable, SubsetLoad};
+use super::endpoints::{EndpointTable, SubsetLoad, UpdateReceipt};
 use super::failure_rate::{failure_weight, FailureRates};
 use super::latency::BaselineLatencies;
 use super::machine_types::MachineTypeLatencies;
 use super::requests::SentAttempt;
 use super::retries::EffectGuard;
-use super::slow_start::{self, SlowStartView};
+use super::slow_start::SlowStartView;
 use super::throughput::{AnswerRate, AttemptRate};
 use crate::port::{
     AttemptOutcome, AttemptResult, EndpointId, EndpointUpdate, RouteName, UpdateTiming,
@@ -71,8 +71,12 @@
         timing: UpdateTiming,
         update: EndpointUpdate,
     ) {
-        self.endpoints
-            .update(context.now, context.settings.gateway_index, timing, update);
+        let receipt = UpdateReceipt {
+            now: context.now,
+            gateway_index: context.settings.gateway_index,
+            timing,
+        };
+        self.endpoints.update(receipt, update);
         self.refresh_subset(context);
     }
 
@@ -170,6 +174,9 @@
             gateway_share: 1.0 / settings.gateway_count(),
         };
         self.limiter.on_attempt_end(result, latency_target, fleet);
+        if let Some(record) = self.endpoints.get_mut(endpoint) {
+            record.in_flight = record.in_flight.saturating_sub(1);
+        }
         self.record_latency(context, endpoint, route, result);
     }
 
@@ -198,7 +205,7 @@
         }
     }
 
-    /// The attempt is no longer out at its endpoint; its latency moves that of the endpoint, its machine type and route.
+    /// The latency of an attempt moves that of its endpoint, of the endpoint's machine type and of its route.
     fn record_latency(
         &mut self,
         context: &Context,
@@ -210,18 +217,17 @@
         let Some(record) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        record.in_flight = record.in_flight.saturating_sub(1);
         if matches!(
             result.outcome,
             AttemptOutcome::Success | AttemptOutcome::TimedOut
         ) {
             let ratio = result.latency.as_secs_f64() / baseline.seconds();
-            self.machine_types
-                .record(&record.entry.machine_type, &mut record.latency_ratio, ratio);
+            let against_type = self.machine_types.record(&record.entry.machine_type, ratio);
+            record.record_latency_ratio(against_type);
         }
         if result.outcome == AttemptOutcome::Success {
             self.latencies.record_answer(route, result.latency);
-            if slow_start::factor(record, &context.settings.rules, context.now) >= 1.0 {
+            if record.slow_start_factor(&context.settings.rules, context.now) >= 1.0 {
                 self.answer_rate.record(context.now);
             }
         }
--- a/src/control/machine_types.rs
+++ b/src/control/machine_types.rs
@@ -5,9 +5,6 @@
 /// What an attempt moves the ratio of its endpoint's machine type by.
 const MACHINE_TYPE_SMOOTHING: f64 = 0.05;
 
-/// What an attempt moves the ratio of its endpoint by.
-const ENDPOINT_SMOOTHING: f64 = 0.1;
-
 /// The least ratio that one attempt counts for.
 const MIN_RATIO: f64 = 0.2;
 
@@ -26,13 +23,13 @@
         self.ratios.get(machine_type).copied().unwrap_or(1.0)
     }
 
-    /// An attempt at an endpoint took `ratio` times its route's baseline: moves the ratio of the machine type, and that
-    /// of the endpoint against it.
-    pub(super) fn record(&mut self, machine_type: &str, endpoint_ratio: &mut f64, ratio: f64) {
+    /// An attempt at a machine of that type took `ratio` times its route's baseline: moves the ratio of the type, and
+    /// gives the attempt's ratio against that of the type so far.
+    pub(super) fn record(&mut self, machine_type: &str, ratio: f64) -> f64 {
         let type_ratio = self.ratios.entry(machine_type.to_string()).or_insert(1.0);
         let against_type = (ratio / *type_ratio).clamp(MIN_RATIO, MAX_RATIO);
-        *endpoint_ratio += (against_type - *endpoint_ratio) * ENDPOINT_SMOOTHING;
         let clamped = ratio.clamp(MIN_RATIO, MAX_RATIO);
         *type_ratio += (clamped - *type_ratio) * MACHINE_TYPE_SMOOTHING;
+        against_type
     }
 }
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -1,28 +1,17 @@
-//! What an endpoint in slow start bears, and this gateway's part of it: an endpoint that has just started can do only a
-//! part of its work, and falls over under the sum of what all gateways send.
+//! How much this gateway may send to an endpoint in slow start: an endpoint that has just started has only a part of its
+//! capacity, and falls over under the sum of what all gateways send.
 
 use super::endpoints::EndpointRecord;
 use super::latency::BaselineLatencies;
-use crate::settings::{Rules, Settings};
+use crate::settings::Settings;
 use std::time::Duration;
 use wellcrank_fleet::slow_start::SlowStartBudget;
 
 /// The part of the budget that the rule allows which is used: permits of two windows may arrive half a window late.
 const USED_BUDGET_RATIO: f64 = 0.4;
 
-/// The least slow-start window, in seconds, whatever the settings say.
-const MIN_WINDOW: f64 = 1e-9;
-
-/// How much of its full work an endpoint can do by now, by its age: from the stated floor to 1.
-pub(super) fn factor(endpoint: &EndpointRecord, rules: &Rules, now: Duration) -> f64 {
-    let Some(started_at) = endpoint.started_at else {
-        return 1.0;
-    };
-    let floor = rules.slow_start_floor;
-    let window = rules.slow_start_window.as_secs_f64().max(MIN_WINDOW);
-    let age = now.saturating_sub(started_at).as_secs_f64();
-    (floor + (1.0 - floor) * age / window).min(1.0)
-}
+/// The latency that is assumed while none is known, in seconds.
+const ASSUMED_LATENCY: f64 = 1.0;
 
 /// What the budgets of all endpoints in slow start follow from.
 pub(super) struct SlowStartView<'a> {
@@ -41,12 +30,12 @@
 impl SlowStartView<'_> {
     /// How much of its full work an endpoint can do by now.
     pub(super) fn factor(&self, endpoint: &EndpointRecord) -> f64 {
-        factor(endpoint, &self.settings.rules, self.now)
+        endpoint.slow_start_factor(&self.settings.rules, self.now)
     }
 
     /// This gateway's part of what an endpoint in slow start may be sent by all; none past slow start, or without such
-    /// a rule. Past slow start an endpoint bears what others were seen to do, and one request after another of the
-    /// baseline latency at the least. Trade-off: before it has seen any, a gateway sends next to nothing.
+    /// a rule. The full capacity is taken to be what warmed up endpoints were seen to answer, and one request after
+    /// another of the baseline latency at the least. Trade-off: before it has seen any, a gateway sends next to nothing.
     pub(super) fn budget(&self, endpoint: &EndpointRecord) -> Option<SlowStartBudget> {
         let rules = &self.settings.rules;
         let factor = self.factor(endpoint);
@@ -54,7 +43,7 @@
             return None;
         }
         let latency = self.latencies.mean_with_targets(self.settings);
-        let sequential_rate = 1.0 / if latency > 0.0 { latency } else { 1.0 };
+        let sequential_rate = 1.0 / latency.unwrap_or(ASSUMED_LATENCY);
         let capacity =
             (self.answers_per_endpoint * self.gateways_per_endpoint).max(sequential_rate);
         Some(SlowStartBudget::share_of(
