--- a/fleet/src/discovery_retry.rs
+++ b/fleet/src/discovery_retry.rs
@@ -20,7 +20,7 @@
 
 /// After a call that failed, was rejected or given up, a change counts as notified so long after discovery had it and
 /// could be reached. Whatever the settings say, what a call may take, the wait before the next and the next one's answer
-/// fit into it. Source: the operators' terms.
+/// fit into it.
 pub const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
 /// The least time that anything is waited for.
--- a/fleet/src/slow_start.rs
+++ b/fleet/src/slow_start.rs
@@ -1,5 +1,5 @@
 //! How much a gateway may send to an endpoint in slow start, so that all gateways together stay within what the
-//! endpoint bears. Each gateway has a share of the endpoint's budget that follows from the settings and from what the
+//! endpoint can take. Each gateway has a share of the endpoint's budget that follows from the settings and from what the
 //! gateway sees, without a message to others; the shares sum to no more than the budget, also where a share is a small
 //! part of a send.
 //!
@@ -20,7 +20,7 @@
 }
 
 impl SlowStartBudget {
-    /// The share of one of `gateways` alike that use an endpoint which bears `total_rate` sends a second in all.
+    /// The share of one of `gateways` alike that use an endpoint which can take `total_rate` sends a second in all.
     pub fn share_of(total_rate: f64, gateways: f64, permit_lifetime: Duration) -> SlowStartBudget {
         SlowStartBudget {
             rate: (total_rate / gateways.max(1.0)).max(0.0),
--- a/src/control.rs
+++ b/src/control.rs
@@ -74,9 +74,6 @@
 /// The interval of the one periodic timer.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Work that is done once a second falls on the tick in this part of a second, in milliseconds.
-const SECOND_TICK_BELOW_MS: u32 = 50;
-
 /// How long after a failure of discovery the endpoint list is asked for again.
 const RESUBSCRIBE_AFTER: Duration = Duration::from_millis(500);
 
@@ -98,6 +95,13 @@
     timers: TimerQueue,
 }
 
+/// Where an attempt is to be sent.
+struct AttemptTarget {
+    endpoint: EndpointId,
+    /// It must have gone out whole by then, so that it has no second effect; [`Duration::MAX`]: at any time.
+    send_by: Duration,
+}
+
 impl AdmissionController {
     /// A controller that knows no endpoint yet. `seed` is for random numbers, another one at each start; `now` is the
     /// adapter's clock.
@@ -255,16 +259,17 @@
         }
     }
 
-    /// What is done with the one periodic timer, and once a second.
+    /// Periodic work: at each tick and once a second.
     fn on_tick(&mut self) {
         self.set_tick();
         self.quotas.renew_leases(&mut self.context);
         let now = self.context.now;
-        if now.subsec_millis() >= SECOND_TICK_BELOW_MS {
-            return;
+        // Work that is done once a second is done on the first tick of the second.
+        let is_first_of_second = u128::from(now.subsec_millis()) < TICK.as_millis();
+        if is_first_of_second {
+            self.balancer.on_second(&self.context);
+            self.quotas.forget_idle_customers(now);
         }
-        self.balancer.on_second(&self.context);
-        self.quotas.forget_idle_customers(now);
     }
 
     fn set_tick(&mut self) {
@@ -282,7 +287,7 @@
         self.context.settings.timer_resolution * TIMER_SLACK_RESOLUTIONS
     }
 
-    /// A request gets the terms of its route as they are now.
+    /// Keeps a request that has come in, with the terms of its route as they are now.
     fn open_request(&mut self, request: Request) {
         let now = self.context.now;
         let route = self.context.settings.route(&request.route).clone();
@@ -292,8 +297,8 @@
         self.requests.insert(id, open);
     }
 
-    /// Whether a request is shed. Chance carries what is less than an attempt: one a gateway would jam endpoints that
-    /// hundreds of gateways share.
+    /// Whether a request is shed. A random part of one attempt counts as in flight beside the others, so that a gateway
+    /// with a limit of a few attempts sheds in proportion.
     fn should_shed(&mut self, id: &RequestId) -> bool {
         let Some(open) = self.requests.get(id) else {
             return false;
@@ -303,7 +308,9 @@
         let priority = load_shedding::priority(value, baseline);
         let limiter = self.balancer.limiter();
         let use_ratio = (limiter.in_flight() + self.rng.generate::<f64>()) / limiter.limit();
-        self.shedder.should_shed(priority, use_ratio)
+        let is_shed = self.shedder.should_shed(priority, use_ratio);
+        self.shedder.record_priority(priority);
+        is_shed
     }
 
     /// The first step of an attempt: its concurrency lease.
@@ -364,13 +371,26 @@
     /// The last step of an attempt, and the one place that every attempt passes: the rules on final answers, effects,
     /// drains, slow starts and ceilings are kept here.
     fn send_attempt(&mut self, id: &RequestId, customer: &CustomerId, lease: GrantedLease) {
-        let Some(open) = self.requests.get(id) else {
+        if !self.requests.contains_key(id) {
             return self
                 .quotas
                 .release_lease(&mut self.context, customer, lease);
-        };
+        }
+        match self.choose_target(id) {
+            Some(target) => self.start_attempt(id, &target, lease),
+            None => self.abandon_attempt(id, customer, lease),
+        }
+    }
+
+    /// Where a request's next attempt goes, if it may be sent at all.
+    fn choose_target(&mut self, id: &RequestId) -> Option<AttemptTarget> {
+        let open = self.requests.get(id)?;
+        let has_time = !open.remaining_time(self.context.now).is_zero();
+        if !has_time || open.in_flight.is_some() {
+            return None;
+        }
         let guard = EffectGuard::of(open, self.timer_slack());
-        let effect_free_until = guard.send_by;
+        let send_by = guard.send_by;
         // Random numbers that were drawn for an attempt that is not sent are drawn again for the next.
         let mut rng = self.rng.clone();
         let endpoint = self.balancer.pick(
@@ -379,14 +399,12 @@
             &guard,
             open.last_endpoint.as_ref(),
             &open.request.route,
-        );
-        let has_time = !open.remaining_time(self.context.now).is_zero();
-        let endpoint = endpoint.filter(|_| has_time && open.in_flight.is_none());
-        let Some(endpoint) = endpoint.filter(|_| self.passes_ceiling(id)) else {
-            return self.abandon_attempt(id, customer, lease);
-        };
+        )?;
+        if !self.passes_ceiling(id) {
+            return None;
+        }
         self.rng = rng;
-        self.start_attempt(id, &endpoint, effect_free_until, lease);
+        Some(AttemptTarget { endpoint, send_by })
     }
 
     /// Whether a request may go on under the hard ceiling of its plan: its first attempt takes its units from it.
@@ -415,28 +433,24 @@
     }
 
     /// Sends an attempt for which everything was decided.
-    fn start_attempt(
-        &mut self,
-        id: &RequestId,
-        endpoint: &EndpointId,
-        effect_free_until: Duration,
-        lease: GrantedLease,
-    ) {
+    fn start_attempt(&mut self, id: &RequestId, target: &AttemptTarget, lease: GrantedLease) {
         let Some(open) = self.requests.get_mut(id) else {
             return;
         };
-        let Some(started) = self.balancer.start_attempt(&self.context, endpoint) else {
+        let Some(started) = self.balancer.start_attempt(&self.context, &target.endpoint) else {
             return;
         };
         let number = AttemptNumber(open.attempts);
         open.attempts += 1;
         open.in_flight = Some(number);
-        open.last_endpoint = Some(endpoint.clone());
+        open.last_endpoint = Some(target.endpoint.clone());
         let timeout = open.remaining_time(self.context.now);
-        let send_by = effect_free_until.min(started.send_by);
-        self.context.port.send(id, endpoint, timeout, send_by);
+        let send_by = target.send_by.min(started.send_by);
+        self.context
+            .port
+            .send(id, &target.endpoint, timeout, send_by);
         let attempt = InFlightAttempt {
-            endpoint: endpoint.clone(),
+            endpoint: target.endpoint.clone(),
             sent: started.sent,
             route: open.request.route.clone(),
             customer: open.request.customer.clone(),
@@ -529,6 +543,7 @@
         }
     }
 
+    /// What a client is advised to wait whose customer has reached its cap.
     fn until_lease_is_free(&self, id: &RequestId, denial: &LeaseDenial) -> Duration {
         let baseline = self
             .requests
@@ -537,6 +552,7 @@
         retry_after::until_lease_is_free(baseline, denial.ahead)
     }
 
+    /// What a client is advised to wait whose customer has spent its quota.
     fn until_quota_refills(&self, customer: &CustomerId) -> Duration {
         let rejected_until = self.quotas.rejected_until(customer);
         retry_after::until_quota_refills(rejected_until, self.context.now)
--- a/src/control/circuit_breaker.rs
+++ b/src/control/circuit_breaker.rs
@@ -1,12 +1,12 @@
-//! When the shared counter is left alone (step 6 of the design).
+//! When the shared counter is not called, as it has failed.
 
 use crate::port::CounterReply;
 use std::time::Duration;
 
-/// For how long the counter is left alone that fell silent.
+/// How long the circuit stays open after a call that was not answered.
 const OPEN_AFTER_SILENCE: Duration = Duration::from_secs(15);
 
-/// For how long the counter is left alone that turned a call away: it is crowded, not gone.
+/// How long the circuit stays open after a call that was answered with an error: the counter is overloaded, not down.
 const OPEN_AFTER_REJECTION: Duration = Duration::from_secs(3);
 
 /// Whether the counter may be called at all. While the circuit is open nothing is counted.
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Whether the counter is left alone.
+    /// Whether the counter must not be called.
     pub(super) fn is_open(&self, now: Duration) -> bool {
         now < self.open_until
     }
 
-    /// The counter is down, as its last reply shows; says for how long it is left alone, if it was not already.
+    /// Opens the circuit after a failed call, if it is not open; says for how long.
     pub(super) fn trip(&mut self, now: Duration, reply: CounterReply) -> Option<Duration> {
         if self.is_open(now) {
             return None;
--- a/src/control/customer_quotas.rs
+++ b/src/control/customer_quotas.rs
@@ -1,4 +1,4 @@
-//! What each customer may do, kept on the shared counter: concurrency leases (steps 2 to 4 of the design) and the rate
+//! What each customer may do, kept on the shared counter: concurrency leases and the rate
 //! quota. A decision that needs the counter's reply comes back by [`CustomerQuotas::on_counter_reply`].
 
 use super::context::Context;
--- a/src/control/leases.rs
+++ b/src/control/leases.rs
@@ -1,13 +1,13 @@
-//! Concurrency leases: the cap on a customer's upstream attempts that are out at once (steps 2 to 4 of the design).
+//! Concurrency leases: the cap on a customer's upstream attempts that are out at once.
 //!
-//! A lease is an addition of one to the counter name of the customer and the current period. Names lapse by themselves,
+//! A lease is an addition of one to the counter name of the customer and the current period. Names expire by themselves,
 //! so leases of a crashed gateway do too; open leases are renewed into the next period's name before the edge.
 
 use crate::port::{CounterReply, RequestId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The length of a period, after which a lease that was not renewed has lapsed.
+/// The length of a period, after which a lease that was not renewed has expired.
 pub(super) const LEASE_PERIOD: Duration = Duration::from_secs(3);
 
 /// So long before the period's edge open leases are renewed into the next name.
@@ -173,7 +173,7 @@
         ended
     }
 
-    /// Ends a lease: gives the periods in whose names it was counted (step 3: it is taken off those, and off no other).
+    /// Ends a lease: gives the periods in whose names it was counted (it is taken off those, and off no other).
     pub(super) fn release(&mut self, lease: LeaseId) -> Vec<u64> {
         self.periods.remove(&lease).unwrap_or_default()
     }
--- a/src/control/load_shedding.rs
+++ b/src/control/load_shedding.rs
@@ -27,10 +27,14 @@
 
 impl LoadShedder {
     /// Whether a request of that priority is shed, with `use_ratio` of the concurrency limit in use.
-    pub(super) fn should_shed(&mut self, priority: f64, use_ratio: f64) -> bool {
+    pub(super) fn should_shed(&self, priority: f64, use_ratio: f64) -> bool {
         let overload = (use_ratio - SHED_ABOVE_USE) / (1.0 - SHED_ABOVE_USE);
         let required = overload * self.mean_priority;
-        self.mean_priority += (priority - self.mean_priority) * PRIORITY_SMOOTHING;
         priority < required
     }
+
+    /// A request of that priority has come in.
+    pub(super) fn record_priority(&mut self, priority: f64) {
+        self.mean_priority += (priority - self.mean_priority) * PRIORITY_SMOOTHING;
+    }
 }
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -15,7 +15,7 @@
     pub(super) received_at: Duration,
     /// Attempts that were begun.
     pub(super) attempts: u32,
-    /// Its units were charged without the counter's word.
+    /// The counter does not count its units: they were reserved from the local quota.
     pub(super) is_uncounted: bool,
     /// The attempt that is out; never more than one.
     pub(super) in_flight: Option<AttemptNumber>,
@@ -88,7 +88,7 @@
     pub(super) lease: Option<LeaseId>,
     /// The units that were charged for the request.
     pub(super) units: f64,
-    /// They were charged without the counter's word.
+    /// The counter does not count them.
     pub(super) is_uncounted: bool,
     /// An earlier attempt had come whole to an endpoint.
     pub(super) units_spent_before: bool,
--- a/src/control/retries.rs
+++ b/src/control/retries.rs
@@ -18,7 +18,7 @@
 /// The least time for which a further attempt is worth making.
 const MIN_REMAINING_TIME: Duration = Duration::from_millis(50);
 
-/// The longest that a gateway stands still between reading its clock and a write. Source: the standing test's page.
+/// The longest that a gateway's process is expected to be suspended between reading its clock and a write.
 const MAX_STALL: Duration = Duration::from_millis(150);
 
 /// Further attempts that may be made, paid for by the requests that come in.
--- a/src/control/retry_after.rs
+++ b/src/control/retry_after.rs
@@ -1,21 +1,21 @@
-//! What a rejected client is told of when to come again.
+//! After which time a rejected client is advised to send its request again.
 
 use crate::port::seconds;
 use std::time::Duration;
 
-/// Where nothing better is known. Source: the design's step 5, for each request ahead.
+/// The advice where nothing better is known.
 pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// The least that a client is told.
+/// The shortest advice.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// The most that a client is told. Source: the design's step 5.
+/// The longest advice.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// So many attempts ahead are reckoned with at the most.
+/// So many attempts ahead are counted at the most.
 const MAX_ATTEMPTS_AHEAD: f64 = 99.0;
 
-/// What is told of a wait that was reckoned out.
+/// The advice for a wait that was calculated.
 pub(super) fn clamped(wait: Duration) -> Duration {
     wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/src/control/unit_reports.rs
+++ b/src/control/unit_reports.rs
@@ -1,4 +1,4 @@
-//! How many of the units that this gateway sends the counter is told of, over all customers.
+//! How many of the units that this gateway sends are reported to the counter, over all customers.
 
 /// How much of what was reported and not reported to the counter stays after each block.
 const REPORT_DECAY: f64 = 0.95;
