--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -5,6 +5,7 @@
 use crate::client::{Client, IDLE};
 use crate::lingering::Lingering;
 use crate::reactor::{Notification, Reactor, Serial, Side};
+use crate::readiness::Readiness;
 use crate::resp;
 use crate::stream::BufferedStream;
 use mio::net::TcpListener;
@@ -171,15 +172,21 @@
         self.pump(reactor, key, calls);
     }
 
-    pub fn ready(&mut self, reactor: &mut Reactor, key: usize, calls: &mut Calls) {
-        if reactor.broken {
+    pub fn ready(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        readiness: Readiness,
+        calls: &mut Calls,
+    ) {
+        if readiness.is_broken() {
             return self.close(reactor, key, calls);
         }
         let Some(client) = self.connections.get(key) else {
             return;
         };
         // Its end is told once. One that is not read any further must not be missed.
-        if reactor.ending && (client.held_up || client.closing) {
+        if readiness.has_peer_stopped_sending() && (client.held_up || client.closing) {
             self.sending_ended(reactor, key, calls);
         }
         let Some(client) = self.connections.get_mut(key) else {
--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -4,8 +4,8 @@
 
 use crate::must;
 use crate::reactor::{Due, DueId, Notification, Reactor, Serial, Side};
+use crate::readiness::Readiness;
 use crate::stream::BufferedStream;
-use mio::event::Event;
 use std::collections::VecDeque;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -185,7 +185,7 @@
         self.retire(reactor, place);
     }
 
-    pub fn ready(&mut self, reactor: &mut Reactor, place: usize, event: &Event) {
+    pub fn ready(&mut self, reactor: &mut Reactor, place: usize, readiness: Readiness) {
         let Some(stream) = self
             .lines
             .get_mut(place)
@@ -193,7 +193,7 @@
         else {
             return;
         };
-        if event.is_writable() && (!stream.up || stream.left() > 0) {
+        if readiness.is_writable() && (!stream.up || stream.left() > 0) {
             if stream.opened().is_err() {
                 return self.end(reactor, place);
             }
@@ -202,7 +202,7 @@
         let Some(stream) = &mut self.lines[place].stream else {
             return;
         };
-        if event.is_readable() || event.is_read_closed() || event.is_error() {
+        if readiness.should_read() {
             stream.drained = false;
             let open = stream.read(reactor, reactor.scratch.len());
             let more = !stream.drained;
@@ -212,7 +212,7 @@
             self.retire(reactor, place);
             let room = |stream: &BufferedStream| stream.input.len() < reactor.scratch.len();
             if more && self.lines[place].stream.as_ref().is_some_and(room) {
-                self.ready(reactor, place, event);
+                self.ready(reactor, place, readiness);
             }
         }
     }
--- a/edge/src/discovery.rs
+++ b/edge/src/discovery.rs
@@ -3,8 +3,8 @@
 //! [`wellcrank_fleet::discovery_retry`]'s to say.
 
 use crate::reactor::{Reactor, Side};
+use crate::readiness::Readiness;
 use crate::stream::BufferedStream;
-use mio::event::Event;
 use nanorand::{Rng, WyRand};
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
@@ -335,10 +335,10 @@
         &mut self,
         reactor: &mut Reactor,
         key: usize,
-        event: &Event,
+        readiness: Readiness,
     ) -> Option<ListUpdate> {
         let stream = self.stream.as_mut().filter(|_| key == self.key)?;
-        if event.is_writable() && stream.left() > 0 {
+        if readiness.is_writable() && stream.left() > 0 {
             self.flush(reactor, key);
         }
         let stream = self.stream.as_mut()?;
--- a/edge/src/event_loop.rs
+++ b/edge/src/event_loop.rs
@@ -3,6 +3,7 @@
 
 use crate::gateway::Gateway;
 use crate::reactor::{Due, Notification};
+use crate::readiness::Readiness;
 use mio::{Events, Poll};
 use std::cell::RefCell;
 use std::io;
@@ -37,11 +38,8 @@
             let mut put_off = std::mem::take(&mut gateway.reactor.written_next);
             gateway.reactor.written.append(&mut put_off);
             for event in &events {
-                gateway.reactor.broken = event.is_write_closed() || event.is_error();
-                gateway.reactor.ending = event.is_read_closed() || gateway.reactor.broken;
-                gateway.ready(event);
+                gateway.ready(event.token(), Readiness::from(event));
             }
-            (gateway.reactor.ending, gateway.reactor.broken) = (false, false);
             while let Some(due) = gateway.reactor.next_due() {
                 gateway.due(due);
             }
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -8,9 +8,10 @@
 use crate::peers::Peers;
 use crate::pool::Pool;
 use crate::reactor::{Due, Notification, Reactor, Side};
+use crate::readiness::Readiness;
 use crate::shutdown::GracefulShutdown;
 use crate::StartupOnly;
-use mio::event::Event;
+use mio::Token;
 use signal_hook::consts::SIGHUP;
 use signal_hook_mio::v1_0::Signals;
 use std::rc::Rc;
@@ -42,7 +43,7 @@
 }
 
 impl Gateway {
-    pub fn ready(&mut self, event: &Event) {
+    pub fn ready(&mut self, token: Token, readiness: Readiness) {
         let Gateway {
             reactor,
             calls,
@@ -50,14 +51,14 @@
             pool,
             ..
         } = self;
-        match Side::of(event.token()) {
+        match Side::of(token) {
             (Side::Listener, _) => clients.accept(reactor, calls),
-            (Side::Client, key) => clients.ready(reactor, key, calls),
+            (Side::Client, key) => clients.ready(reactor, key, readiness, calls),
             (Side::Lingering, key) => clients.ending(reactor, key),
-            (Side::Upstream, key) => pool.ready(reactor, key, event, calls, clients),
-            (Side::Counter, key) => self.counter.ready(reactor, key, event),
+            (Side::Upstream, key) => pool.ready(reactor, key, readiness, calls, clients),
+            (Side::Counter, key) => self.counter.ready(reactor, key, readiness),
             (Side::Discovery, key) => {
-                if let Some(news) = self.discovery.ready(reactor, key, event) {
+                if let Some(news) = self.discovery.ready(reactor, key, readiness) {
                     let since_last = self
                         .list_heard
                         .map(|heard| reactor.now.saturating_sub(heard));
--- a/edge/src/lib.rs
+++ b/edge/src/lib.rs
@@ -14,6 +14,7 @@
 mod peers;
 mod pool;
 mod reactor;
+mod readiness;
 mod resp;
 mod shutdown;
 mod startup;
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -7,9 +7,9 @@
 use crate::discovery::Change;
 use crate::must;
 use crate::reactor::{Due, DueId, Notification, Reactor, Serial, Side};
+use crate::readiness::Readiness;
 use crate::resp::{self, Reply};
 use crate::stream::BufferedStream;
-use mio::event::Event;
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -397,7 +397,7 @@
         &mut self,
         reactor: &mut Reactor,
         key: usize,
-        event: &Event,
+        readiness: Readiness,
         calls: &mut Calls,
         clients: &mut Clients,
     ) {
@@ -405,7 +405,7 @@
             return;
         };
         let unbegun = upstream.job.as_ref().is_some_and(|job| !job.begun);
-        if event.is_writable() && (unbegun || upstream.stream.left() > 0) {
+        if readiness.is_writable() && (unbegun || upstream.stream.left() > 0) {
             if upstream.stream.opened().is_err() {
                 return self.fail(reactor, key);
             }
@@ -414,7 +414,7 @@
         let Some(upstream) = self.connections.get_mut(key) else {
             return;
         };
-        if event.is_readable() || event.is_read_closed() || event.is_error() {
+        if readiness.should_read() {
             upstream.stream.drained = false;
             let open = upstream.stream.read(reactor, resp::WHOLE);
             let more = !upstream.stream.drained;
--- a/edge/src/reactor.rs
+++ b/edge/src/reactor.rs
@@ -104,9 +104,6 @@
     pub scratch: Box<[u8]>,
     /// Bytes in the buffers of connections and in open API calls.
     pub held: usize,
-    /// What the poll says of the connection that it tells of: the other side has ended its sending, or all of it.
-    pub ending: bool,
-    pub broken: bool,
     /// Told to stop.
     pub shutdown: Option<GracefulShutdown>,
     pub tally: Tally,
@@ -133,8 +130,6 @@
             polled: now,
             scratch: vec![0; 64 * 1024].into(),
             held: 0,
-            ending: false,
-            broken: false,
             shutdown: None,
             tally: Tally::default(),
             log,
