--- a/lab/src/loopback/clients.rs
+++ b/lab/src/loopback/clients.rs
@@ -3,10 +3,9 @@
 
 use super::wire::{bulk, Wire};
 use super::{Place, Stage};
+use crate::events::{ClientOutcome, ClientRequestId};
 use crate::experiment::Repeat;
 use crate::record::Recorded;
-use crate::referee::Verdict;
-use crate::world::AskId;
 use mio::Token;
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
@@ -29,7 +28,7 @@
 }
 
 struct Sent {
-    ask: AskId,
+    ask: ClientRequestId,
     /// Where its last byte stands among all that is put.
     end: u64,
     taken: bool,
@@ -45,7 +44,7 @@
 }
 
 /// What a server makes for an API call.
-pub fn value(ask: AskId) -> String {
+pub fn value(ask: ClientRequestId) -> String {
     format!("rendered {:016x}", u64::from(ask.0) + 1)
 }
 
@@ -107,21 +106,18 @@
 
     /// A client asks: on a connection that is free, a new one, or behind others. `first`: not sent again after a
     /// connection was closed under it.
-    pub(super) fn ask(&mut self, ask: AskId, first: bool) -> Result<(), String> {
-        let it = &self.world.asks[ask.0 as usize];
-        let (gateway, origin) = (
-            it.gateway,
-            &self.world.clients.origins[it.origin.0 as usize],
-        );
-        let account = &self.world.clients.accounts[origin.account as usize];
+    pub(super) fn ask(&mut self, ask: ClientRequestId, first: bool) -> Result<(), String> {
+        let it = self.world.request(ask);
+        let (gateway, origin) = (it.gateway, self.world.operation(it.operation));
+        let account = self.world.account(origin.account);
         let (route, plan) = (
-            &self.world.terms.routes[origin.route],
-            &self.world.terms.plans[account.plan],
+            &self.world.experiment.routes[origin.route],
+            &self.world.experiment.plans[account.plan],
         );
         if first && origin.retries == 0 {
             if let Some(recorder) = &mut self.recorder {
                 let (plan, route) = (plan.name.clone(), route.name.clone());
-                let (at, account, units) = (it.born, account.name, origin.units);
+                let (at, account, units) = (it.scheduled_at, account.name, origin.units);
                 let noted = recorder.note(&Recorded {
                     at,
                     account,
@@ -132,7 +128,7 @@
                 noted.map_err(|error| format!("the recording: {error}"))?;
             }
         }
-        let wait = it.until.saturating_sub(self.now).as_millis().max(1);
+        let wait = it.deadline.saturating_sub(self.now).as_millis().max(1);
         let mut list = format!("c={},t={},d={wait}", route.name, plan.name);
         if route.repeat == Repeat::Tokened {
             list.push_str(&format!(",k={:016x}", origin.key));
@@ -169,7 +165,7 @@
         };
         let key = match free {
             Some(key) => Some(key),
-            None if !self.world.connects(self.now, gateway) => None,
+            None if !self.world.accepts_connections(self.now, gateway) => None,
             None if self.gateways[gateway].clients < CONNECTIONS => {
                 self.connect(gateway, Who::Front)
             }
@@ -184,7 +180,7 @@
             }
         };
         let Some(Place::Client(client)) = key.and_then(|key| self.places.get_mut(key)) else {
-            self.world.not_taken(self.now, ask);
+            self.world.on_request_not_accepted(self.now, ask);
             return Ok(());
         };
         client.wire.frame(&frame);
@@ -212,12 +208,12 @@
             .filter(|sent| !sent.taken && sent.end <= written)
         {
             sent.taken = true;
-            self.world.taken(self.now, sent.ask);
+            self.world.on_request_accepted(self.now, sent.ask);
         }
     }
 
     /// The client of an API call has no patience left: its connection is closed, unless others wait there too.
-    pub(super) fn leave(&mut self, ask: AskId) -> Result<(), String> {
+    pub(super) fn leave(&mut self, ask: ClientRequestId) -> Result<(), String> {
         let Some(key) = self.asking.remove(&ask) else {
             return Ok(());
         };
@@ -274,7 +270,7 @@
             Who::Ping => {
                 if matches!(&frame, OwnedFrame::SimpleString(said) if said == b"PONG") {
                     self.gateways[gateway].ping = None;
-                    self.world.ready(now, gateway);
+                    self.world.on_gateway_ready(now, gateway);
                 }
                 self.close(key)?;
                 return Ok(false);
@@ -301,8 +297,8 @@
         let right = |value: &OwnedFrame| matches!(value, OwnedFrame::BulkString(it) if *it == value_bytes(sent.ask));
         let (verdict, advice) = match &frame {
             OwnedFrame::BulkString(_) => (
-                Verdict::Served {
-                    right: right(&frame),
+                ClientOutcome::Served {
+                    correct: right(&frame),
                 },
                 None,
             ),
@@ -310,23 +306,23 @@
                 if matches!(parts.first(), Some(OwnedFrame::BulkString(_))) =>
             {
                 (
-                    Verdict::Served {
-                        right: right(&parts[0]),
+                    ClientOutcome::Served {
+                        correct: right(&parts[0]),
                     },
                     None,
                 )
             }
             OwnedFrame::Error(said) if said.split(' ').next() == Some("BUSY") => {
                 let wait = said.split(' ').nth(1).and_then(|it| it.parse().ok());
-                (Verdict::Limited, wait.map(Duration::from_millis))
+                (ClientOutcome::Rejected, wait.map(Duration::from_millis))
             }
-            _ => (Verdict::Errored, None),
+            _ => (ClientOutcome::Failed, None),
         };
         if free {
             self.gateways[gateway].idle.push(key);
         }
         self.asking.remove(&sent.ask);
-        self.world.answered(now, sent.ask, verdict, advice);
+        self.world.on_final_answer(now, sent.ask, verdict, advice);
         Ok(true)
     }
 
@@ -352,12 +348,13 @@
             self.asking.remove(&sent.ask);
             if !sent.taken || self.world.was_killed(gateway) {
                 // The gateway took no such connection, or its process was killed.
-                self.world.not_taken(now, sent.ask);
-            } else if used && !partly && !self.world.asks[sent.ask.0 as usize].over {
+                self.world.on_request_not_accepted(now, sent.ask);
+            } else if used && !partly && !self.world.request(sent.ask).closed {
                 // The gateway closed it between two calls, as it may; this one crossed that.
                 self.ask(sent.ask, false)?;
             } else {
-                self.world.answered(now, sent.ask, Verdict::Cut, None);
+                self.world
+                    .on_final_answer(now, sent.ask, ClientOutcome::Disconnected, None);
             }
         }
         Ok(())
@@ -379,6 +376,6 @@
     }
 }
 
-fn value_bytes(ask: AskId) -> Vec<u8> {
+fn value_bytes(ask: ClientRequestId) -> Vec<u8> {
     value(ask).into_bytes()
 }
--- a/lab/src/loopback/discovery.rs
+++ b/lab/src/loopback/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::wire::Wire;
 use super::{Place, Stage};
-use crate::told;
+use crate::node_settings;
 use std::time::Duration;
 
 pub struct Watcher {
@@ -84,7 +84,7 @@
                 }
                 Ok(Some((wanted, length))) => {
                     watcher.wire.input.drain(..length);
-                    let upto = self.world.upto(gateway);
+                    let upto = self.world.notified_change_count(gateway);
                     match wanted {
                         Wanted::After(after, wait) if after == upto => {
                             watcher.waiting = Some((after, self.now + wait));
@@ -108,20 +108,20 @@
         };
         watcher.waiting = None;
         let gateway = watcher.gateway;
-        let upto = self.world.upto(gateway);
+        let upto = self.world.notified_change_count(gateway);
         let changes = match after {
-            Some(after) => self.world.changes[after..upto].to_vec(),
-            None => self.world.list(upto),
+            Some(after) => self.world.endpoint_changes(after..upto),
+            None => self.world.endpoint_list_after(upto),
         };
-        let body =
-            told::list(upto as u64, after.is_none(), self.lines(gateway, &changes)).to_string();
+        let body = node_settings::list(upto as u64, after.is_none(), self.lines(gateway, &changes))
+            .to_string();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         if let Some(Place::Discovery(watcher)) = self.places.get_mut(key) {
             watcher.wire.put(head.as_bytes());
             watcher.wire.put(body.as_bytes());
             self.written.push(key);
         }
-        self.world.told(self.now, gateway, &changes);
+        self.world.on_gateway_notified(self.now, gateway, &changes);
     }
 
     fn watches(&self, which: impl Fn(&Watcher, usize, Duration) -> bool) -> Vec<(usize, usize)> {
@@ -137,7 +137,7 @@
 
     /// Something is to be told to a gateway: its watch ends.
     pub(super) fn tell(&mut self, gateway: usize) {
-        let upto = self.world.upto(gateway);
+        let upto = self.world.notified_change_count(gateway);
         for (key, after) in self.watches(|it, after, _| it.gateway == gateway && after < upto) {
             self.list_to(key, Some(after));
         }
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -13,11 +13,12 @@
 pub use tap::tap;
 
 use crate::clock::Clock;
+use crate::events::{AttemptId, ClientRequestId, CounterCallId, ServerId};
 use crate::experiment::{Experiment, Variant};
-use crate::measure::{Results, Second};
+use crate::metrics::{MisbehavingClients, Results, SecondMetrics};
+use crate::node_settings;
 use crate::record::{Recorded, Recorder};
-use crate::told;
-use crate::world::{Act, AskId, CountId, GatewayState, ServerNo, TryId, World};
+use crate::world::{Action, GatewayState, World};
 use mio::net::{TcpListener, UdpSocket};
 use mio::{Events, Interest, Poll, Registry, Token};
 use nanorand::{Rng, WyRand};
@@ -41,7 +42,7 @@
 const STILL_THERE: Duration = Duration::from_millis(1500);
 
 /// What a run is told each second: which one, what it brought, how many tries are out.
-pub type Watch<'a> = dyn FnMut(u64, &Second) + 'a;
+pub type Watch<'a> = dyn FnMut(u64, &SecondMetrics) + 'a;
 
 /// An edge node's program, and what it is started with.
 #[derive(Clone, Debug, Default)]
@@ -69,7 +70,7 @@
     Signals,
     ServerDoor {
         gateway: usize,
-        server: ServerNo,
+        server: ServerId,
         door: TcpListener,
     },
     CounterDoor {
@@ -99,7 +100,7 @@
     counter: Option<usize>,
     discovery: Option<usize>,
     /// Doors of its servers, by server, and where they are.
-    doors: BTreeMap<ServerNo, (usize, SocketAddr)>,
+    doors: BTreeMap<ServerId, (usize, SocketAddr)>,
     /// Peer sockets: to each other gateway, and to all.
     peers: Vec<(usize, SocketAddr)>,
     all: Option<(usize, SocketAddr)>,
@@ -127,9 +128,9 @@
     seeds: WyRand,
     /// Connections with something to write.
     written: Vec<usize>,
-    trying: BTreeMap<TryId, usize>,
-    counting: BTreeMap<CountId, usize>,
-    asking: BTreeMap<AskId, usize>,
+    trying: BTreeMap<AttemptId, usize>,
+    counting: BTreeMap<CounterCallId, usize>,
+    asking: BTreeMap<ClientRequestId, usize>,
     /// Doors and connections that are closed then.
     closing: Vec<(Duration, usize)>,
     /// Datagrams under way: when, to whom, by whom, what.
@@ -214,10 +215,13 @@
         .results("loopback", &experiment.title, &variant.name, seed);
     results.seconds = stage.now.min(stage.world.length()).as_secs_f64();
     results.by_second.truncate(results.seconds.ceil() as usize);
-    results.bad_clients = stage.bad;
+    results.misbehaving_clients = MisbehavingClients {
+        unanswered: stage.bad.0,
+        total: stage.bad.1,
+    };
     results.crashes = std::mem::take(&mut stage.crashes);
-    results.took = stage.now.as_secs_f64();
-    results.gateway_cpu = stage.gateways.iter().map(|it| it.process.cpu).sum();
+    results.wall_seconds = stage.now.as_secs_f64();
+    results.gateway_cpu_seconds = stage.gateways.iter().map(|it| it.process.cpu).sum();
     let most = stage
         .gateways
         .iter()
@@ -239,7 +243,7 @@
             .registry
             .register(&mut signals, token, Interest::READABLE);
         registered.map_err(|error| error.to_string())?;
-        self.world.begin();
+        self.world.begin_run();
         for gateway in 0..gateways {
             let (listen, peer_listen) = (process::free_address()?, process::free_address()?);
             self.gateways.push(Gateway {
@@ -256,12 +260,13 @@
                 stopping: false,
                 ping: None,
             });
-            for server in 0..self.world.servers.len() as u32 {
-                self.open_door(gateway, ServerNo(server))?;
+            let servers: Vec<ServerId> = self.world.servers().map(|(id, _)| id).collect();
+            for server in servers {
+                self.open_door(gateway, server)?;
             }
             self.open_platform(gateway)?;
         }
-        if self.world.terms.network.peers {
+        if self.world.experiment.network.peers {
             self.open_peers()?;
         }
         for gateway in 0..gateways {
@@ -309,21 +314,21 @@
 
     /// Writes a gateway's file; the list in it is the one that it was told last.
     fn write_file(&mut self, gateway: usize) -> Result<PathBuf, String> {
-        let settings = told::settings(&self.world.terms, gateway, &self.told)?;
-        let upto = self.world.upto(gateway);
-        let lines = self.lines(gateway, &self.world.list(upto));
+        let settings = node_settings::settings(&self.world.experiment, gateway, &self.told)?;
+        let upto = self.world.notified_change_count(gateway);
+        let lines = self.lines(gateway, &self.world.endpoint_list_after(upto));
         let it = &self.gateways[gateway];
-        let fleet = &self.world.terms.fleet;
+        let fleet = &self.world.experiment.fleet;
         let mut file = serde_json::json!({
             "name": format!("g{gateway}"), "listen": it.listen,
             "discovery": self.address(it.discovery), "seed": format!("{:016x}", self.seeds.generate::<u64>()),
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
-            "known": told::list(upto as u64, true, lines), "settings": settings,
+            "known": node_settings::list(upto as u64, true, lines), "settings": settings,
         });
-        if self.world.terms.counter.present {
+        if self.world.experiment.counter.present {
             file["counter"] = serde_json::json!(self.address(it.counter));
         }
-        if self.world.terms.network.peers {
+        if self.world.experiment.network.peers {
             let mut peers: Vec<SocketAddr> = it.peers.iter().map(|(_, at)| *at).collect();
             peers.insert(gateway, it.peer_listen);
             file["peer_listen"] = serde_json::json!(it.peer_listen);
@@ -348,8 +353,10 @@
         it.process.start(&self.program, &file, log.as_deref())?;
         (it.stopping, it.ping) = (false, Some(self.now));
         // What stands in the file is told to it.
-        let list = self.world.list(self.world.upto(gateway));
-        self.world.told(self.now, gateway, &list);
+        let list = self
+            .world
+            .endpoint_list_after(self.world.notified_change_count(gateway));
+        self.world.on_gateway_notified(self.now, gateway, &list);
         Ok(())
     }
 
@@ -362,7 +369,7 @@
                 let all = 0..self.gateways.len();
                 if all
                     .into_iter()
-                    .all(|gateway| self.world.state(gateway) == GatewayState::Ready)
+                    .all(|gateway| self.world.gateway_state(gateway) == GatewayState::Ready)
                 {
                     // The day's clock begins here.
                     self.clock = Clock::start();
@@ -376,22 +383,26 @@
                 }
             }
             if self.begun {
-                if self.now >= self.world.end() {
+                if self.now >= self.world.end_time() {
                     break;
                 }
                 let due = self.world.next_due().filter(|due| *due <= self.now);
                 if let Some(due) = due {
-                    self.world.measure.late(self.now - due);
-                    let mut acts = Vec::new();
+                    self.world.metrics.record_lateness(self.now - due);
+                    let mut actions = Vec::new();
                     for (gateway, it) in self.gateways.iter().enumerate() {
-                        self.world.set_resting(gateway, it.idle.len());
+                        self.world.set_idle_connections(gateway, it.idle.len());
                     }
-                    self.world.advance(self.now, &mut acts);
-                    self.carry(acts)?;
+                    self.world.advance(self.now, &mut actions);
+                    self.carry(actions)?;
                 }
                 while self.now.as_secs() > second && second < self.world.length().as_secs() {
                     if let Some(watch) = watch.as_mut() {
-                        let brought = self.world.measure.at(Duration::from_secs(second)).clone();
+                        let brought = self
+                            .world
+                            .metrics
+                            .second_at(Duration::from_secs(second))
+                            .clone();
                         watch(second, &brought);
                     }
                     second += 1;
@@ -426,7 +437,7 @@
         }
         // Gateways that a Ctrl-C from the terminal has reached as well may be gone already.
         self.gateways.iter_mut().for_each(|it| it.process.kill());
-        self.world.referee.end(self.now);
+        self.world.rule_checker.finish(self.now);
         Ok(())
     }
 
@@ -434,7 +445,7 @@
     fn rebase(&mut self) {
         for gateway in 0..self.gateways.len() {
             self.gateways[gateway].ping = None;
-            self.world.ready(Duration::ZERO, gateway);
+            self.world.on_gateway_ready(Duration::ZERO, gateway);
         }
         self.rebase_watches();
     }
@@ -501,7 +512,7 @@
                 ));
             }
             it.ping = None;
-            self.world.ended_by_itself(self.now, gateway);
+            self.world.on_gateway_exit(self.now, gateway);
         }
     }
 
@@ -560,7 +571,7 @@
                     gateway, server, ..
                 }) => {
                     let (gateway, server) = (*gateway, *server);
-                    self.world.connected(self.now, server);
+                    self.world.on_connect(self.now, server);
                     Place::Upstream(servers::Upstream::new(wire, gateway, server, self.now))
                 }
                 Some(Place::CounterDoor { gateway, .. }) => {
@@ -647,36 +658,36 @@
     }
 
     /// What the world leaves to be carried out.
-    fn carry(&mut self, acts: Vec<Act>) -> Result<(), String> {
-        for act in acts {
+    fn carry(&mut self, actions: Vec<Action>) -> Result<(), String> {
+        for act in actions {
             match act {
-                Act::Ask(ask) => self.ask(ask, true)?,
-                Act::Leave(ask) => self.leave(ask)?,
-                Act::Reply(of, says) => self.reply(of, says)?,
-                Act::Counted(count, says) => self.counted(count, says)?,
-                Act::Told { gateway, .. } => self.tell(gateway),
-                Act::Born(server) | Act::Up(server) => {
+                Action::SendRequest(ask) => self.ask(ask, true)?,
+                Action::CloseClient(ask) => self.leave(ask)?,
+                Action::SendResponse(of, says) => self.reply(of, says)?,
+                Action::SendCounterResponse(count, says) => self.counted(count, says)?,
+                Action::NotifyGateway { gateway, .. } => self.tell(gateway),
+                Action::AddServer(server) | Action::RestartServer(server) => {
                     for gateway in 0..self.gateways.len() {
                         if !self.gateways[gateway].doors.contains_key(&server) {
                             self.open_door(gateway, server)?;
                         }
                     }
                 }
-                Act::Down(server) => self.down(server)?,
-                Act::Kill(gateway) => {
+                Action::StopServer(server) => self.down(server)?,
+                Action::KillGateway(gateway) => {
                     self.gateways[gateway].process.look();
                     self.gateways[gateway].process.kill();
                     self.gateways[gateway].ping = None;
                 }
-                Act::Stop(gateway) => {
+                Action::StopGateway(gateway) => {
                     self.gateways[gateway].stopping = true;
                     self.gateways[gateway]
                         .process
                         .signal(rustix::process::Signal::TERM);
                 }
-                Act::Start(gateway) => self.start(gateway)?,
-                Act::Move(gateway) => self.move_platform(gateway)?,
-                Act::CounterCut => {
+                Action::StartGateway(gateway) => self.start(gateway)?,
+                Action::MovePlatform(gateway) => self.move_platform(gateway)?,
+                Action::ResetCounterConnections => {
                     let lines = self
                         .places
                         .iter()
@@ -684,7 +695,7 @@
                     let lines: Vec<usize> = lines.map(|(key, _)| key).collect();
                     lines.into_iter().try_for_each(|key| self.close(key))?;
                 }
-                Act::BadClients(count) => self.bad_clients(count)?,
+                Action::AddMisbehavingClients(count) => self.bad_clients(count)?,
             }
         }
         Ok(())
@@ -693,7 +704,7 @@
     /// Discovery and counter of a gateway move: a new file, SIGHUP, and the old doors close later.
     /// The platform sends none to a process that is not ready, nor within its first second.
     fn move_platform(&mut self, gateway: usize) -> Result<(), String> {
-        if !self.world.ready_for(self.now, gateway, FIRST_SECOND) {
+        if !self.world.is_ready_for(self.now, gateway, FIRST_SECOND) {
             return Ok(());
         }
         let it = &self.gateways[gateway];
--- a/lab/src/loopback/servers.rs
+++ b/lab/src/loopback/servers.rs
@@ -2,9 +2,10 @@
 
 use super::wire::{bulk, encoded, Turns, Wire};
 use super::{clients, Place, Stage};
-use crate::told::{self, ListedServer};
-use crate::world::server::Listing;
-use crate::world::{AskId, Change, Says, ServerNo, TryId};
+use crate::events::{AttemptId, ClientRequestId, ServerId};
+use crate::node_settings::{self, ListedServer};
+use crate::world::server::ListingState;
+use crate::world::{EndpointChange, ServerResponse};
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
 use serde_json::Value;
@@ -13,16 +14,16 @@
 pub struct Upstream {
     pub wire: Wire,
     gateway: usize,
-    pub server: ServerNo,
+    pub server: ServerId,
     /// Nothing has come on it yet: the first command pays for the handshake.
     fresh: bool,
-    turns: Turns<TryId>,
+    turns: Turns<AttemptId>,
     /// When something came or went on it last.
     used: Duration,
 }
 
 impl Upstream {
-    pub fn new(wire: Wire, gateway: usize, server: ServerNo, used: Duration) -> Upstream {
+    pub fn new(wire: Wire, gateway: usize, server: ServerId, used: Duration) -> Upstream {
         Upstream {
             wire,
             gateway,
@@ -46,14 +47,14 @@
 }
 
 /// The API call that a command carries.
-fn asked(words: &[Vec<u8>]) -> Option<AskId> {
+fn asked(words: &[Vec<u8>]) -> Option<ClientRequestId> {
     let id = std::str::from_utf8(words.get(2)?).ok()?;
     let number = u64::from_str_radix(id, 16).ok()?.checked_sub(1)?;
-    u32::try_from(number).ok().map(AskId)
+    u32::try_from(number).ok().map(ClientRequestId)
 }
 
 /// What a server writes.
-fn said(says: Says, ask: AskId) -> Vec<u8> {
+fn said(says: ServerResponse, ask: ClientRequestId) -> Vec<u8> {
     let value = clients::value(ask);
     let good = |units: Option<f64>, load: String| {
         let figures = units.map_or(OwnedFrame::Null, |units| bulk(format!("cost={units}")));
@@ -65,17 +66,21 @@
         encoded(&OwnedFrame::Array(vec![bulk(value.clone()), figures, load]))
     };
     match says {
-        Says::Value { units, load } => {
+        ServerResponse::Success { units, load } => {
             good(units, load.map(|load| load.to_string()).unwrap_or_default())
         }
-        Says::Busy => b"-BUSY\r\n".to_vec(),
-        Says::Failed => b"-ERR failed\r\n".to_vec(),
-        Says::Spoilt(0) => b"\x07\x00\xffnoise\r\n".to_vec(),
-        Says::Spoilt(1) => vec![b'*'; 2000],
-        Says::Spoilt(2) => b"*3\r\n$5\r\nrendered more than that\r\n$-1\r\n$-1\r\n".to_vec(),
-        Says::Spoilt(3) => b"*3\r\n$3000000000\r\nrendered".to_vec(),
-        Says::Spoilt(4) => [good(None, String::new()), good(None, String::new())].concat(),
-        Says::Spoilt(_) => [
+        ServerResponse::Busy => b"-BUSY\r\n".to_vec(),
+        ServerResponse::Failed => b"-ERR failed\r\n".to_vec(),
+        ServerResponse::Malformed(0) => b"\x07\x00\xffnoise\r\n".to_vec(),
+        ServerResponse::Malformed(1) => vec![b'*'; 2000],
+        ServerResponse::Malformed(2) => {
+            b"*3\r\n$5\r\nrendered more than that\r\n$-1\r\n$-1\r\n".to_vec()
+        }
+        ServerResponse::Malformed(3) => b"*3\r\n$3000000000\r\nrendered".to_vec(),
+        ServerResponse::Malformed(4) => {
+            [good(None, String::new()), good(None, String::new())].concat()
+        }
+        ServerResponse::Malformed(_) => [
             good(None, "inflight=x,queue=-,util".into()),
             b"noise\r\n".to_vec(),
         ]
@@ -84,7 +89,7 @@
 }
 
 impl Stage {
-    pub(super) fn open_door(&mut self, gateway: usize, server: ServerNo) -> Result<(), String> {
+    pub(super) fn open_door(&mut self, gateway: usize, server: ServerId) -> Result<(), String> {
         let (key, at) = self.door(|door| Place::ServerDoor {
             gateway,
             server,
@@ -95,19 +100,19 @@
     }
 
     /// Lines of the list as one gateway is told them.
-    pub(super) fn lines(&self, gateway: usize, changes: &[Change]) -> Vec<Value> {
-        let line = |change: &Change| {
-            let it = &self.world.servers[change.server.0 as usize];
+    pub(super) fn lines(&self, gateway: usize, changes: &[EndpointChange]) -> Vec<Value> {
+        let line = |change: &EndpointChange| {
+            let it = self.world.server(change.server);
             let door = self.gateways[gateway].doors.get(&change.server);
             let endpoint = door.map_or(String::new(), |(_, at)| at.to_string());
-            let state = match change.listing {
-                Listing::Active => "active",
-                Listing::Leaving => "leaving",
-                Listing::Left => "left",
+            let state = match change.state {
+                ListingState::Active => "active",
+                ListingState::Draining => "leaving",
+                ListingState::Removed => "left",
             };
-            let zone = told::zone_name(it.zone);
-            let started_ms = change.started.map_or(0, |at| self.clock.unix_ms(at));
-            let (uid, kind, cell) = (it.uid.as_str(), it.kind.as_str(), it.cell);
+            let zone = node_settings::zone_name(it.zone);
+            let started_ms = change.started_at.map_or(0, |at| self.clock.unix_ms(at));
+            let (uid, kind, cell) = (it.name.as_str(), it.machine_type.as_str(), it.cell);
             ListedServer {
                 uid,
                 endpoint: &endpoint,
@@ -123,7 +128,7 @@
     }
 
     /// A server's process has ended: its doors are shut and its connections end.
-    pub(super) fn down(&mut self, server: ServerNo) -> Result<(), String> {
+    pub(super) fn down(&mut self, server: ServerId) -> Result<(), String> {
         for gateway in 0..self.gateways.len() {
             if let Some((key, _)) = self.gateways[gateway].doors.remove(&server) {
                 self.close(key)?;
@@ -179,7 +184,7 @@
         &mut self,
         key: usize,
         gateway: usize,
-        server: ServerNo,
+        server: ServerId,
         words: &[Vec<u8>],
     ) -> Result<bool, String> {
         let verb = words
@@ -193,8 +198,7 @@
                 return Ok(self.probed(key, server))
             }
             b"SVC.QUERY" | b"SVC.SUBMIT" => {
-                let Some(ask) = asked(words).filter(|ask| (ask.0 as usize) < self.world.asks.len())
-                else {
+                let Some(ask) = asked(words).filter(|ask| self.world.knows_request(*ask)) else {
                     return Ok(false);
                 };
                 let terms = words
@@ -207,20 +211,26 @@
                 let Some(wait) = wait.map(Duration::from_millis) else {
                     return Ok(false);
                 };
-                self.world.referee.told_wait(self.now, ask, gateway, wait);
+                self.world
+                    .rule_checker
+                    .on_advertised_timeout(self.now, ask, gateway, wait);
                 let Some(Place::Upstream(it)) = self.places.get_mut(key) else {
                     return Ok(true);
                 };
                 let fresh = std::mem::replace(&mut it.fresh, false);
-                let mut acts = Vec::new();
-                let of = self
-                    .world
-                    .came(self.now, gateway, server, (ask, fresh), &mut acts);
+                let mut actions = Vec::new();
+                let of = self.world.on_attempt_arrival(
+                    self.now,
+                    gateway,
+                    server,
+                    (ask, fresh),
+                    &mut actions,
+                );
                 if let Some(Place::Upstream(it)) = self.places.get_mut(key) {
                     it.turns.asked(of);
                 }
                 self.trying.insert(of, key);
-                self.carry(acts)?;
+                self.carry(actions)?;
                 return Ok(true);
             }
             _ => return Ok(false),
@@ -233,8 +243,8 @@
     }
 
     /// A probe: answered with the server's load where the settings allow that.
-    fn probed(&mut self, key: usize, server: ServerNo) -> bool {
-        let said = match self.world.probed(self.now, server) {
+    fn probed(&mut self, key: usize, server: ServerId) -> bool {
+        let said = match self.world.on_load_probe(self.now, server) {
             Some(load) => encoded(&bulk(load.to_string())),
             None => b"-NOPERM\r\n".to_vec(),
         };
@@ -245,8 +255,8 @@
         true
     }
 
-    pub(super) fn reply(&mut self, of: TryId, says: Says) -> Result<(), String> {
-        let ask = self.world.tries[of.0 as usize].ask;
+    pub(super) fn reply(&mut self, of: AttemptId, says: ServerResponse) -> Result<(), String> {
+        let ask = self.world.attempt(of).request;
         let Some(key) = self.trying.remove(&of) else {
             return Ok(());
         };
@@ -261,7 +271,7 @@
 
     /// Connections that have stood idle for the time that a server keeps them are closed by it.
     pub(super) fn close_idle(&mut self) -> Result<(), String> {
-        let keep = Duration::from_secs_f64(self.world.terms.fleet.idle_close);
+        let keep = Duration::from_secs_f64(self.world.experiment.fleet.idle_close);
         let old = |place: &Place| match place {
             Place::Upstream(it) => it.turns.open().next().is_none() && it.used + keep <= self.now,
             _ => false,
@@ -278,9 +288,9 @@
     pub(super) fn upstream_over(&mut self, it: Upstream) {
         for of in it.turns.open() {
             self.trying.remove(&of);
-            self.world.left(self.now, of);
+            self.world.on_attempt_abandoned(self.now, of);
         }
-        self.world.disconnected(it.server);
+        self.world.on_disconnect(it.server);
         it.wire.close(&self.registry);
     }
 }
--- a/lab/src/simulated.rs
+++ b/lab/src/simulated.rs
@@ -6,14 +6,14 @@
 use crate::decision_engine::{
     DecisionEngine, ExternalEngine, GatewayAction, GatewayEvent, InProcess,
 };
+use crate::events::{AttemptId, ClientOutcome, ClientRequestId, CounterCallId, ServerId};
 use crate::experiment::{Experiment, Variant};
-use crate::measure::Results;
+use crate::metrics::Results;
+use crate::node_settings;
 use crate::record::Recorded;
-use crate::referee::Verdict;
-use crate::told;
-use crate::world::counter::CounterSays;
-use crate::world::server::Listing;
-use crate::world::{Act, AskId, Change, CountId, Says, ServerNo, TryId, World};
+use crate::world::counter::CounterResponse;
+use crate::world::server::ListingState;
+use crate::world::{Action, EndpointChange, ServerResponse, World};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -51,22 +51,22 @@
 }
 
 enum Event {
-    Arrives(usize, AskId),
-    ClientLeft(usize, AskId),
+    Arrives(usize, ClientRequestId),
+    ClientLeft(usize, ClientRequestId),
     Heard {
-        ask: AskId,
-        verdict: Verdict,
+        ask: ClientRequestId,
+        verdict: ClientOutcome,
         advice: Option<Duration>,
     },
     TryArrives {
         key: TryKey,
-        server: ServerNo,
+        server: ServerId,
         fresh: bool,
     },
-    TryLeft(TryId),
+    TryLeft(AttemptId),
     Replied {
         key: TryKey,
-        says: Says,
+        says: ServerResponse,
     },
     Refused(TryKey),
     TryTimeUp(TryKey),
@@ -79,7 +79,7 @@
         at: usize,
         life: u32,
         number: u64,
-        says: CounterSays,
+        says: CounterResponse,
     },
     CountTimeUp {
         at: usize,
@@ -101,13 +101,13 @@
 }
 
 /// A try by the gateway's life, the API call and its number there.
-type TryKey = (usize, u32, AskId, u32);
+type TryKey = (usize, u32, ClientRequestId, u32);
 
 struct Out {
-    server: ServerNo,
+    server: ServerId,
     sent: Duration,
     /// As the server knows it, once it has come.
-    there: Option<TryId>,
+    there: Option<AttemptId>,
     /// The connection is up, as far as the gateway knows.
     fresh: bool,
 }
@@ -129,17 +129,17 @@
 struct Gateway {
     life: u32,
     up: bool,
-    calls: BTreeMap<AskId, OpenCall>,
-    tries: BTreeMap<(AskId, u32), Out>,
+    calls: BTreeMap<ClientRequestId, OpenCall>,
+    tries: BTreeMap<(ClientRequestId, u32), Out>,
     counts: BTreeMap<u64, CountOut>,
     next_count: u64,
     /// When idle connections were last used, by server, the latest last; and how many there are in all.
-    idle: BTreeMap<ServerNo, Vec<Duration>>,
+    idle: BTreeMap<ServerId, Vec<Duration>>,
     connections: usize,
     /// The changes of the list that it was told, up to and without this one.
     told: usize,
     /// Servers that the list lets it send to.
-    ready: BTreeMap<ServerNo, bool>,
+    ready: BTreeMap<ServerId, bool>,
 }
 
 struct Day<'a> {
@@ -150,14 +150,14 @@
     what: BTreeMap<u64, Event>,
     last: u64,
     now: Duration,
-    servers: BTreeMap<String, ServerNo>,
-    counting: BTreeMap<CountId, (usize, u32, u64)>,
-    trying: BTreeMap<TryId, TryKey>,
+    servers: BTreeMap<String, ServerId>,
+    counting: BTreeMap<CounterCallId, (usize, u32, u64)>,
+    trying: BTreeMap<AttemptId, TryKey>,
     told: toml::Table,
     seeds: WyRand,
     fault: Option<Fault>,
     answers: u64,
-    twice: BTreeSet<AskId>,
+    twice: BTreeSet<ClientRequestId>,
 }
 
 /// Plays one day of an experiment, as a variant has it.
@@ -200,12 +200,12 @@
         .results("simulated", &experiment.title, &variant.name, seed))
 }
 
-fn call_id(ask: AskId) -> RequestId {
+fn call_id(ask: ClientRequestId) -> RequestId {
     ask.0.to_string().as_str().into()
 }
 
-fn ask_id(call: &RequestId) -> Option<AskId> {
-    call.0.parse().ok().map(AskId)
+fn ask_id(call: &RequestId) -> Option<ClientRequestId> {
+    call.0.parse().ok().map(ClientRequestId)
 }
 
 impl Day<'_> {
@@ -216,12 +216,12 @@
     }
 
     fn play(&mut self) -> Result<(), String> {
-        self.world.begin();
+        self.world.begin_run();
         for gateway in 0..self.gateways.len() {
             self.start(gateway)?;
         }
         self.at(Duration::from_secs(1), Event::Sweep);
-        let end = self.world.end();
+        let end = self.world.end_time();
         loop {
             let next = self.events.peek().map(|Reverse((when, _))| *when);
             let due = self.world.next_due();
@@ -235,9 +235,9 @@
             };
             self.now = now;
             if due == Some(now) {
-                let mut acts = Vec::new();
-                self.world.advance(now, &mut acts);
-                self.carry(acts)?;
+                let mut actions = Vec::new();
+                self.world.advance(now, &mut actions);
+                self.carry(actions)?;
             }
             while let Some(Reverse((when, _))) = self.events.peek() {
                 if *when > now {
@@ -262,7 +262,7 @@
             }
         }
         self.now = end;
-        self.world.referee.end(end);
+        self.world.rule_checker.finish(end);
         Ok(())
     }
 
@@ -272,7 +272,7 @@
 
     /// A gateway starts with the list as it was last told it.
     fn start(&mut self, gateway: usize) -> Result<(), String> {
-        let settings = told::settings(&self.world.terms, gateway, &self.told)?;
+        let settings = node_settings::settings(&self.world.experiment, gateway, &self.told)?;
         let it = &mut self.gateways[gateway];
         *it = Gateway {
             life: it.life + 1,
@@ -281,8 +281,8 @@
         };
         let (life, seed) = (it.life, self.seeds.generate());
         self.deliver(gateway, GatewayEvent::Start { settings, seed })?;
-        let upto = self.world.upto(gateway);
-        let list = self.world.list(upto);
+        let upto = self.world.notified_change_count(gateway);
+        let list = self.world.endpoint_list_after(upto);
         self.gateways[gateway].told = upto;
         self.listed(gateway, true, &list)?;
         self.at(
@@ -292,30 +292,35 @@
         Ok(())
     }
 
-    fn listed(&mut self, gateway: usize, whole: bool, changes: &[Change]) -> Result<(), String> {
+    fn listed(
+        &mut self,
+        gateway: usize,
+        whole: bool,
+        changes: &[EndpointChange],
+    ) -> Result<(), String> {
         let mut lines = Vec::new();
         for change in changes {
-            let server = &self.world.servers[change.server.0 as usize];
-            self.servers.insert(server.uid.clone(), change.server);
-            let phase = match change.listing {
-                Listing::Active => EndpointState::Ready,
-                Listing::Leaving => EndpointState::Draining,
-                Listing::Left => EndpointState::Removed,
+            let server = self.world.server(change.server);
+            self.servers.insert(server.name.clone(), change.server);
+            let phase = match change.state {
+                ListingState::Active => EndpointState::Ready,
+                ListingState::Draining => EndpointState::Draining,
+                ListingState::Removed => EndpointState::Removed,
             };
             lines.push(Endpoint {
-                id: server.uid.as_str().into(),
+                id: server.name.as_str().into(),
                 state: phase,
-                started_at: change.started.map(|at| UnixTime(ORIGIN + at)),
+                started_at: change.started_at.map(|at| UnixTime(ORIGIN + at)),
                 cell: server.cell,
-                zone: told::zone_name(server.zone),
-                machine_type: server.kind.clone(),
+                zone: node_settings::zone_name(server.zone),
+                machine_type: server.machine_type.clone(),
                 weight: 1.0,
             });
             self.gateways[gateway]
                 .ready
-                .insert(change.server, change.listing == Listing::Active);
+                .insert(change.server, change.state == ListingState::Active);
         }
-        self.world.told(self.now, gateway, changes);
+        self.world.on_gateway_notified(self.now, gateway, changes);
         if self.fault == Some(Fault::HearsNoChanges) && !whole {
             for change in changes {
                 self.gateways[gateway].ready.insert(change.server, true);
@@ -331,29 +336,35 @@
     }
 
     /// What the world leaves to be carried out.
-    fn carry(&mut self, acts: Vec<Act>) -> Result<(), String> {
+    fn carry(&mut self, actions: Vec<Action>) -> Result<(), String> {
         let now = self.now;
-        for act in acts {
+        for act in actions {
             match act {
-                Act::Ask(ask) => {
-                    let gateway = self.world.asks[ask.0 as usize].gateway;
-                    self.at(now + self.world.near(), Event::Arrives(gateway, ask));
+                Action::SendRequest(ask) => {
+                    let gateway = self.world.request(ask).gateway;
+                    self.at(
+                        now + self.world.in_zone_delay(),
+                        Event::Arrives(gateway, ask),
+                    );
                 }
-                Act::Leave(ask) => {
-                    let gateway = self.world.asks[ask.0 as usize].gateway;
-                    self.at(now + self.world.near(), Event::ClientLeft(gateway, ask));
+                Action::CloseClient(ask) => {
+                    let gateway = self.world.request(ask).gateway;
+                    self.at(
+                        now + self.world.in_zone_delay(),
+                        Event::ClientLeft(gateway, ask),
+                    );
                 }
-                Act::Reply(of, says) => {
+                Action::SendResponse(of, says) => {
                     if let Some(key) = self.trying.remove(&of) {
                         let way = self
                             .world
-                            .way(key.0, self.world.tries[of.0 as usize].server);
+                            .one_way_delay(key.0, self.world.attempt(of).server);
                         self.at(now + way, Event::Replied { key, says });
                     }
                 }
-                Act::Counted(count, says) => {
+                Action::SendCounterResponse(count, says) => {
                     if let Some((at, life, number)) = self.counting.remove(&count) {
-                        let when = now + self.world.near();
+                        let when = now + self.world.in_zone_delay();
                         self.at(
                             when,
                             Event::CountAnswered {
@@ -365,7 +376,10 @@
                         );
                     }
                 }
-                Act::Told { gateway, upto } => {
+                Action::NotifyGateway {
+                    gateway,
+                    change_count: upto,
+                } => {
                     let life = self.gateways[gateway].life;
                     self.at(
                         now,
@@ -376,19 +390,19 @@
                         },
                     );
                 }
-                Act::Born(_) | Act::Up(_) => (),
-                Act::Down(server) => self.reset(server),
-                Act::Kill(gateway) => self.kill(gateway)?,
-                Act::Stop(_) => (),
-                Act::Start(gateway) => self.start(gateway)?,
+                Action::AddServer(_) | Action::RestartServer(_) => (),
+                Action::StopServer(server) => self.reset(server),
+                Action::KillGateway(gateway) => self.kill(gateway)?,
+                Action::StopGateway(_) => (),
+                Action::StartGateway(gateway) => self.start(gateway)?,
                 // Where the counter has moved, the world answers from another one; the address is nothing here.
-                Act::Move(_) | Act::BadClients(_) => (),
-                Act::CounterCut => {
+                Action::MovePlatform(_) | Action::AddMisbehavingClients(_) => (),
+                Action::ResetCounterConnections => {
                     let open: Vec<_> = std::mem::take(&mut self.counting).into_values().collect();
                     for (at, life, number) in open {
-                        let says = CounterSays::Reset;
+                        let says = CounterResponse::Reset;
                         self.at(
-                            now + self.world.near(),
+                            now + self.world.in_zone_delay(),
                             Event::CountAnswered {
                                 at,
                                 life,
@@ -404,12 +418,12 @@
     }
 
     /// A server's connections are reset, its tries with them.
-    fn reset(&mut self, server: ServerNo) {
+    fn reset(&mut self, server: ServerId) {
         for at in 0..self.gateways.len() {
             let it = &mut self.gateways[at];
             let idle = it.idle.remove(&server).map_or(0, |idle| idle.len());
             it.connections -= idle.min(it.connections);
-            (0..idle).for_each(|_| self.world.disconnected(server));
+            (0..idle).for_each(|_| self.world.on_disconnect(server));
             let life = it.life;
             let out = it
                 .tries
@@ -421,9 +435,9 @@
             for key in keys {
                 if let Some(there) = self.gateways[at].tries[&(key.2, key.3)].there {
                     self.trying.remove(&there);
-                    self.world.left(self.now, there);
+                    self.world.on_attempt_abandoned(self.now, there);
                 }
-                let way = self.world.way(at, server);
+                let way = self.world.one_way_delay(at, server);
                 self.at(self.now + way, Event::Refused(key));
             }
         }
@@ -437,20 +451,20 @@
         let calls = std::mem::take(&mut it.calls);
         it.counts.clear();
         for out in tries.into_values() {
-            self.world.disconnected(out.server);
+            self.world.on_disconnect(out.server);
             if let Some(there) = out.there {
                 self.trying.remove(&there);
                 self.at(
-                    self.now + self.world.way(gateway, out.server),
+                    self.now + self.world.one_way_delay(gateway, out.server),
                     Event::TryLeft(there),
                 );
             }
         }
         for (server, idle) in idle {
-            idle.iter().for_each(|_| self.world.disconnected(server));
+            idle.iter().for_each(|_| self.world.on_disconnect(server));
         }
         for ask in calls.into_keys() {
-            self.world.not_taken(self.now, ask);
+            self.world.on_request_not_accepted(self.now, ask);
         }
         self.deliver(gateway, GatewayEvent::Killed)
     }
@@ -468,9 +482,9 @@
                 ask,
                 verdict,
                 advice,
-            } => self.world.answered(now, ask, verdict, advice),
+            } => self.world.on_final_answer(now, ask, verdict, advice),
             Event::TryArrives { key, server, fresh } => self.try_arrives(key, server, fresh)?,
-            Event::TryLeft(there) => self.world.left(now, there),
+            Event::TryLeft(there) => self.world.on_attempt_abandoned(now, there),
             Event::Replied { key, says } => self.replied(key, says)?,
             Event::Refused(key) => {
                 let there = self.out(key).and_then(|out| out.there);
@@ -496,10 +510,12 @@
                 let it = &self.gateways[at];
                 if let Some(call) = it.counts.get(&number).filter(|_| it.life == life) {
                     let (name, add, keep) = (call.name.0, call.add, call.keep);
-                    let mut acts = Vec::new();
-                    let id = self.world.count(now, at, name, add, keep, &mut acts);
+                    let mut actions = Vec::new();
+                    let id = self
+                        .world
+                        .on_counter_call(now, at, name, add, keep, &mut actions);
                     self.counting.insert(id, (at, life, number));
-                    self.carry(acts)?;
+                    self.carry(actions)?;
                 }
             }
             Event::CountAnswered {
@@ -514,9 +530,9 @@
                     .flatten()
                 {
                     let counted = match says {
-                        CounterSays::Total(total) => CounterReply::Total(total),
-                        CounterSays::Busy => CounterReply::NotApplied,
-                        CounterSays::Reset => CounterReply::Unknown,
+                        CounterResponse::Total(total) => CounterReply::Total(total),
+                        CounterResponse::Busy => CounterReply::NotApplied,
+                        CounterResponse::Reset => CounterReply::Unknown,
                     };
                     self.deliver(at, GatewayEvent::Counted(call.name, counted))?;
                 }
@@ -538,13 +554,13 @@
             Event::Listed { at, life, upto } => {
                 if self.gateways[at].life == life && self.gateways[at].up {
                     let from = std::mem::replace(&mut self.gateways[at].told, upto);
-                    let changes = self.world.changes[from..upto].to_vec();
+                    let changes = self.world.endpoint_changes(from..upto);
                     self.listed(at, false, &changes)?;
                 }
             }
             Event::Ready(gateway, life) => {
                 if self.gateways[gateway].life == life {
-                    self.world.ready(now, gateway);
+                    self.world.on_gateway_ready(now, gateway);
                 }
             }
             Event::Sweep => self.sweep(),
@@ -554,7 +570,7 @@
 
     /// Connections that were idle for too long are closed, as the edge node does each second.
     fn sweep(&mut self) {
-        let fleet = &self.world.terms.fleet;
+        let fleet = &self.world.experiment.fleet;
         let keep = Duration::from_secs_f64((fleet.idle_close - fleet.connect_timeout).max(0.0));
         for it in &mut self.gateways {
             for (server, idle) in &mut it.idle {
@@ -564,24 +580,24 @@
                     .count();
                 idle.drain(..old);
                 it.connections -= old;
-                (0..old).for_each(|_| self.world.disconnected(*server));
+                (0..old).for_each(|_| self.world.on_disconnect(*server));
             }
         }
         self.at(self.now + Duration::from_secs(1), Event::Sweep);
     }
 
-    fn arrives(&mut self, gateway: usize, ask: AskId) -> Result<(), String> {
+    fn arrives(&mut self, gateway: usize, ask: ClientRequestId) -> Result<(), String> {
         let now = self.now;
         if !self.gateways[gateway].up {
-            self.world.not_taken(now, ask);
+            self.world.on_request_not_accepted(now, ask);
             return Ok(());
         }
-        self.world.taken(self.now, ask);
-        let it = &self.world.asks[ask.0 as usize];
-        let origin = &self.world.clients.origins[it.origin.0 as usize];
-        let account = &self.world.clients.accounts[origin.account as usize];
+        self.world.on_request_accepted(self.now, ask);
+        let it = self.world.request(ask);
+        let origin = self.world.operation(it.operation);
+        let account = self.world.account(origin.account);
         // The client tells a span, and the gateway counts it from when the call has come.
-        let until = now + it.until.saturating_sub(it.born);
+        let until = now + it.deadline.saturating_sub(it.scheduled_at);
         let units = if self.fault == Some(Fault::ForgetsUnits) {
             0.001
         } else {
@@ -590,8 +606,14 @@
         let arrival = Request {
             id: call_id(ask),
             customer: format!("{:016x}", account.name).as_str().into(),
-            plan: self.world.terms.plans[account.plan].name.as_str().into(),
-            route: self.world.terms.routes[origin.route].name.as_str().into(),
+            plan: self.world.experiment.plans[account.plan]
+                .name
+                .as_str()
+                .into(),
+            route: self.world.experiment.routes[origin.route]
+                .name
+                .as_str()
+                .into(),
             units,
             deadline: ORIGIN + until,
             first_gateway: account.first as u32,
@@ -634,17 +656,17 @@
                 }
             }
             GatewayAction::Limit(call, after) => {
-                self.answer(gateway, &call, Verdict::Limited, Some(after))
+                self.answer(gateway, &call, ClientOutcome::Rejected, Some(after))
             }
-            GatewayAction::Error(call) => self.answer(gateway, &call, Verdict::Errored, None),
+            GatewayAction::Error(call) => self.answer(gateway, &call, ClientOutcome::Failed, None),
             GatewayAction::Count(name, add, keep) => {
                 let it = &mut self.gateways[gateway];
                 it.next_count += 1;
                 let number = it.next_count;
                 it.counts.insert(number, CountOut { name, add, keep });
-                let limit = Duration::from_secs_f64(self.world.terms.counter.timeout_ms / 1e3);
+                let limit = Duration::from_secs_f64(self.world.experiment.counter.timeout_ms / 1e3);
                 self.at(
-                    now + self.world.near(),
+                    now + self.world.in_zone_delay(),
                     Event::CountArrives {
                         at: gateway,
                         life,
@@ -676,10 +698,10 @@
                     Some(peer) => all.filter(|other| *other == peer as usize).collect(),
                     None => all.filter(|other| *other != gateway).collect(),
                 };
-                let may = body.len() <= 256 && self.world.terms.network.peers;
+                let may = body.len() <= 256 && self.world.experiment.network.peers;
                 for to in to.into_iter().filter(|_| may) {
                     // The decisions hear of no other gateway yet: what is sent is counted, and ends here.
-                    let _ = self.world.datagram(now, gateway, to);
+                    let _ = self.world.on_datagram(now, gateway, to);
                 }
             }
         }
@@ -691,7 +713,7 @@
         &mut self,
         gateway: usize,
         call: &RequestId,
-        verdict: Verdict,
+        verdict: ClientOutcome,
         advice: Option<Duration>,
     ) {
         let Some(ask) = ask_id(call) else { return };
@@ -710,7 +732,7 @@
             return;
         }
         self.at(
-            self.now + self.world.near(),
+            self.now + self.world.in_zone_delay(),
             Event::Heard {
                 ask,
                 verdict,
@@ -729,23 +751,22 @@
     fn send(
         &mut self,
         gateway: usize,
-        ask: AskId,
+        ask: ClientRequestId,
         server: &EndpointId,
         timeout: Duration,
     ) -> Result<(), String> {
         let now = self.now;
         let mut server = self.servers.get(&*server.0).copied();
         if self.fault == Some(Fault::LikesTheCold) {
-            let all = self.world.servers.iter().enumerate();
-            let all = all.filter(|(_, it)| it.listing == Listing::Active && it.started.is_some());
-            let youngest = all
-                .max_by_key(|(_, it)| it.started)
-                .map(|(at, _)| ServerNo(at as u32));
+            let all = self.world.servers();
+            let all =
+                all.filter(|(_, it)| it.listing == ListingState::Active && it.started_at.is_some());
+            let youngest = all.max_by_key(|(_, it)| it.started_at).map(|(id, _)| id);
             server = youngest.or(server);
         }
         let (most, sockets) = (
-            self.world.terms.fleet.max_tries,
-            self.world.terms.fleet.sockets,
+            self.world.experiment.fleet.max_tries,
+            self.world.experiment.fleet.sockets,
         );
         let it = &mut self.gateways[gateway];
         let Some(open) = it.calls.get_mut(&ask) else {
@@ -763,7 +784,7 @@
         let (server, how) = match (server, ready) {
             (Some(server), Some(_)) => (server, None),
             (server, _) => (
-                server.unwrap_or(ServerNo(0)),
+                server.unwrap_or(ServerId(0)),
                 Some(AttemptOutcome::ConnectFailed),
             ),
         };
@@ -793,10 +814,10 @@
         if let Some(how) = how {
             return self.ended(key, how, None, BTreeMap::new(), false);
         }
-        let way = self.world.way(gateway, server);
+        let way = self.world.one_way_delay(gateway, server);
         if !warm {
             self.gateways[gateway].connections += 1;
-            self.world.connected(now, server);
+            self.world.on_connect(now, server);
         }
         // A new connection takes a round trip before the command can go out.
         let arrives = now + if warm { way } else { way * 3 };
@@ -825,28 +846,28 @@
         };
         it.idle.get_mut(&server).map(|idle| idle.remove(0));
         it.connections -= 1;
-        self.world.disconnected(server);
+        self.world.on_disconnect(server);
         true
     }
 
-    fn try_arrives(&mut self, key: TryKey, server: ServerNo, fresh: bool) -> Result<(), String> {
+    fn try_arrives(&mut self, key: TryKey, server: ServerId, fresh: bool) -> Result<(), String> {
         if self.out(key).is_none() {
             return Ok(());
         }
-        if self.world.refuses(server) {
-            let way = self.world.way(key.0, server);
+        if self.world.refuses_connections(server) {
+            let way = self.world.one_way_delay(key.0, server);
             self.at(self.now + way, Event::Refused(key));
             return Ok(());
         }
-        let mut acts = Vec::new();
-        let there = self
-            .world
-            .came(self.now, key.0, server, (key.2, fresh), &mut acts);
+        let mut actions = Vec::new();
+        let there =
+            self.world
+                .on_attempt_arrival(self.now, key.0, server, (key.2, fresh), &mut actions);
         self.trying.insert(there, key);
         if let Some(out) = self.gateways[key.0].tries.get_mut(&(key.2, key.3)) {
             out.there = Some(there);
         }
-        self.carry(acts)
+        self.carry(actions)
     }
 
     /// The gateway closes a try's connection; the server sees it a way later.
@@ -856,18 +877,18 @@
         if let Some(there) = there {
             self.trying.remove(&there);
             self.at(
-                self.now + self.world.way(key.0, server),
+                self.now + self.world.one_way_delay(key.0, server),
                 Event::TryLeft(there),
             );
         }
     }
 
-    fn replied(&mut self, key: TryKey, says: Says) -> Result<(), String> {
+    fn replied(&mut self, key: TryKey, says: ServerResponse) -> Result<(), String> {
         if self.out(key).is_none() {
             return Ok(());
         }
         match says {
-            Says::Value { units, load } => {
+            ServerResponse::Success { units, load } => {
                 let load = load.map_or_else(BTreeMap::new, |load| {
                     [
                         ("inflight", load.inflight as f64),
@@ -878,11 +899,13 @@
                     .into()
                 });
                 let call = call_id(key.2);
-                self.answer(key.0, &call, Verdict::Served { right: true }, None);
+                self.answer(key.0, &call, ClientOutcome::Served { correct: true }, None);
                 self.ended(key, AttemptOutcome::Success, units, load, true)
             }
-            Says::Busy => self.ended(key, AttemptOutcome::Rejected, None, BTreeMap::new(), true),
-            Says::Failed => self.ended(
+            ServerResponse::Busy => {
+                self.ended(key, AttemptOutcome::Rejected, None, BTreeMap::new(), true)
+            }
+            ServerResponse::Failed => self.ended(
                 key,
                 AttemptOutcome::ServerError,
                 None,
@@ -890,17 +913,17 @@
                 true,
             ),
             // A good answer with more behind it serves, and ends the connection.
-            Says::Spoilt(4..) => {
+            ServerResponse::Malformed(4..) => {
                 self.answer(
                     key.0,
                     &call_id(key.2),
-                    Verdict::Served { right: true },
+                    ClientOutcome::Served { correct: true },
                     None,
                 );
                 self.ended(key, AttemptOutcome::Success, None, BTreeMap::new(), false)
             }
             // What can't be read ends the connection, and the server may have run it.
-            Says::Spoilt(_) => self.ended(
+            ServerResponse::Malformed(_) => self.ended(
                 key,
                 AttemptOutcome::ServerError,
                 None,
@@ -935,7 +958,7 @@
             it.idle.entry(out.server).or_default().push(now);
         } else if connected || out.fresh && !matches!(outcome, AttemptOutcome::NotSent) {
             it.connections = it.connections.saturating_sub(1);
-            self.world.disconnected(out.server);
+            self.world.on_disconnect(out.server);
         }
         let it = &mut self.gateways[gateway];
         let mut closed = true;
@@ -953,10 +976,7 @@
                 AttemptOutcome::Reset | AttemptOutcome::TimedOut | AttemptOutcome::ServerError
             );
         if again {
-            let at = self.world.servers[out.server.0 as usize]
-                .uid
-                .as_str()
-                .into();
+            let at = self.world.server(out.server).name.as_str().into();
             self.send(gateway, ask, &at, Duration::ZERO)?;
         }
         let latency = now.saturating_sub(out.sent);
