--- a/lab/src/agree.rs
+++ b/lab/src/agree.rs
@@ -1,6 +1,7 @@
 //! Does the model say what loopback measures? For a known change the model's difference of two variants, with
 //! the interval in which a measurement on the same number of seeds should fall, beside what loopback measures.
 
+use crate::error::LabError;
 use crate::experiment::{Engine, Experiment};
 use crate::measure::Results;
 use crate::runs::{self, Ways};
@@ -59,8 +60,8 @@
     ways: &Ways,
     (model_seeds, seeds): (usize, usize),
     figure: &str,
-    told: &(dyn Fn(&Result<Results, String>) + Sync),
-) -> Result<Vec<Trial>, String> {
+    told: &(dyn Fn(&Result<Results, LabError>) + Sync),
+) -> Result<Vec<Trial>, LabError> {
     let engine = |engine, count: usize| Ways {
         engine: Some(engine),
         seeds: Some((1..=count.max(1) as u64).collect()),
--- a/lab/src/bears.rs
+++ b/lab/src/bears.rs
@@ -1,6 +1,7 @@
 //! What one gateway bears: the rate up to which it proxies within a latency, over app servers that answer at
 //! once, and what it uses at rest. Arrivals wait for no answer; latency counts from the intended moment.
 
+use crate::error::LabError;
 use crate::experiment::{Experiment, PlanTerms, RouteTerms, Variant};
 use crate::measure::Results;
 use crate::runs::{self, Ways};
@@ -54,8 +55,8 @@
     counter: bool,
     seconds: f64,
     told: &mut dyn FnMut(&Step),
-) -> Result<f64, String> {
-    let mut once = |calls: f64| -> Result<bool, String> {
+) -> Result<f64, LabError> {
+    let mut once = |calls: f64| -> Result<bool, LabError> {
         let results = runs::one(&day(calls, seconds, counter), &Variant::default(), 1, ways)?;
         let all = &results.all;
         let proxied = all.proxied as f64 >= all.asked as f64 * 0.99;
@@ -68,7 +69,7 @@
         Ok(borne)
     };
     // A hiccup of the machine is no limit of the gateway: a rate is tried twice before it counts as too high.
-    let mut step = |calls: f64| Ok::<bool, String>(once(calls)? || once(calls)?);
+    let mut step = |calls: f64| Ok::<bool, LabError>(once(calls)? || once(calls)?);
     let (mut low, mut high) = (0.0, 500.0);
     while step(high)? {
         low = high;
--- /dev/null
+++ b/lab/src/error.rs
@@ -0,0 +1,73 @@
+//! The errors of the laboratory. Each names the place; its cause is its source, and [`ErrorChain`] prints both.
+
+use crate::decision_engine::DecisionEngineError;
+use std::error::Error;
+use std::fmt;
+use std::io;
+use std::path::{Path, PathBuf};
+
+/// Why a run, a recording or a file of results could not be made or read.
+#[derive(Debug, thiserror::Error)]
+pub enum LabError {
+    /// A file, folder or program could not be opened, written or started.
+    #[error("{}", path.display())]
+    File {
+        /// The path that was tried.
+        path: PathBuf,
+        /// What the system said.
+        #[source]
+        source: io::Error,
+    },
+    /// The system refused something that is about no file.
+    #[error("{operation}")]
+    System {
+        /// What was tried.
+        operation: &'static str,
+        /// What the system said.
+        #[source]
+        source: io::Error,
+    },
+    /// The decisions of a simulated run could not be had.
+    #[error(transparent)]
+    DecisionEngine(#[from] DecisionEngineError),
+    /// A failure that is known by its text only.
+    #[error("{0}")]
+    Text(String),
+}
+
+impl LabError {
+    /// Makes an I/O error of a path into a [`LabError::File`].
+    pub fn file(path: &Path) -> impl FnOnce(io::Error) -> LabError {
+        let path = path.to_path_buf();
+        move |source| LabError::File { path, source }
+    }
+
+    /// Makes an I/O error of something without a path into a [`LabError::System`].
+    pub fn system(operation: &'static str) -> impl FnOnce(io::Error) -> LabError {
+        move |source| LabError::System { operation, source }
+    }
+}
+
+impl From<String> for LabError {
+    fn from(text: String) -> Self {
+        LabError::Text(text)
+    }
+}
+
+/// Prints an error and its causes in one line, parted by colons.
+pub struct ErrorChain<'a>(
+    /// The outermost error.
+    pub &'a dyn Error,
+);
+
+impl fmt::Display for ErrorChain<'_> {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        write!(out, "{}", self.0)?;
+        let mut cause = self.0.source();
+        while let Some(error) = cause {
+            write!(out, ": {error}")?;
+            cause = error.source();
+        }
+        Ok(())
+    }
+}
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -6,6 +6,7 @@
 pub mod bears;
 pub mod clock;
 pub mod decision_engine;
+pub mod error;
 pub mod experiment;
 pub mod loopback;
 pub mod measure;
--- a/lab/src/runs.rs
+++ b/lab/src/runs.rs
@@ -1,5 +1,6 @@
 //! Plays an experiment's variants on its seeds, several at a time, and keeps the results as JSON lines.
 
+use crate::error::LabError;
 use crate::experiment::{Engine, Experiment, Variant};
 use crate::measure::Results;
 use crate::record::{self, Recorded};
@@ -27,7 +28,11 @@
 }
 
 /// Recorded traffic that an experiment replays, scaled as it says.
-pub fn replay(experiment: &Experiment, seed: u64, beside: &Path) -> Result<Vec<Recorded>, String> {
+pub fn replay(
+    experiment: &Experiment,
+    seed: u64,
+    beside: &Path,
+) -> Result<Vec<Recorded>, LabError> {
     let Some(file) = &experiment.load.replay else {
         return Ok(Vec::new());
     };
@@ -40,10 +45,10 @@
             ("plan", &it.plan, experiment.plan(&it.plan)),
         ] {
             if known.is_none() {
-                return Err(format!(
+                return Err(LabError::Text(format!(
                     "{}: the experiment has no {what} '{name}'",
                     path.display()
-                ));
+                )));
             }
         }
     }
@@ -56,7 +61,7 @@
     variant: &Variant,
     seed: u64,
     ways: &Ways,
-) -> Result<Results, String> {
+) -> Result<Results, LabError> {
     let changed = experiment
         .with(variant)
         .map_err(|wrongs| format!("{wrongs:?}"))?;
@@ -66,9 +71,9 @@
             experiment,
             variant,
             seed,
-            &simulated::Terms {
+            &simulated::RunOptions {
                 replay,
-                fault: None,
+                defect: None,
             },
         ),
         Engine::Loopback => {
@@ -84,7 +89,7 @@
                     logs,
                     ..Default::default()
                 };
-                loopback::play(experiment, variant, seed, terms)
+                Ok::<Results, LabError>(loopback::play(experiment, variant, seed, terms)?)
             };
             let mut results = play()?;
             for _ in 0..ways.again {
@@ -102,8 +107,8 @@
 pub fn all(
     experiment: &Experiment,
     ways: &Ways,
-    told: &(dyn Fn(&Result<Results, String>) + Sync),
-) -> Result<Vec<Results>, String> {
+    told: &(dyn Fn(&Result<Results, LabError>) + Sync),
+) -> Result<Vec<Results>, LabError> {
     let seeds = ways
         .seeds
         .clone()
@@ -140,7 +145,7 @@
 }
 
 /// Writes results, one a line, to a file that is put in place whole.
-pub fn write(path: &Path, results: &[Results]) -> Result<(), String> {
+pub fn write(path: &Path, results: &[Results]) -> Result<(), LabError> {
     let said = |error: std::io::Error| format!("{}: {error}", path.display());
     if let Some(folder) = path.parent() {
         fs::create_dir_all(folder).map_err(said)?;
@@ -153,11 +158,12 @@
     }
     out.sync_all()
         .and_then(|()| fs::rename(&half, path))
-        .map_err(said)
+        .map_err(said)?;
+    Ok(())
 }
 
 /// Reads results from a file, or from `results.jsonl` in a folder.
-pub fn read(path: &Path) -> Result<Vec<Results>, String> {
+pub fn read(path: &Path) -> Result<Vec<Results>, LabError> {
     let path = if path.is_dir() {
         path.join("results.jsonl")
     } else {
@@ -171,7 +177,10 @@
         all.push(serde_json::from_str(&line).map_err(|error| wrong(error.to_string()))?);
     }
     if all.is_empty() {
-        return Err(format!("{}: no results in it", path.display()));
+        return Err(LabError::Text(format!(
+            "{}: no results in it",
+            path.display()
+        )));
     }
     Ok(all)
 }
--- /dev/null
+++ b/lab/src/simulated/attempts.rs
@@ -0,0 +1,408 @@
+//! Upstream attempts of a simulated run: over a gateway's connections to servers, and back.
+
+use super::defect::InjectedDefect;
+use super::event_queue::Event;
+use super::gateway::{AttemptKey, GatewayIncarnation, InFlightAttempt, RequestAttempt};
+use super::requests::{client_request, request_id};
+use super::run::SimulatedRun;
+use crate::decision_engine::GatewayEvent;
+use crate::error::LabError;
+use crate::referee::Verdict;
+use crate::world::server::{Listing, Report};
+use crate::world::{AskId, Says, ServerNo, TryId};
+use std::collections::BTreeMap;
+use std::time::Duration;
+use wellcrank::port::{AttemptNumber, AttemptOutcome, AttemptResult, EndpointId, RequestId};
+
+/// A gateway's node may use this part of its sockets for connections to servers: one in so many.
+const SERVER_SOCKET_DIVISOR: usize = 3;
+
+/// One-way times until the command on a new connection has arrived: the handshake takes a round trip first.
+const NEW_CONNECTION_WAYS: u32 = 3;
+
+/// Malformed responses of this kind and above begin with a whole, good one.
+const FIRST_SERVING_MALFORMED: u32 = 4;
+
+/// Over what an attempt is sent.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+enum Connection {
+    Reused,
+    New,
+}
+
+/// How an attempt ended, for its gateway.
+struct AttemptEnd {
+    outcome: AttemptOutcome,
+    settled_units: Option<f64>,
+    /// The server's load by the name of the figure.
+    load: BTreeMap<String, f64>,
+    /// Whether the connection may carry another attempt.
+    keeps_connection: bool,
+}
+
+impl AttemptEnd {
+    /// An end that closes the connection, if there is one.
+    fn closing(outcome: AttemptOutcome) -> AttemptEnd {
+        AttemptEnd {
+            outcome,
+            settled_units: None,
+            load: BTreeMap::new(),
+            keeps_connection: false,
+        }
+    }
+
+    /// An end by a well-formed response, after which the connection may be used again.
+    fn keeping(outcome: AttemptOutcome) -> AttemptEnd {
+        AttemptEnd {
+            keeps_connection: true,
+            ..AttemptEnd::closing(outcome)
+        }
+    }
+}
+
+/// A server's load by the names that it has on the wire.
+fn load_figures(report: Report) -> BTreeMap<String, f64> {
+    let figures = [
+        ("inflight", report.inflight as f64),
+        ("queue", report.queue as f64),
+        ("util", report.util),
+    ];
+    figures
+        .map(|(name, value)| (name.to_string(), value))
+        .into()
+}
+
+impl SimulatedRun<'_> {
+    /// A gateway's controller begins an attempt.
+    pub(super) fn on_send(
+        &mut self,
+        gateway: usize,
+        request: &RequestId,
+        endpoint: &EndpointId,
+        timeout: Duration,
+    ) -> Result<(), LabError> {
+        let Some(request) = client_request(request) else {
+            return Ok(());
+        };
+        self.send_attempt(gateway, request, endpoint, timeout)?;
+        let duplicates = self.defect == Some(InjectedDefect::DuplicatesAttempts);
+        if duplicates && self.duplicated.insert(request) {
+            self.send_attempt(gateway, request, endpoint, timeout)?;
+        }
+        Ok(())
+    }
+
+    /// A gateway's controller gives an attempt up.
+    pub(super) fn on_cancel(
+        &mut self,
+        gateway: usize,
+        request: &RequestId,
+        attempt: AttemptNumber,
+    ) -> Result<(), LabError> {
+        let Some(request) = client_request(request) else {
+            return Ok(());
+        };
+        let key = AttemptKey {
+            gateway: self.incarnation(gateway),
+            attempt: RequestAttempt {
+                request,
+                number: attempt.0,
+            },
+        };
+        if self.in_flight(key).is_none() {
+            return Ok(());
+        }
+        self.close_attempt_connection(key);
+        self.end_attempt(key, AttemptEnd::closing(AttemptOutcome::Cancelled))
+    }
+
+    /// An attempt that has not ended, of a gateway that was not started anew since.
+    fn in_flight(&mut self, key: AttemptKey) -> Option<&mut InFlightAttempt> {
+        self.gateway(key.gateway)?.attempts.get_mut(&key.attempt)
+    }
+
+    /// Sends a request on as the edge node does: if the request is open and has an attempt and time left, and if
+    /// the endpoint list allows it; over the connection that was used last, or a new one if there may be one.
+    fn send_attempt(
+        &mut self,
+        gateway: usize,
+        request: AskId,
+        endpoint: &EndpointId,
+        timeout: Duration,
+    ) -> Result<(), LabError> {
+        let Some(open) = self.gateways[gateway].requests.get_mut(&request) else {
+            return Ok(());
+        };
+        let number = open.attempts_begun;
+        open.attempts_begun += 1;
+        let time_out_at = if timeout.is_zero() {
+            open.deadline
+        } else {
+            open.deadline.min(self.now + timeout)
+        };
+        let answered = open.answered;
+        let key = AttemptKey {
+            gateway: self.incarnation(gateway),
+            attempt: RequestAttempt { request, number },
+        };
+        let target = self.target_server(endpoint);
+        let server = target.unwrap_or(ServerNo(0));
+        let in_flight = InFlightAttempt {
+            server,
+            sent_at: self.now,
+            arrived_as: None,
+        };
+        self.gateways[gateway]
+            .attempts
+            .insert(key.attempt, in_flight);
+        if answered || time_out_at <= self.now || number >= self.world.terms.fleet.max_tries {
+            return self.end_attempt(key, AttemptEnd::closing(AttemptOutcome::NotSent));
+        }
+        if target.is_none() || !self.gateways[gateway].is_ready(server) {
+            return self.end_attempt(key, AttemptEnd::closing(AttemptOutcome::ConnectFailed));
+        }
+        let Some(connection) = self.obtain_connection(gateway, server) else {
+            return self.end_attempt(key, AttemptEnd::closing(AttemptOutcome::NotSent));
+        };
+        self.carry_attempt(key, server, connection);
+        self.schedule(time_out_at, Event::AttemptTimeout(key));
+        Ok(())
+    }
+
+    /// The server that an endpoint id means, as the program decides with the injected defect.
+    fn target_server(&self, endpoint: &EndpointId) -> Option<ServerNo> {
+        let chosen = self.server_ids.get(&*endpoint.0).copied();
+        if self.defect == Some(InjectedDefect::PrefersNewestServer) {
+            return self.newest_server().or(chosen);
+        }
+        chosen
+    }
+
+    fn newest_server(&self) -> Option<ServerNo> {
+        let servers = self.world.servers.iter().enumerate();
+        servers
+            .filter(|(_, server)| server.listing == Listing::Active && server.started.is_some())
+            .max_by_key(|(_, server)| server.started)
+            .map(|(index, _)| ServerNo(index as u32))
+    }
+
+    /// A connection for an attempt; none where all sockets carry attempts.
+    fn obtain_connection(&mut self, gateway: usize, server: ServerNo) -> Option<Connection> {
+        let limit = self
+            .world
+            .terms
+            .fleet
+            .sockets
+            .div_ceil(SERVER_SOCKET_DIVISOR);
+        let connections = &mut self.gateways[gateway].connections;
+        if connections.take_idle(server) {
+            return Some(Connection::Reused);
+        }
+        if connections.is_full(limit) {
+            let evicted = connections.evict_oldest_idle()?;
+            self.world.disconnected(evicted);
+        }
+        self.gateways[gateway].connections.open();
+        self.world.connected(self.now, server);
+        Some(Connection::New)
+    }
+
+    /// An attempt is on its way to its server.
+    fn carry_attempt(&mut self, attempt: AttemptKey, server: ServerNo, connection: Connection) {
+        let way = self.world.way(attempt.gateway.gateway, server);
+        let ways = match connection {
+            Connection::Reused => 1,
+            Connection::New => NEW_CONNECTION_WAYS,
+        };
+        let arrival = Event::AttemptArrival {
+            attempt,
+            server,
+            new_connection: connection == Connection::New,
+        };
+        self.schedule(self.now + way * ways, arrival);
+    }
+
+    pub(super) fn on_attempt_arrival(
+        &mut self,
+        key: AttemptKey,
+        server: ServerNo,
+        new_connection: bool,
+    ) -> Result<(), LabError> {
+        if self.in_flight(key).is_none() {
+            return Ok(());
+        }
+        let gateway = key.gateway.gateway;
+        if self.world.refuses(server) {
+            let way = self.world.way(gateway, server);
+            self.schedule(self.now + way, Event::ConnectionLost(key));
+            return Ok(());
+        }
+        let command = (key.attempt.request, new_connection);
+        let mut actions = Vec::new();
+        let arrived_as = self
+            .world
+            .came(self.now, gateway, server, command, &mut actions);
+        self.attempts.insert(arrived_as, key);
+        if let Some(attempt) = self.in_flight(key) {
+            attempt.arrived_as = Some(arrived_as);
+        }
+        self.perform_world_actions(actions)
+    }
+
+    /// The gateway closes an attempt's connection; the server sees it one way later.
+    fn close_attempt_connection(&mut self, key: AttemptKey) {
+        let Some(attempt) = self.in_flight(key) else {
+            return;
+        };
+        let server = attempt.server;
+        if let Some(arrived_as) = attempt.arrived_as {
+            self.abandon_attempt(key.gateway.gateway, server, arrived_as);
+        }
+    }
+
+    /// A gateway no longer waits for an attempt that has reached its server.
+    pub(super) fn abandon_attempt(&mut self, gateway: usize, server: ServerNo, attempt: TryId) {
+        self.attempts.remove(&attempt);
+        let way = self.world.way(gateway, server);
+        self.schedule(self.now + way, Event::AttemptAbandoned(attempt));
+    }
+
+    /// All connections to a server are reset, and the attempts that it has with them.
+    pub(super) fn reset_connections(&mut self, server: ServerNo) {
+        for gateway in 0..self.gateways.len() {
+            let idle = self.gateways[gateway].connections.drop_idle_to(server);
+            for _ in 0..idle {
+                self.world.disconnected(server);
+            }
+            let incarnation = self.incarnation(gateway);
+            for (attempt, arrived_as) in self.gateways[gateway].attempts_at(server) {
+                self.attempts.remove(&arrived_as);
+                self.world.left(self.now, arrived_as);
+                let way = self.world.way(gateway, server);
+                let key = AttemptKey {
+                    gateway: incarnation,
+                    attempt,
+                };
+                self.schedule(self.now + way, Event::ConnectionLost(key));
+            }
+        }
+    }
+
+    /// A server's response is on its way to the gateway.
+    pub(super) fn carry_response(&mut self, attempt: TryId, response: Says) {
+        let Some(key) = self.attempts.remove(&attempt) else {
+            return;
+        };
+        let server = self.world.tries[attempt.0 as usize].server;
+        let way = self.world.way(key.gateway.gateway, server);
+        let event = Event::ServerResponse {
+            attempt: key,
+            response,
+        };
+        self.schedule(self.now + way, event);
+    }
+
+    pub(super) fn on_connection_lost(&mut self, key: AttemptKey) -> Result<(), LabError> {
+        let Some(attempt) = self.in_flight(key) else {
+            return Ok(());
+        };
+        let outcome = match attempt.arrived_as {
+            Some(_) => AttemptOutcome::Reset,
+            None => AttemptOutcome::ConnectFailed,
+        };
+        self.end_attempt(key, AttemptEnd::closing(outcome))
+    }
+
+    pub(super) fn on_attempt_timeout(&mut self, key: AttemptKey) -> Result<(), LabError> {
+        let Some(attempt) = self.in_flight(key) else {
+            return Ok(());
+        };
+        let outcome = match attempt.arrived_as {
+            Some(_) => AttemptOutcome::TimedOut,
+            None => AttemptOutcome::ConnectFailed,
+        };
+        self.close_attempt_connection(key);
+        self.end_attempt(key, AttemptEnd::closing(outcome))
+    }
+
+    pub(super) fn on_server_response(
+        &mut self,
+        key: AttemptKey,
+        response: Says,
+    ) -> Result<(), LabError> {
+        if self.in_flight(key).is_none() {
+            return Ok(());
+        }
+        let end = match response {
+            Says::Value { units, load } => AttemptEnd {
+                settled_units: units,
+                load: load.map(load_figures).unwrap_or_default(),
+                ..AttemptEnd::keeping(AttemptOutcome::Success)
+            },
+            Says::Busy => AttemptEnd::keeping(AttemptOutcome::Rejected),
+            Says::Failed => AttemptEnd::keeping(AttemptOutcome::ServerError),
+            Says::Spoilt(FIRST_SERVING_MALFORMED..) => AttemptEnd::closing(AttemptOutcome::Success),
+            // The server may have run what it answers with something that can't be read.
+            Says::Spoilt(_) => AttemptEnd::closing(AttemptOutcome::ServerError),
+        };
+        if end.outcome == AttemptOutcome::Success {
+            let request = request_id(key.attempt.request);
+            let verdict = Verdict::Served { right: true };
+            self.answer_request(key.gateway.gateway, &request, verdict, None);
+        }
+        self.end_attempt(key, end)
+    }
+
+    /// An attempt has ended for its gateway: its connection is kept or closed, and the controller is told.
+    fn end_attempt(&mut self, key: AttemptKey, end: AttemptEnd) -> Result<(), LabError> {
+        let GatewayIncarnation { gateway, .. } = key.gateway;
+        let RequestAttempt { request, number } = key.attempt;
+        let ended = self
+            .gateway(key.gateway)
+            .and_then(|gateway| gateway.attempts.remove(&key.attempt));
+        let Some(attempt) = ended else {
+            return Ok(());
+        };
+        self.release_connection(gateway, attempt.server, &end);
+        let request_closed = self.gateways[gateway].count_attempt_end(request);
+        if !request_closed && self.retries_unsafely(end.outcome) {
+            let server = &self.world.servers[attempt.server.0 as usize];
+            let endpoint = server.uid.as_str().into();
+            self.send_attempt(gateway, request, &endpoint, Duration::ZERO)?;
+        }
+        let result = AttemptResult {
+            outcome: end.outcome,
+            latency: self.now.saturating_sub(attempt.sent_at),
+            request_closed,
+            settled_units: end.settled_units,
+            load: end.load,
+        };
+        let event = GatewayEvent::AttemptEnd {
+            request: request_id(request),
+            attempt: AttemptNumber(number),
+            result,
+        };
+        self.deliver(gateway, event)
+    }
+
+    /// Puts the connection of an attempt that has ended back, or closes it. An attempt that failed before a
+    /// connection was opened for it is counted as closing one too.
+    fn release_connection(&mut self, gateway: usize, server: ServerNo, end: &AttemptEnd) {
+        let owner = &mut self.gateways[gateway];
+        if end.keeps_connection && owner.is_ready(server) {
+            owner.connections.put_idle(server, self.now);
+        } else if end.outcome != AttemptOutcome::NotSent {
+            owner.connections.close_used();
+            self.world.disconnected(server);
+        }
+    }
+
+    /// Whether the injected defect sends again what ended so.
+    fn retries_unsafely(&self, outcome: AttemptOutcome) -> bool {
+        let broke = matches!(
+            outcome,
+            AttemptOutcome::Reset | AttemptOutcome::TimedOut | AttemptOutcome::ServerError
+        );
+        broke && self.defect == Some(InjectedDefect::RetriesUnsafely)
+    }
+}
--- /dev/null
+++ b/lab/src/simulated/requests.rs
@@ -0,0 +1,118 @@
+//! Requests of a simulated run: from the client to its gateway, and the final answer back.
+
+use super::defect::InjectedDefect;
+use super::event_queue::Event;
+use super::gateway::OpenRequest;
+use super::run::{SimulatedRun, CLOCK_ORIGIN};
+use crate::decision_engine::GatewayEvent;
+use crate::error::LabError;
+use crate::referee::Verdict;
+use crate::world::AskId;
+use std::time::Duration;
+use wellcrank::port::{Request, RequestId};
+
+/// The units that the controller is told of a request where the defect is that it undercounts.
+const UNDERCOUNTED_UNITS: f64 = 0.001;
+
+/// The id under which a controller knows a client's request.
+pub(super) fn request_id(request: AskId) -> RequestId {
+    request.0.to_string().as_str().into()
+}
+
+/// The client's request that a controller's id means.
+pub(super) fn client_request(request: &RequestId) -> Option<AskId> {
+    request.0.parse().ok().map(AskId)
+}
+
+impl SimulatedRun<'_> {
+    pub(super) fn on_request_arrival(
+        &mut self,
+        gateway: usize,
+        request: AskId,
+    ) -> Result<(), LabError> {
+        if !self.gateways[gateway].is_running {
+            self.world.not_taken(self.now, request);
+            return Ok(());
+        }
+        self.world.taken(self.now, request);
+        // The client states a span, and the gateway counts it from the moment at which the request arrives.
+        let asked = &self.world.asks[request.0 as usize];
+        let deadline = self.now + asked.until.saturating_sub(asked.born);
+        let incoming = self.incoming_request(request, deadline);
+        self.gateways[gateway]
+            .requests
+            .insert(request, OpenRequest::new(deadline));
+        self.deliver(gateway, GatewayEvent::Request(incoming))
+    }
+
+    /// A client's request as its gateway's controller is told it.
+    fn incoming_request(&self, request: AskId, deadline: Duration) -> Request {
+        let asked = &self.world.asks[request.0 as usize];
+        let origin = &self.world.clients.origins[asked.origin.0 as usize];
+        let account = &self.world.clients.accounts[origin.account as usize];
+        let experiment = &self.world.terms;
+        let units = if self.defect == Some(InjectedDefect::UndercountsUnits) {
+            UNDERCOUNTED_UNITS
+        } else {
+            origin.units
+        };
+        Request {
+            id: request_id(request),
+            customer: format!("{:016x}", account.name).as_str().into(),
+            plan: experiment.plans[account.plan].name.as_str().into(),
+            route: experiment.routes[origin.route].name.as_str().into(),
+            units,
+            deadline: CLOCK_ORIGIN + deadline,
+            first_gateway: account.first as u32,
+            gateway_count: account.spread as u32,
+        }
+    }
+
+    pub(super) fn on_client_disconnect(
+        &mut self,
+        gateway: usize,
+        request: AskId,
+    ) -> Result<(), LabError> {
+        if self.gateways[gateway].requests.remove(&request).is_none() {
+            return Ok(());
+        }
+        let id = request_id(request);
+        self.deliver(gateway, GatewayEvent::ClientDisconnect(id))
+    }
+
+    /// Sends a request's final answer to the client; a second answer is dropped.
+    pub(super) fn answer_request(
+        &mut self,
+        gateway: usize,
+        request: &RequestId,
+        verdict: Verdict,
+        retry_after: Option<Duration>,
+    ) {
+        let Some(request) = client_request(request) else {
+            return;
+        };
+        if !self.gateways[gateway].mark_answered(request) {
+            return;
+        }
+        self.final_answers += 1;
+        if self.loses_answer() {
+            return;
+        }
+        let answer = Event::FinalAnswer {
+            request,
+            verdict,
+            retry_after,
+        };
+        self.schedule(self.now + self.world.near(), answer);
+    }
+
+    /// Whether the injected defect drops the final answer that was counted last.
+    fn loses_answer(&self) -> bool {
+        match self.defect {
+            Some(InjectedDefect::LosesAnswers(interval)) => {
+                self.final_answers.is_multiple_of(interval)
+            }
+            _ => false,
+        }
+    }
+}
--- /dev/null
+++ b/lab/src/simulated/run.rs
@@ -0,0 +1,420 @@
+//! A simulated run: the loop over moments, what the world has the engine carry out, gateways that start and are
+//! killed, and the endpoint list.
+
+use super::defect::InjectedDefect;
+use super::event_queue::{Event, EventQueue};
+use super::gateway::{AttemptKey, CounterCallKey, GatewayIncarnation, SimulatedGateway};
+use crate::decision_engine::{DecisionEngine, GatewayAction, GatewayEvent};
+use crate::error::LabError;
+use crate::experiment::Variant;
+use crate::measure::Results;
+use crate::referee::Verdict;
+use crate::told;
+use crate::world::counter::CounterSays;
+use crate::world::server::Listing;
+use crate::world::{Act, AskId, Change, CountId, ServerNo, TryId, World};
+use nanorand::{Rng, WyRand};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+use wellcrank::port::{Endpoint, EndpointState, EndpointUpdate, UnixTime};
+
+/// The gateways' clocks begin here: an ordinary moment, as windows and lease periods are numbered from zero.
+pub(super) const CLOCK_ORIGIN: Duration = Duration::from_secs(1_000_000);
+
+/// How long a gateway's process takes from its start until it serves.
+const START_TIME: Duration = Duration::from_millis(20);
+
+/// How often gateways look for connections that have been idle for too long, as the edge node does.
+const STALE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The longest datagram that a gateway may send, in bytes.
+const MAX_DATAGRAM: usize = 256;
+
+/// Everything that a simulated run holds.
+pub(super) struct SimulatedRun<'a> {
+    pub(super) world: World,
+    engine: Box<dyn DecisionEngine + 'a>,
+    pub(super) gateways: Vec<SimulatedGateway>,
+    events: EventQueue,
+    /// Since the start of the run.
+    pub(super) now: Duration,
+    /// Servers by the id under which gateways know them.
+    pub(super) server_ids: BTreeMap<String, ServerNo>,
+    /// Calls that the counter has not answered.
+    pub(super) counter_calls: BTreeMap<CountId, CounterCallKey>,
+    /// Attempts that servers have not answered.
+    pub(super) attempts: BTreeMap<TryId, AttemptKey>,
+    /// Settings that gateways are given in place of the true ones.
+    settings_overrides: toml::Table,
+    controller_seeds: WyRand,
+    pub(super) defect: Option<InjectedDefect>,
+    pub(super) final_answers: u64,
+    /// Requests whose attempt was sent twice, where the defect is that.
+    pub(super) duplicated: BTreeSet<AskId>,
+}
+
+impl<'a> SimulatedRun<'a> {
+    pub(super) fn new(
+        world: World,
+        engine: Box<dyn DecisionEngine + 'a>,
+        variant: &Variant,
+        seed: u64,
+        defect: Option<InjectedDefect>,
+    ) -> SimulatedRun<'a> {
+        let gateway_count = world.terms.fleet.gateways;
+        SimulatedRun {
+            world,
+            engine,
+            gateways: (0..gateway_count)
+                .map(|_| SimulatedGateway::default())
+                .collect(),
+            events: EventQueue::default(),
+            now: Duration::ZERO,
+            server_ids: BTreeMap::new(),
+            counter_calls: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            settings_overrides: variant.told.clone(),
+            controller_seeds: WyRand::new_seed(seed ^ 0x5eed),
+            defect,
+            final_answers: 0,
+            duplicated: BTreeSet::new(),
+        }
+    }
+
+    /// What the run has brought.
+    pub(super) fn into_results(mut self, title: &str, variant: &str, seed: u64) -> Results {
+        self.world.results("simulated", title, variant, seed)
+    }
+
+    /// Plays the run from its start to its end.
+    pub(super) fn play(&mut self) -> Result<(), LabError> {
+        self.world.begin();
+        for gateway in 0..self.gateways.len() {
+            self.start_gateway(gateway)?;
+        }
+        self.schedule(STALE_CHECK_INTERVAL, Event::CloseStaleConnections);
+        let end = self.world.end();
+        while let Some(now) = self.next_moment().filter(|moment| *moment <= end) {
+            self.now = now;
+            self.advance_world()?;
+            while let Some(event) = self.events.pop_due(now) {
+                self.handle_event(event)?;
+            }
+            self.perform_gateway_actions()?;
+        }
+        self.now = end;
+        self.world.referee.end(end);
+        Ok(())
+    }
+
+    fn next_moment(&self) -> Option<Duration> {
+        let moments = [self.events.next_time(), self.world.next_due()];
+        moments.into_iter().flatten().min()
+    }
+
+    fn advance_world(&mut self) -> Result<(), LabError> {
+        if self.world.next_due() != Some(self.now) {
+            return Ok(());
+        }
+        let mut actions = Vec::new();
+        self.world.advance(self.now, &mut actions);
+        self.perform_world_actions(actions)
+    }
+
+    /// An action may have something happen at this very moment, which leads to further actions.
+    fn perform_gateway_actions(&mut self) -> Result<(), LabError> {
+        loop {
+            let actions = self.engine.take_actions()?;
+            if actions.is_empty() {
+                return Ok(());
+            }
+            for issued in actions {
+                if self.gateways[issued.gateway].is_running {
+                    self.perform_gateway_action(issued.gateway, issued.action)?;
+                }
+            }
+        }
+    }
+
+    /// Has something happen then, but not before now.
+    pub(super) fn schedule(&mut self, at: Duration, event: Event) {
+        self.events.schedule(at.max(self.now), event);
+    }
+
+    /// Hands an event to a gateway's controller.
+    pub(super) fn deliver(&mut self, gateway: usize, event: GatewayEvent) -> Result<(), LabError> {
+        let gateway_time = CLOCK_ORIGIN + self.now;
+        self.engine.deliver(gateway_time, gateway, event)?;
+        Ok(())
+    }
+
+    /// A gateway as it is running now.
+    pub(super) fn incarnation(&self, gateway: usize) -> GatewayIncarnation {
+        GatewayIncarnation {
+            gateway,
+            incarnation: self.gateways[gateway].incarnation,
+        }
+    }
+
+    /// A gateway, unless it was started or killed since.
+    pub(super) fn gateway(&mut self, wanted: GatewayIncarnation) -> Option<&mut SimulatedGateway> {
+        let gateway = &mut self.gateways[wanted.gateway];
+        (gateway.incarnation == wanted.incarnation).then_some(gateway)
+    }
+
+    fn handle_event(&mut self, event: Event) -> Result<(), LabError> {
+        match event {
+            Event::RequestArrival { gateway, request } => self.on_request_arrival(gateway, request),
+            Event::ClientDisconnect { gateway, request } => {
+                self.on_client_disconnect(gateway, request)
+            }
+            Event::FinalAnswer {
+                request,
+                verdict,
+                retry_after,
+            } => {
+                self.world.answered(self.now, request, verdict, retry_after);
+                Ok(())
+            }
+            Event::AttemptArrival {
+                attempt,
+                server,
+                new_connection,
+            } => self.on_attempt_arrival(attempt, server, new_connection),
+            Event::AttemptAbandoned(attempt) => {
+                self.world.left(self.now, attempt);
+                Ok(())
+            }
+            Event::ServerResponse { attempt, response } => {
+                self.on_server_response(attempt, response)
+            }
+            Event::ConnectionLost(attempt) => self.on_connection_lost(attempt),
+            Event::AttemptTimeout(attempt) => self.on_attempt_timeout(attempt),
+            Event::CounterCallArrival(call) => self.on_counter_call_arrival(call),
+            Event::CounterReply { call, reply } => self.on_counter_reply(call, reply),
+            Event::CounterTimeout(call) => self.on_counter_timeout(call),
+            Event::Timer { gateway, token } => match self.gateway(gateway) {
+                Some(_) => self.deliver(gateway.gateway, GatewayEvent::Timer(token)),
+                None => Ok(()),
+            },
+            Event::EndpointChanges { gateway, end } => self.on_endpoint_changes(gateway, end),
+            Event::GatewayReady(gateway) => {
+                if self.gateway(gateway).is_some() {
+                    self.world.ready(self.now, gateway.gateway);
+                }
+                Ok(())
+            }
+            Event::CloseStaleConnections => {
+                self.close_stale_connections();
+                Ok(())
+            }
+        }
+    }
+
+    /// Carries out what a running gateway does.
+    fn perform_gateway_action(
+        &mut self,
+        gateway: usize,
+        action: GatewayAction,
+    ) -> Result<(), LabError> {
+        match action {
+            GatewayAction::Send {
+                request,
+                endpoint,
+                timeout,
+            } => self.on_send(gateway, &request, &endpoint, timeout),
+            GatewayAction::Cancel { request, attempt } => {
+                self.on_cancel(gateway, &request, attempt)
+            }
+            GatewayAction::Reject {
+                request,
+                retry_after,
+            } => {
+                self.answer_request(gateway, &request, Verdict::Limited, Some(retry_after));
+                Ok(())
+            }
+            GatewayAction::Fail { request } => {
+                self.answer_request(gateway, &request, Verdict::Errored, None);
+                Ok(())
+            }
+            GatewayAction::AddToCounter { name, amount, ttl } => {
+                self.call_counter(gateway, name, amount, ttl);
+                Ok(())
+            }
+            GatewayAction::SetTimer { token, at } => {
+                let gateway = self.incarnation(gateway);
+                let fires_at = at.saturating_sub(CLOCK_ORIGIN);
+                self.schedule(fires_at, Event::Timer { gateway, token });
+                Ok(())
+            }
+            GatewayAction::SendToPeer { peer, body } => {
+                self.send_to_peers(gateway, peer, &body);
+                Ok(())
+            }
+        }
+    }
+
+    /// Controllers hear of no other gateway yet: a datagram is counted by the world, and goes no further.
+    fn send_to_peers(&mut self, sender: usize, peer: Option<u32>, body: &[u8]) {
+        if body.len() > MAX_DATAGRAM || !self.world.terms.network.peers {
+            return;
+        }
+        for receiver in 0..self.gateways.len() {
+            let is_addressed = match peer {
+                Some(peer) => receiver == peer as usize,
+                None => receiver != sender,
+            };
+            if is_addressed {
+                let _ = self.world.datagram(self.now, sender, receiver);
+            }
+        }
+    }
+
+    /// Carries out what the world leaves to the engine.
+    pub(super) fn perform_world_actions(&mut self, actions: Vec<Act>) -> Result<(), LabError> {
+        for action in actions {
+            match action {
+                Act::Ask(request) => {
+                    let gateway = self.world.asks[request.0 as usize].gateway;
+                    let arrival = self.now + self.world.near();
+                    self.schedule(arrival, Event::RequestArrival { gateway, request });
+                }
+                Act::Leave(request) => {
+                    let gateway = self.world.asks[request.0 as usize].gateway;
+                    let arrival = self.now + self.world.near();
+                    self.schedule(arrival, Event::ClientDisconnect { gateway, request });
+                }
+                Act::Reply(attempt, response) => self.carry_response(attempt, response),
+                Act::Counted(call, reply) => {
+                    if let Some(call) = self.counter_calls.remove(&call) {
+                        self.carry_counter_reply(call, reply);
+                    }
+                }
+                Act::Told { gateway, upto } => {
+                    let gateway = self.incarnation(gateway);
+                    self.schedule(self.now, Event::EndpointChanges { gateway, end: upto });
+                }
+                Act::Down(server) => self.reset_connections(server),
+                Act::Kill(gateway) => self.kill_gateway(gateway)?,
+                Act::Start(gateway) => self.start_gateway(gateway)?,
+                Act::CounterCut => {
+                    let open = std::mem::take(&mut self.counter_calls);
+                    for call in open.into_values() {
+                        self.carry_counter_reply(call, CounterSays::Reset);
+                    }
+                }
+                // A counter that has moved is another one of the world's; its address is nothing here.
+                Act::Move(_) => (),
+                // Simulated servers need no address, gateways no signal, and no bytes are read.
+                Act::Born(_) | Act::Up(_) | Act::Stop(_) | Act::BadClients(_) => (),
+            }
+        }
+        Ok(())
+    }
+
+    /// A gateway starts with the endpoint list as it was last notified of it.
+    fn start_gateway(&mut self, gateway: usize) -> Result<(), LabError> {
+        let settings = told::settings(&self.world.terms, gateway, &self.settings_overrides)?;
+        self.gateways[gateway].start();
+        let seed = self.controller_seeds.generate();
+        self.deliver(gateway, GatewayEvent::Start { settings, seed })?;
+        let seen = self.world.upto(gateway);
+        let list = self.world.list(seen);
+        self.gateways[gateway].changes_seen = seen;
+        let endpoints = self.notify_gateway(gateway, &list);
+        let update = EndpointUpdate::Snapshot(endpoints);
+        self.deliver(gateway, GatewayEvent::EndpointUpdate(update))?;
+        let ready = Event::GatewayReady(self.incarnation(gateway));
+        self.schedule(self.now + START_TIME, ready);
+        Ok(())
+    }
+
+    fn kill_gateway(&mut self, gateway: usize) -> Result<(), LabError> {
+        let killed = self.gateways[gateway].kill();
+        for attempt in killed.attempts.into_values() {
+            self.world.disconnected(attempt.server);
+            if let Some(arrived_as) = attempt.arrived_as {
+                self.abandon_attempt(gateway, attempt.server, arrived_as);
+            }
+        }
+        for server in killed.connections.idle_servers() {
+            self.world.disconnected(server);
+        }
+        for request in killed.requests.into_keys() {
+            self.world.not_taken(self.now, request);
+        }
+        self.deliver(gateway, GatewayEvent::Kill)
+    }
+
+    fn on_endpoint_changes(
+        &mut self,
+        gateway: GatewayIncarnation,
+        end: usize,
+    ) -> Result<(), LabError> {
+        let Some(notified) = self.gateway(gateway).filter(|found| found.is_running) else {
+            return Ok(());
+        };
+        let start = std::mem::replace(&mut notified.changes_seen, end);
+        let changes = self.world.changes[start..end].to_vec();
+        let endpoints = self.notify_gateway(gateway.gateway, &changes);
+        if self.defect == Some(InjectedDefect::IgnoresEndpointUpdates) {
+            for change in &changes {
+                self.gateways[gateway.gateway].set_ready(change.server, true);
+            }
+            return Ok(());
+        }
+        let update = EndpointUpdate::Delta(endpoints);
+        self.deliver(gateway.gateway, GatewayEvent::EndpointUpdate(update))
+    }
+
+    /// Changes of the endpoint list reach a gateway's adapter; returns them as its controller is told them.
+    fn notify_gateway(&mut self, gateway: usize, changes: &[Change]) -> Vec<Endpoint> {
+        let mut endpoints = Vec::new();
+        for change in changes {
+            let endpoint = self.endpoint(change);
+            self.server_ids
+                .insert(endpoint.id.0.to_string(), change.server);
+            let is_ready = endpoint.state == EndpointState::Ready;
+            self.gateways[gateway].set_ready(change.server, is_ready);
+            endpoints.push(endpoint);
+        }
+        self.world.told(self.now, gateway, changes);
+        endpoints
+    }
+
+    fn endpoint(&self, change: &Change) -> Endpoint {
+        let server = &self.world.servers[change.server.0 as usize];
+        let state = match change.listing {
+            Listing::Active => EndpointState::Ready,
+            Listing::Leaving => EndpointState::Draining,
+            Listing::Left => EndpointState::Removed,
+        };
+        Endpoint {
+            id: server.uid.as_str().into(),
+            state,
+            started_at: change
+                .started
+                .map(|started_at| UnixTime(CLOCK_ORIGIN + started_at)),
+            cell: server.cell,
+            zone: told::zone_name(server.zone),
+            machine_type: server.kind.clone(),
+            weight: 1.0,
+        }
+    }
+
+    /// Closes connections that were idle for so long that the server is about to close them.
+    fn close_stale_connections(&mut self) {
+        let fleet = &self.world.terms.fleet;
+        let max_idle = (fleet.idle_close - fleet.connect_timeout).max(0.0);
+        let max_idle = Duration::from_secs_f64(max_idle);
+        for gateway in &mut self.gateways {
+            for server in gateway.connections.close_stale(self.now, max_idle) {
+                self.world.disconnected(server);
+            }
+        }
+        self.schedule(
+            self.now + STALE_CHECK_INTERVAL,
+            Event::CloseStaleConnections,
+        );
+    }
+}
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -23,7 +23,7 @@
 use wellcrank_lab::experiment::{Experiment, Trouble, Variant};
 use wellcrank_lab::measure::Results;
 use wellcrank_lab::referee::Rule;
-use wellcrank_lab::simulated::{self, Fault};
+use wellcrank_lab::simulated::{self, InjectedDefect};
 
 #[derive(Default)]
 struct Stage {
@@ -46,14 +46,14 @@
     toml::from_str(&format!("{path} = {text}")).expect("a path and a value")
 }
 
-fn fault(name: &str) -> Fault {
+fn defect(name: &str) -> InjectedDefect {
     match name {
-        "loses-answers" => Fault::LosesAnswers(40),
-        "sends-twice" => Fault::SendsTwice,
-        "sends-again" => Fault::SendsAgain,
-        "hears-no-changes" => Fault::HearsNoChanges,
-        "likes-the-cold" => Fault::LikesTheCold,
-        "forgets-units" => Fault::ForgetsUnits,
+        "loses-answers" => InjectedDefect::LosesAnswers(40),
+        "sends-twice" => InjectedDefect::DuplicatesAttempts,
+        "sends-again" => InjectedDefect::RetriesUnsafely,
+        "hears-no-changes" => InjectedDefect::IgnoresEndpointUpdates,
+        "likes-the-cold" => InjectedDefect::PrefersNewestServer,
+        "forgets-units" => InjectedDefect::UndercountsUnits,
         other => panic!("no such fault: {other}"),
     }
 }
@@ -70,8 +70,8 @@
     }
 
     fn play(&mut self, seed: &str, altered: Option<&str>) -> Results {
-        let terms = simulated::Terms {
-            fault: altered.map(fault),
+        let terms = simulated::RunOptions {
+            defect: altered.map(defect),
             ..Default::default()
         };
         let (seed, variant) = (seed.parse().expect("a seed"), self.variant.clone());
--- a/tool/src/lab.rs
+++ b/tool/src/lab.rs
@@ -10,6 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use wellcrank_lab::clock::Clock;
+use wellcrank_lab::error::{ErrorChain, LabError};
 use wellcrank_lab::experiment::{Engine, Experiment, Variant};
 use wellcrank_lab::loopback::Program;
 use wellcrank_lab::measure::{Results, Second};
@@ -377,7 +378,7 @@
     let count =
         experiment.sides().len() * ways.seeds.as_ref().map_or(experiment.seeds.len(), Vec::len);
     let bar = bar(count);
-    let told = |_: &Result<Results, String>| bar.inc(1);
+    let told = |_: &Result<Results, LabError>| bar.inc(1);
     let results = runs::all(&experiment, &ways, &told)?;
     bar.finish_and_clear();
     println!(
@@ -502,7 +503,7 @@
                         it.sides().len(),
                         it.seeds.len()
                     ),
-                    Err(why) => wrong.push(why),
+                    Err(why) => wrong.push(ErrorChain(&why).to_string()),
                 }
             }
             Err(complaint) => wrong.push(complaint.to_string()),
@@ -548,7 +549,7 @@
             ..Ways::default()
         };
         let bar = bar(experiment.sides().len() * (it.model_seeds + it.seeds));
-        let told = |_: &Result<Results, String>| bar.inc(1);
+        let told = |_: &Result<Results, LabError>| bar.inc(1);
         all.extend(agree::trials(
             &experiment,
             &ways,
--- a/tool/src/main.rs
+++ b/tool/src/main.rs
@@ -7,6 +7,7 @@
 use slog::{o, Drain, Logger};
 use std::process::ExitCode;
 use std::sync::Mutex;
+use wellcrank_lab::error::{ErrorChain, LabError};
 
 /// A front door that meters many customers' use of one shared service.
 #[derive(Parser)]
@@ -51,6 +52,12 @@
     Input(String),
 }
 
+impl From<LabError> for Short {
+    fn from(error: LabError) -> Short {
+        Short::Input(ErrorChain(&error).to_string())
+    }
+}
+
 impl From<String> for Short {
     fn from(why: String) -> Short {
         Short::Input(why)
