--- a/lab/src/decision_engine/in_process.rs
+++ b/lab/src/decision_engine/in_process.rs
@@ -99,12 +99,13 @@
         &mut self,
         now: Duration,
         gateway: usize,
-        settings: &Value,
+        json: &Value,
         seed: u64,
     ) -> Result<(), DecisionEngineError> {
-        let decoded = wellcrank_settings::decode(settings);
-        let settings =
-            decoded.map_err(|source| DecisionEngineError::Settings { gateway, source })?;
+        let settings = match wellcrank_settings::decode(json) {
+            Ok(settings) => settings,
+            Err(source) => return Err(DecisionEngineError::Settings { gateway, source }),
+        };
         let port = LoggingPort {
             gateway,
             log: self.log.clone(),
--- a/lab/src/loopback/counter.rs
+++ b/lab/src/loopback/counter.rs
@@ -2,8 +2,8 @@
 
 use super::wire::{Turns, Wire};
 use super::{Place, Stage};
-use crate::world::counter::CounterSays;
-use crate::world::CountId;
+use crate::events::CounterCallId;
+use crate::world::counter::CounterResponse;
 use std::time::Duration;
 
 pub struct Line {
@@ -11,7 +11,7 @@
     gateway: usize,
     pub door: usize,
     /// None: a ping.
-    pub turns: Turns<Option<CountId>>,
+    pub turns: Turns<Option<CounterCallId>>,
 }
 
 impl Line {
@@ -64,7 +64,7 @@
             .rposition(|byte| *byte == b'\n')
             .map_or(0, |end| end + 1);
         let whole: Vec<u8> = line.wire.input.drain(..end).collect();
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         for text in String::from_utf8_lossy(&whole).lines() {
             match read(text) {
                 Asked::Ping => {
@@ -72,9 +72,14 @@
                     self.line_says(key, None, b"pong\r\n".to_vec());
                 }
                 Asked::Add { name, add, keep } => {
-                    let id = self
-                        .world
-                        .count(self.now, gateway, name, add, keep, &mut acts);
+                    let id = self.world.on_counter_call(
+                        self.now,
+                        gateway,
+                        name,
+                        add,
+                        keep,
+                        &mut actions,
+                    );
                     self.line_asked(key, Some(id));
                     self.counting.insert(id, key);
                 }
@@ -84,20 +89,20 @@
                 }
             }
         }
-        self.carry(acts)?;
+        self.carry(actions)?;
         if !open {
             return self.close(key);
         }
         Ok(())
     }
 
-    fn line_asked(&mut self, key: usize, id: Option<CountId>) {
+    fn line_asked(&mut self, key: usize, id: Option<CounterCallId>) {
         if let Some(Place::Counter(line)) = self.places.get_mut(key) {
             line.turns.asked(id);
         }
     }
 
-    fn line_says(&mut self, key: usize, id: Option<CountId>, said: Vec<u8>) {
+    fn line_says(&mut self, key: usize, id: Option<CounterCallId>, said: Vec<u8>) {
         if let Some(Place::Counter(line)) = self.places.get_mut(key) {
             let out = line.turns.answered(id, said);
             line.wire.put(&out);
@@ -105,16 +110,20 @@
         }
     }
 
-    pub(super) fn counted(&mut self, id: CountId, says: CounterSays) -> Result<(), String> {
+    pub(super) fn counted(
+        &mut self,
+        id: CounterCallId,
+        says: CounterResponse,
+    ) -> Result<(), String> {
         let Some(key) = self.counting.remove(&id) else {
             return Ok(());
         };
         match says {
-            CounterSays::Total(total) => {
+            CounterResponse::Total(total) => {
                 self.line_says(key, Some(id), format!("ok {total}\r\n").into_bytes())
             }
-            CounterSays::Busy => self.line_says(key, Some(id), b"busy\r\n".to_vec()),
-            CounterSays::Reset => return self.close(key),
+            CounterResponse::Busy => self.line_says(key, Some(id), b"busy\r\n".to_vec()),
+            CounterResponse::Reset => return self.close(key),
         }
         Ok(())
     }
--- a/lab/src/runs.rs
+++ b/lab/src/runs.rs
@@ -2,7 +2,7 @@
 
 use crate::error::LabError;
 use crate::experiment::{Engine, Experiment, Variant};
-use crate::measure::Results;
+use crate::metrics::Results;
 use crate::record::{self, Recorded};
 use crate::{loopback, simulated};
 use std::fs::{self, File};
@@ -93,7 +93,7 @@
             };
             let mut results = play()?;
             for _ in 0..ways.again {
-                if !results.lateness.spoilt {
+                if !results.lateness.excessive {
                     break;
                 }
                 results = play()?;
--- a/lab/src/simulated/attempts.rs
+++ b/lab/src/simulated/attempts.rs
@@ -7,9 +7,9 @@
 use super::run::SimulatedRun;
 use crate::decision_engine::GatewayEvent;
 use crate::error::LabError;
-use crate::referee::Verdict;
-use crate::world::server::{Listing, Report};
-use crate::world::{AskId, Says, ServerNo, TryId};
+use crate::events::{AttemptId, ClientOutcome, ClientRequestId, ServerId};
+use crate::world::server::{ListingState, LoadReport};
+use crate::world::ServerResponse;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wellcrank::port::{AttemptNumber, AttemptOutcome, AttemptResult, EndpointId, RequestId};
@@ -31,7 +31,7 @@
 }
 
 /// How an attempt ended, for its gateway.
-struct AttemptEnd {
+struct AttemptCompletion {
     outcome: AttemptOutcome,
     settled_units: Option<f64>,
     /// The server's load by the name of the figure.
@@ -40,10 +40,10 @@
     keeps_connection: bool,
 }
 
-impl AttemptEnd {
+impl AttemptCompletion {
     /// An end that closes the connection, if there is one.
-    fn closing(outcome: AttemptOutcome) -> AttemptEnd {
-        AttemptEnd {
+    fn closing(outcome: AttemptOutcome) -> AttemptCompletion {
+        AttemptCompletion {
             outcome,
             settled_units: None,
             load: BTreeMap::new(),
@@ -52,16 +52,16 @@
     }
 
     /// An end by a well-formed response, after which the connection may be used again.
-    fn keeping(outcome: AttemptOutcome) -> AttemptEnd {
-        AttemptEnd {
+    fn keeping(outcome: AttemptOutcome) -> AttemptCompletion {
+        AttemptCompletion {
             keeps_connection: true,
-            ..AttemptEnd::closing(outcome)
+            ..AttemptCompletion::closing(outcome)
         }
     }
 }
 
 /// A server's load by the names that it has on the wire.
-fn load_figures(report: Report) -> BTreeMap<String, f64> {
+fn load_figures(report: LoadReport) -> BTreeMap<String, f64> {
     let figures = [
         ("inflight", report.inflight as f64),
         ("queue", report.queue as f64),
@@ -113,7 +113,7 @@
             return Ok(());
         }
         self.close_attempt_connection(key);
-        self.end_attempt(key, AttemptEnd::closing(AttemptOutcome::Cancelled))
+        self.end_attempt(key, AttemptCompletion::closing(AttemptOutcome::Cancelled))
     }
 
     /// An attempt that has not ended, of a gateway that was not started anew since.
@@ -126,7 +126,7 @@
     fn send_attempt(
         &mut self,
         gateway: usize,
-        request: AskId,
+        request: ClientRequestId,
         endpoint: &EndpointId,
         timeout: Duration,
     ) -> Result<(), LabError> {
@@ -146,7 +146,7 @@
             attempt: RequestAttempt { request, number },
         };
         let target = self.target_server(endpoint);
-        let server = target.unwrap_or(ServerNo(0));
+        let server = target.unwrap_or(ServerId(0));
         let in_flight = InFlightAttempt {
             server,
             sent_at: self.now,
@@ -155,14 +155,17 @@
         self.gateways[gateway]
             .attempts
             .insert(key.attempt, in_flight);
-        if answered || time_out_at <= self.now || number >= self.world.terms.fleet.max_tries {
-            return self.end_attempt(key, AttemptEnd::closing(AttemptOutcome::NotSent));
+        if answered || time_out_at <= self.now || number >= self.world.experiment.fleet.max_tries {
+            return self.end_attempt(key, AttemptCompletion::closing(AttemptOutcome::NotSent));
         }
         if target.is_none() || !self.gateways[gateway].is_ready(server) {
-            return self.end_attempt(key, AttemptEnd::closing(AttemptOutcome::ConnectFailed));
+            return self.end_attempt(
+                key,
+                AttemptCompletion::closing(AttemptOutcome::ConnectFailed),
+            );
         }
         let Some(connection) = self.obtain_connection(gateway, server) else {
-            return self.end_attempt(key, AttemptEnd::closing(AttemptOutcome::NotSent));
+            return self.end_attempt(key, AttemptCompletion::closing(AttemptOutcome::NotSent));
         };
         self.carry_attempt(key, server, connection);
         self.schedule(time_out_at, Event::AttemptTimeout(key));
@@ -170,7 +173,7 @@
     }
 
     /// The server that an endpoint id means, as the program decides with the injected defect.
-    fn target_server(&self, endpoint: &EndpointId) -> Option<ServerNo> {
+    fn target_server(&self, endpoint: &EndpointId) -> Option<ServerId> {
         let chosen = self.server_ids.get(&*endpoint.0).copied();
         if self.defect == Some(InjectedDefect::PrefersNewestServer) {
             return self.newest_server().or(chosen);
@@ -178,19 +181,20 @@
         chosen
     }
 
-    fn newest_server(&self) -> Option<ServerNo> {
-        let servers = self.world.servers.iter().enumerate();
-        servers
-            .filter(|(_, server)| server.listing == Listing::Active && server.started.is_some())
-            .max_by_key(|(_, server)| server.started)
-            .map(|(index, _)| ServerNo(index as u32))
+    fn newest_server(&self) -> Option<ServerId> {
+        let listed = self.world.servers().filter(|(_, server)| {
+            server.listing == ListingState::Active && server.started_at.is_some()
+        });
+        listed
+            .max_by_key(|(_, server)| server.started_at)
+            .map(|(id, _)| id)
     }
 
     /// A connection for an attempt; none where all sockets carry attempts.
-    fn obtain_connection(&mut self, gateway: usize, server: ServerNo) -> Option<Connection> {
+    fn obtain_connection(&mut self, gateway: usize, server: ServerId) -> Option<Connection> {
         let limit = self
             .world
-            .terms
+            .experiment
             .fleet
             .sockets
             .div_ceil(SERVER_SOCKET_DIVISOR);
@@ -200,16 +204,16 @@
         }
         if connections.is_full(limit) {
             let evicted = connections.evict_oldest_idle()?;
-            self.world.disconnected(evicted);
+            self.world.on_disconnect(evicted);
         }
         self.gateways[gateway].connections.open();
-        self.world.connected(self.now, server);
+        self.world.on_connect(self.now, server);
         Some(Connection::New)
     }
 
     /// An attempt is on its way to its server.
-    fn carry_attempt(&mut self, attempt: AttemptKey, server: ServerNo, connection: Connection) {
-        let way = self.world.way(attempt.gateway.gateway, server);
+    fn carry_attempt(&mut self, attempt: AttemptKey, server: ServerId, connection: Connection) {
+        let way = self.world.one_way_delay(attempt.gateway.gateway, server);
         let ways = match connection {
             Connection::Reused => 1,
             Connection::New => NEW_CONNECTION_WAYS,
@@ -225,23 +229,23 @@
     pub(super) fn on_attempt_arrival(
         &mut self,
         key: AttemptKey,
-        server: ServerNo,
+        server: ServerId,
         new_connection: bool,
     ) -> Result<(), LabError> {
         if self.in_flight(key).is_none() {
             return Ok(());
         }
         let gateway = key.gateway.gateway;
-        if self.world.refuses(server) {
-            let way = self.world.way(gateway, server);
+        if self.world.refuses_connections(server) {
+            let way = self.world.one_way_delay(gateway, server);
             self.schedule(self.now + way, Event::ConnectionLost(key));
             return Ok(());
         }
         let command = (key.attempt.request, new_connection);
         let mut actions = Vec::new();
-        let arrived_as = self
-            .world
-            .came(self.now, gateway, server, command, &mut actions);
+        let arrived_as =
+            self.world
+                .on_attempt_arrival(self.now, gateway, server, command, &mut actions);
         self.attempts.insert(arrived_as, key);
         if let Some(attempt) = self.in_flight(key) {
             attempt.arrived_as = Some(arrived_as);
@@ -261,24 +265,24 @@
     }
 
     /// A gateway no longer waits for an attempt that has reached its server.
-    pub(super) fn abandon_attempt(&mut self, gateway: usize, server: ServerNo, attempt: TryId) {
+    pub(super) fn abandon_attempt(&mut self, gateway: usize, server: ServerId, attempt: AttemptId) {
         self.attempts.remove(&attempt);
-        let way = self.world.way(gateway, server);
+        let way = self.world.one_way_delay(gateway, server);
         self.schedule(self.now + way, Event::AttemptAbandoned(attempt));
     }
 
     /// All connections to a server are reset, and the attempts that it has with them.
-    pub(super) fn reset_connections(&mut self, server: ServerNo) {
+    pub(super) fn reset_connections(&mut self, server: ServerId) {
         for gateway in 0..self.gateways.len() {
             let idle = self.gateways[gateway].connections.drop_idle_to(server);
             for _ in 0..idle {
-                self.world.disconnected(server);
+                self.world.on_disconnect(server);
             }
             let incarnation = self.incarnation(gateway);
             for (attempt, arrived_as) in self.gateways[gateway].attempts_at(server) {
                 self.attempts.remove(&arrived_as);
-                self.world.left(self.now, arrived_as);
-                let way = self.world.way(gateway, server);
+                self.world.on_attempt_abandoned(self.now, arrived_as);
+                let way = self.world.one_way_delay(gateway, server);
                 let key = AttemptKey {
                     gateway: incarnation,
                     attempt,
@@ -289,12 +293,12 @@
     }
 
     /// A server's response is on its way to the gateway.
-    pub(super) fn carry_response(&mut self, attempt: TryId, response: Says) {
+    pub(super) fn carry_response(&mut self, attempt: AttemptId, response: ServerResponse) {
         let Some(key) = self.attempts.remove(&attempt) else {
             return;
         };
-        let server = self.world.tries[attempt.0 as usize].server;
-        let way = self.world.way(key.gateway.gateway, server);
+        let server = self.world.attempt(attempt).server;
+        let way = self.world.one_way_delay(key.gateway.gateway, server);
         let event = Event::ServerResponse {
             attempt: key,
             response,
@@ -310,7 +314,7 @@
             Some(_) => AttemptOutcome::Reset,
             None => AttemptOutcome::ConnectFailed,
         };
-        self.end_attempt(key, AttemptEnd::closing(outcome))
+        self.end_attempt(key, AttemptCompletion::closing(outcome))
     }
 
     pub(super) fn on_attempt_timeout(&mut self, key: AttemptKey) -> Result<(), LabError> {
@@ -322,39 +326,41 @@
             None => AttemptOutcome::ConnectFailed,
         };
         self.close_attempt_connection(key);
-        self.end_attempt(key, AttemptEnd::closing(outcome))
+        self.end_attempt(key, AttemptCompletion::closing(outcome))
     }
 
     pub(super) fn on_server_response(
         &mut self,
         key: AttemptKey,
-        response: Says,
+        response: ServerResponse,
     ) -> Result<(), LabError> {
         if self.in_flight(key).is_none() {
             return Ok(());
         }
         let end = match response {
-            Says::Value { units, load } => AttemptEnd {
+            ServerResponse::Success { units, load } => AttemptCompletion {
                 settled_units: units,
                 load: load.map(load_figures).unwrap_or_default(),
-                ..AttemptEnd::keeping(AttemptOutcome::Success)
+                ..AttemptCompletion::keeping(AttemptOutcome::Success)
             },
-            Says::Busy => AttemptEnd::keeping(AttemptOutcome::Rejected),
-            Says::Failed => AttemptEnd::keeping(AttemptOutcome::ServerError),
-            Says::Spoilt(FIRST_SERVING_MALFORMED..) => AttemptEnd::closing(AttemptOutcome::Success),
+            ServerResponse::Busy => AttemptCompletion::keeping(AttemptOutcome::Rejected),
+            ServerResponse::Failed => AttemptCompletion::keeping(AttemptOutcome::ServerError),
+            ServerResponse::Malformed(FIRST_SERVING_MALFORMED..) => {
+                AttemptCompletion::closing(AttemptOutcome::Success)
+            }
             // The server may have run what it answers with something that can't be read.
-            Says::Spoilt(_) => AttemptEnd::closing(AttemptOutcome::ServerError),
+            ServerResponse::Malformed(_) => AttemptCompletion::closing(AttemptOutcome::ServerError),
         };
         if end.outcome == AttemptOutcome::Success {
             let request = request_id(key.attempt.request);
-            let verdict = Verdict::Served { right: true };
-            self.answer_request(key.gateway.gateway, &request, verdict, None);
+            let outcome = ClientOutcome::Served { correct: true };
+            self.answer_request(key.gateway.gateway, &request, outcome, None);
         }
         self.end_attempt(key, end)
     }
 
     /// An attempt has ended for its gateway: its connection is kept or closed, and the controller is told.
-    fn end_attempt(&mut self, key: AttemptKey, end: AttemptEnd) -> Result<(), LabError> {
+    fn end_attempt(&mut self, key: AttemptKey, end: AttemptCompletion) -> Result<(), LabError> {
         let GatewayIncarnation { gateway, .. } = key.gateway;
         let RequestAttempt { request, number } = key.attempt;
         let ended = self
@@ -366,8 +372,8 @@
         self.release_connection(gateway, attempt.server, &end);
         let request_closed = self.gateways[gateway].count_attempt_end(request);
         if !request_closed && self.retries_unsafely(end.outcome) {
-            let server = &self.world.servers[attempt.server.0 as usize];
-            let endpoint = server.uid.as_str().into();
+            let server = self.world.server(attempt.server);
+            let endpoint = server.name.as_str().into();
             self.send_attempt(gateway, request, &endpoint, Duration::ZERO)?;
         }
         let result = AttemptResult {
@@ -387,13 +393,13 @@
 
     /// Puts the connection of an attempt that has ended back, or closes it. An attempt that failed before a
     /// connection was opened for it is counted as closing one too.
-    fn release_connection(&mut self, gateway: usize, server: ServerNo, end: &AttemptEnd) {
+    fn release_connection(&mut self, gateway: usize, server: ServerId, end: &AttemptCompletion) {
         let owner = &mut self.gateways[gateway];
         if end.keeps_connection && owner.is_ready(server) {
             owner.connections.put_idle(server, self.now);
         } else if end.outcome != AttemptOutcome::NotSent {
             owner.connections.close_used();
-            self.world.disconnected(server);
+            self.world.on_disconnect(server);
         }
     }
 
--- a/lab/src/simulated/counter_calls.rs
+++ b/lab/src/simulated/counter_calls.rs
@@ -5,7 +5,7 @@
 use super::run::SimulatedRun;
 use crate::decision_engine::GatewayEvent;
 use crate::error::LabError;
-use crate::world::counter::CounterSays;
+use crate::world::counter::CounterResponse;
 use std::time::Duration;
 use wellcrank::port::{CounterName, CounterReply};
 
@@ -23,8 +23,8 @@
             gateway: self.incarnation(gateway),
             number,
         };
-        let timeout = Duration::from_secs_f64(self.world.terms.counter.timeout_ms / 1e3);
-        let arrival = self.now + self.world.near();
+        let timeout = Duration::from_secs_f64(self.world.experiment.counter.timeout_ms / 1e3);
+        let arrival = self.now + self.world.in_zone_delay();
         self.schedule(arrival, Event::CounterCallArrival(call));
         self.schedule(self.now + timeout, Event::CounterTimeout(call));
     }
@@ -42,26 +42,26 @@
         let gateway = key.gateway.gateway;
         let id = self
             .world
-            .count(now, gateway, name, amount, ttl, &mut actions);
+            .on_counter_call(now, gateway, name, amount, ttl, &mut actions);
         self.counter_calls.insert(id, key);
         self.perform_world_actions(actions)
     }
 
     /// A reply of the counter is on its way to the gateway.
-    pub(super) fn carry_counter_reply(&mut self, call: CounterCallKey, reply: CounterSays) {
-        let arrival = self.now + self.world.near();
+    pub(super) fn carry_counter_reply(&mut self, call: CounterCallKey, reply: CounterResponse) {
+        let arrival = self.now + self.world.in_zone_delay();
         self.schedule(arrival, Event::CounterReply { call, reply });
     }
 
     pub(super) fn on_counter_reply(
         &mut self,
         call: CounterCallKey,
-        reply: CounterSays,
+        reply: CounterResponse,
     ) -> Result<(), LabError> {
         let reply = match reply {
-            CounterSays::Total(total) => CounterReply::Total(total),
-            CounterSays::Busy => CounterReply::NotApplied,
-            CounterSays::Reset => CounterReply::Unknown,
+            CounterResponse::Total(total) => CounterReply::Total(total),
+            CounterResponse::Busy => CounterReply::NotApplied,
+            CounterResponse::Reset => CounterReply::Unknown,
         };
         self.end_counter_call(call, reply)
     }
--- a/lab/src/simulated/event_queue.rs
+++ b/lab/src/simulated/event_queue.rs
@@ -1,9 +1,9 @@
 //! What will happen in a simulated run beside what the world has in its own queue.
 
 use super::gateway::{AttemptKey, CounterCallKey, GatewayIncarnation};
-use crate::referee::Verdict;
-use crate::world::counter::CounterSays;
-use crate::world::{AskId, Says, ServerNo, TryId};
+use crate::events::{AttemptId, ClientOutcome, ClientRequestId, ServerId};
+use crate::world::counter::CounterResponse;
+use crate::world::ServerResponse;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wellcrank::port::TimerToken;
@@ -11,25 +11,34 @@
 /// One thing that happens at a moment.
 pub(super) enum Event {
     /// A client's request reaches its gateway.
-    RequestArrival { gateway: usize, request: AskId },
+    RequestArrival {
+        gateway: usize,
+        request: ClientRequestId,
+    },
     /// The gateway sees that a client has closed its connection.
-    ClientDisconnect { gateway: usize, request: AskId },
+    ClientDisconnect {
+        gateway: usize,
+        request: ClientRequestId,
+    },
     /// A client gets its final answer.
     FinalAnswer {
-        request: AskId,
-        verdict: Verdict,
+        request: ClientRequestId,
+        outcome: ClientOutcome,
         retry_after: Option<Duration>,
     },
     /// An attempt reaches its server.
     AttemptArrival {
         attempt: AttemptKey,
-        server: ServerNo,
+        server: ServerId,
         new_connection: bool,
     },
     /// A server sees that the gateway has closed an attempt's connection.
-    AttemptAbandoned(TryId),
+    AttemptAbandoned(AttemptId),
     /// A server's response reaches the gateway.
-    ServerResponse { attempt: AttemptKey, response: Says },
+    ServerResponse {
+        attempt: AttemptKey,
+        response: ServerResponse,
+    },
     /// The gateway sees that an attempt's connection was refused or reset.
     ConnectionLost(AttemptKey),
     /// The time of an attempt is up.
@@ -39,7 +48,7 @@
     /// The counter's reply reaches the gateway.
     CounterReply {
         call: CounterCallKey,
-        reply: CounterSays,
+        reply: CounterResponse,
     },
     /// The time of a call on the counter is up.
     CounterTimeout(CounterCallKey),
--- a/lab/src/simulated/gateway.rs
+++ b/lab/src/simulated/gateway.rs
@@ -1,7 +1,7 @@
 //! One simulated gateway: its open requests, its attempts, its calls on the counter and its connections.
 
 use super::connection_pool::ConnectionPool;
-use crate::world::{AskId, ServerNo, TryId};
+use crate::events::{AttemptId, ClientRequestId, ServerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wellcrank::port::CounterName;
@@ -16,7 +16,7 @@
 /// An attempt among those of one gateway; ordered by request, then number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct RequestAttempt {
-    pub(super) request: AskId,
+    pub(super) request: ClientRequestId,
     /// Counted from 0.
     pub(super) number: u32,
 }
@@ -64,10 +64,10 @@
 
 /// An attempt that has not ended.
 pub(super) struct InFlightAttempt {
-    pub(super) server: ServerNo,
+    pub(super) server: ServerId,
     pub(super) sent_at: Duration,
     /// How the world knows it, once it has reached the server.
-    pub(super) arrived_as: Option<TryId>,
+    pub(super) arrived_as: Option<AttemptId>,
 }
 
 /// A call on the counter that is not answered.
@@ -83,7 +83,7 @@
     /// Counts starts and kills, so that what was under way before is told apart.
     pub(super) incarnation: u32,
     pub(super) is_running: bool,
-    pub(super) requests: BTreeMap<AskId, OpenRequest>,
+    pub(super) requests: BTreeMap<ClientRequestId, OpenRequest>,
     pub(super) attempts: BTreeMap<RequestAttempt, InFlightAttempt>,
     pub(super) counter_calls: BTreeMap<u64, CounterCall>,
     last_counter_call: u64,
@@ -91,7 +91,7 @@
     /// How many changes of the endpoint list it has been notified of.
     pub(super) changes_seen: usize,
     /// Whether the endpoint list lets it send to a server.
-    ready_servers: BTreeMap<ServerNo, bool>,
+    ready_servers: BTreeMap<ServerId, bool>,
 }
 
 impl SimulatedGateway {
@@ -114,17 +114,17 @@
     }
 
     /// Whether the endpoint list lets it send to a server.
-    pub(super) fn is_ready(&self, server: ServerNo) -> bool {
+    pub(super) fn is_ready(&self, server: ServerId) -> bool {
         self.ready_servers.get(&server).copied().unwrap_or(false)
     }
 
     /// Notes whether the endpoint list lets it send to a server.
-    pub(super) fn set_ready(&mut self, server: ServerNo, ready: bool) {
+    pub(super) fn set_ready(&mut self, server: ServerId, ready: bool) {
         self.ready_servers.insert(server, ready);
     }
 
     /// Marks a request as answered; false where it was before, or is not open.
-    pub(super) fn mark_answered(&mut self, request: AskId) -> bool {
+    pub(super) fn mark_answered(&mut self, request: ClientRequestId) -> bool {
         let Some(open) = self.requests.get_mut(&request) else {
             return false;
         };
@@ -139,7 +139,7 @@
     }
 
     /// Counts the end of an attempt; says whether its request has had its final answer or is no longer open.
-    pub(super) fn count_attempt_end(&mut self, request: AskId) -> bool {
+    pub(super) fn count_attempt_end(&mut self, request: ClientRequestId) -> bool {
         let Some(open) = self.requests.get_mut(&request) else {
             return true;
         };
@@ -152,7 +152,7 @@
     }
 
     /// The attempts that have reached a server.
-    pub(super) fn attempts_at(&self, server: ServerNo) -> Vec<(RequestAttempt, TryId)> {
+    pub(super) fn attempts_at(&self, server: ServerId) -> Vec<(RequestAttempt, AttemptId)> {
         self.attempts
             .iter()
             .filter(|(_, attempt)| attempt.server == server)
--- a/lab/src/simulated/mod.rs
+++ b/lab/src/simulated/mod.rs
@@ -19,7 +19,7 @@
 use crate::decision_engine::{DecisionEngine, ExternalEngine, InProcessEngine};
 use crate::error::LabError;
 use crate::experiment::{Experiment, Variant};
-use crate::measure::Results;
+use crate::metrics::Results;
 use crate::record::Recorded;
 use crate::world::World;
 use run::SimulatedRun;
--- a/lab/src/simulated/requests.rs
+++ b/lab/src/simulated/requests.rs
@@ -6,8 +6,7 @@
 use super::run::{SimulatedRun, CLOCK_ORIGIN};
 use crate::decision_engine::GatewayEvent;
 use crate::error::LabError;
-use crate::referee::Verdict;
-use crate::world::AskId;
+use crate::events::{ClientOutcome, ClientRequestId};
 use std::time::Duration;
 use wellcrank::port::{Request, RequestId};
 
@@ -15,29 +14,29 @@
 const UNDERCOUNTED_UNITS: f64 = 0.001;
 
 /// The id under which a controller knows a client's request.
-pub(super) fn request_id(request: AskId) -> RequestId {
+pub(super) fn request_id(request: ClientRequestId) -> RequestId {
     request.0.to_string().as_str().into()
 }
 
 /// The client's request that a controller's id means.
-pub(super) fn client_request(request: &RequestId) -> Option<AskId> {
-    request.0.parse().ok().map(AskId)
+pub(super) fn client_request(request: &RequestId) -> Option<ClientRequestId> {
+    request.0.parse().ok().map(ClientRequestId)
 }
 
 impl SimulatedRun<'_> {
     pub(super) fn on_request_arrival(
         &mut self,
         gateway: usize,
-        request: AskId,
+        request: ClientRequestId,
     ) -> Result<(), LabError> {
         if !self.gateways[gateway].is_running {
-            self.world.not_taken(self.now, request);
+            self.world.on_request_not_accepted(self.now, request);
             return Ok(());
         }
-        self.world.taken(self.now, request);
+        self.world.on_request_accepted(self.now, request);
         // The client states a span, and the gateway counts it from the moment at which the request arrives.
-        let asked = &self.world.asks[request.0 as usize];
-        let deadline = self.now + asked.until.saturating_sub(asked.born);
+        let asked = self.world.request(request);
+        let deadline = self.now + asked.deadline.saturating_sub(asked.scheduled_at);
         let incoming = self.incoming_request(request, deadline);
         self.gateways[gateway]
             .requests
@@ -46,21 +45,21 @@
     }
 
     /// A client's request as its gateway's controller is told it.
-    fn incoming_request(&self, request: AskId, deadline: Duration) -> Request {
-        let asked = &self.world.asks[request.0 as usize];
-        let origin = &self.world.clients.origins[asked.origin.0 as usize];
-        let account = &self.world.clients.accounts[origin.account as usize];
-        let experiment = &self.world.terms;
+    fn incoming_request(&self, request: ClientRequestId, deadline: Duration) -> Request {
+        let asked = self.world.request(request);
+        let operation = self.world.operation(asked.operation);
+        let account = self.world.account(operation.account);
+        let experiment = &self.world.experiment;
         let units = if self.defect == Some(InjectedDefect::UndercountsUnits) {
             UNDERCOUNTED_UNITS
         } else {
-            origin.units
+            operation.units
         };
         Request {
             id: request_id(request),
             customer: format!("{:016x}", account.name).as_str().into(),
             plan: experiment.plans[account.plan].name.as_str().into(),
-            route: experiment.routes[origin.route].name.as_str().into(),
+            route: experiment.routes[operation.route].name.as_str().into(),
             units,
             deadline: CLOCK_ORIGIN + deadline,
             first_gateway: account.first as u32,
@@ -71,7 +70,7 @@
     pub(super) fn on_client_disconnect(
         &mut self,
         gateway: usize,
-        request: AskId,
+        request: ClientRequestId,
     ) -> Result<(), LabError> {
         if self.gateways[gateway].requests.remove(&request).is_none() {
             return Ok(());
@@ -85,7 +84,7 @@
         &mut self,
         gateway: usize,
         request: &RequestId,
-        verdict: Verdict,
+        outcome: ClientOutcome,
         retry_after: Option<Duration>,
     ) {
         let Some(request) = client_request(request) else {
@@ -100,10 +99,10 @@
         }
         let answer = Event::FinalAnswer {
             request,
-            verdict,
+            outcome,
             retry_after,
         };
-        self.schedule(self.now + self.world.near(), answer);
+        self.schedule(self.now + self.world.in_zone_delay(), answer);
     }
 
     /// Whether the injected defect drops the final answer that was counted last.
--- a/lab/src/simulated/run.rs
+++ b/lab/src/simulated/run.rs
@@ -6,13 +6,13 @@
 use super::gateway::{AttemptKey, CounterCallKey, GatewayIncarnation, SimulatedGateway};
 use crate::decision_engine::{DecisionEngine, GatewayAction, GatewayEvent};
 use crate::error::LabError;
+use crate::events::{AttemptId, ClientOutcome, ClientRequestId, CounterCallId, ServerId};
 use crate::experiment::Variant;
-use crate::measure::Results;
-use crate::referee::Verdict;
-use crate::told;
-use crate::world::counter::CounterSays;
-use crate::world::server::Listing;
-use crate::world::{Act, AskId, Change, CountId, ServerNo, TryId, World};
+use crate::metrics::Results;
+use crate::node_settings;
+use crate::world::counter::CounterResponse;
+use crate::world::server::ListingState;
+use crate::world::{Action, EndpointChange, World};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -39,18 +39,18 @@
     /// Since the start of the run.
     pub(super) now: Duration,
     /// Servers by the id under which gateways know them.
-    pub(super) server_ids: BTreeMap<String, ServerNo>,
+    pub(super) server_ids: BTreeMap<String, ServerId>,
     /// Calls that the counter has not answered.
-    pub(super) counter_calls: BTreeMap<CountId, CounterCallKey>,
+    pub(super) counter_calls: BTreeMap<CounterCallId, CounterCallKey>,
     /// Attempts that servers have not answered.
-    pub(super) attempts: BTreeMap<TryId, AttemptKey>,
+    pub(super) attempts: BTreeMap<AttemptId, AttemptKey>,
     /// Settings that gateways are given in place of the true ones.
     settings_overrides: toml::Table,
     controller_seeds: WyRand,
     pub(super) defect: Option<InjectedDefect>,
     pub(super) final_answers: u64,
     /// Requests whose attempt was sent twice, where the defect is that.
-    pub(super) duplicated: BTreeSet<AskId>,
+    pub(super) duplicated: BTreeSet<ClientRequestId>,
 }
 
 impl<'a> SimulatedRun<'a> {
@@ -61,7 +61,7 @@
         seed: u64,
         defect: Option<InjectedDefect>,
     ) -> SimulatedRun<'a> {
-        let gateway_count = world.terms.fleet.gateways;
+        let gateway_count = world.experiment.fleet.gateways;
         SimulatedRun {
             world,
             engine,
@@ -88,12 +88,12 @@
 
     /// Plays the run from its start to its end.
     pub(super) fn play(&mut self) -> Result<(), LabError> {
-        self.world.begin();
+        self.world.begin_run();
         for gateway in 0..self.gateways.len() {
             self.start_gateway(gateway)?;
         }
         self.schedule(STALE_CHECK_INTERVAL, Event::CloseStaleConnections);
-        let end = self.world.end();
+        let end = self.world.end_time();
         while let Some(now) = self.next_moment().filter(|moment| *moment <= end) {
             self.now = now;
             self.advance_world()?;
@@ -103,7 +103,7 @@
             self.perform_gateway_actions()?;
         }
         self.now = end;
-        self.world.referee.end(end);
+        self.world.rule_checker.finish(end);
         Ok(())
     }
 
@@ -170,10 +170,11 @@
             }
             Event::FinalAnswer {
                 request,
-                verdict,
+                outcome,
                 retry_after,
             } => {
-                self.world.answered(self.now, request, verdict, retry_after);
+                self.world
+                    .on_final_answer(self.now, request, outcome, retry_after);
                 Ok(())
             }
             Event::AttemptArrival {
@@ -182,7 +183,7 @@
                 new_connection,
             } => self.on_attempt_arrival(attempt, server, new_connection),
             Event::AttemptAbandoned(attempt) => {
-                self.world.left(self.now, attempt);
+                self.world.on_attempt_abandoned(self.now, attempt);
                 Ok(())
             }
             Event::ServerResponse { attempt, response } => {
@@ -200,7 +201,7 @@
             Event::EndpointChanges { gateway, end } => self.on_endpoint_changes(gateway, end),
             Event::GatewayReady(gateway) => {
                 if self.gateway(gateway).is_some() {
-                    self.world.ready(self.now, gateway.gateway);
+                    self.world.on_gateway_ready(self.now, gateway.gateway);
                 }
                 Ok(())
             }
@@ -230,11 +231,16 @@
                 request,
                 retry_after,
             } => {
-                self.answer_request(gateway, &request, Verdict::Limited, Some(retry_after));
+                self.answer_request(
+                    gateway,
+                    &request,
+                    ClientOutcome::Rejected,
+                    Some(retry_after),
+                );
                 Ok(())
             }
             GatewayAction::Fail { request } => {
-                self.answer_request(gateway, &request, Verdict::Errored, None);
+                self.answer_request(gateway, &request, ClientOutcome::Failed, None);
                 Ok(())
             }
             GatewayAction::AddToCounter { name, amount, ttl } => {
@@ -256,7 +262,7 @@
 
     /// Controllers hear of no other gateway yet: a datagram is counted by the world, and goes no further.
     fn send_to_peers(&mut self, sender: usize, peer: Option<u32>, body: &[u8]) {
-        if body.len() > MAX_DATAGRAM || !self.world.terms.network.peers {
+        if body.len() > MAX_DATAGRAM || !self.world.experiment.network.peers {
             return;
         }
         for receiver in 0..self.gateways.len() {
@@ -265,48 +271,60 @@
                 None => receiver != sender,
             };
             if is_addressed {
-                let _ = self.world.datagram(self.now, sender, receiver);
+                let _ = self.world.on_datagram(self.now, sender, receiver);
             }
         }
     }
 
     /// Carries out what the world leaves to the engine.
-    pub(super) fn perform_world_actions(&mut self, actions: Vec<Act>) -> Result<(), LabError> {
+    pub(super) fn perform_world_actions(&mut self, actions: Vec<Action>) -> Result<(), LabError> {
         for action in actions {
             match action {
-                Act::Ask(request) => {
-                    let gateway = self.world.asks[request.0 as usize].gateway;
-                    let arrival = self.now + self.world.near();
+                Action::SendRequest(request) => {
+                    let gateway = self.world.request(request).gateway;
+                    let arrival = self.now + self.world.in_zone_delay();
                     self.schedule(arrival, Event::RequestArrival { gateway, request });
                 }
-                Act::Leave(request) => {
-                    let gateway = self.world.asks[request.0 as usize].gateway;
-                    let arrival = self.now + self.world.near();
+                Action::CloseClient(request) => {
+                    let gateway = self.world.request(request).gateway;
+                    let arrival = self.now + self.world.in_zone_delay();
                     self.schedule(arrival, Event::ClientDisconnect { gateway, request });
                 }
-                Act::Reply(attempt, response) => self.carry_response(attempt, response),
-                Act::Counted(call, reply) => {
+                Action::SendResponse(attempt, response) => self.carry_response(attempt, response),
+                Action::SendCounterResponse(call, reply) => {
                     if let Some(call) = self.counter_calls.remove(&call) {
                         self.carry_counter_reply(call, reply);
                     }
                 }
-                Act::Told { gateway, upto } => {
+                Action::NotifyGateway {
+                    gateway,
+                    change_count,
+                } => {
                     let gateway = self.incarnation(gateway);
-                    self.schedule(self.now, Event::EndpointChanges { gateway, end: upto });
+                    self.schedule(
+                        self.now,
+                        Event::EndpointChanges {
+                            gateway,
+                            end: change_count,
+                        },
+                    );
                 }
-                Act::Down(server) => self.reset_connections(server),
-                Act::Kill(gateway) => self.kill_gateway(gateway)?,
-                Act::Start(gateway) => self.start_gateway(gateway)?,
-                Act::CounterCut => {
+                Action::StopServer(server) => self.reset_connections(server),
+                Action::KillGateway(gateway) => self.kill_gateway(gateway)?,
+                Action::StartGateway(gateway) => self.start_gateway(gateway)?,
+                Action::ResetCounterConnections => {
                     let open = std::mem::take(&mut self.counter_calls);
                     for call in open.into_values() {
-                        self.carry_counter_reply(call, CounterSays::Reset);
+                        self.carry_counter_reply(call, CounterResponse::Reset);
                     }
                 }
                 // A counter that has moved is another one of the world's; its address is nothing here.
-                Act::Move(_) => (),
+                Action::MovePlatform(_) => (),
                 // Simulated servers need no address, gateways no signal, and no bytes are read.
-                Act::Born(_) | Act::Up(_) | Act::Stop(_) | Act::BadClients(_) => (),
+                Action::AddServer(_)
+                | Action::RestartServer(_)
+                | Action::StopGateway(_)
+                | Action::AddMisbehavingClients(_) => (),
             }
         }
         Ok(())
@@ -314,12 +332,13 @@
 
     /// A gateway starts with the endpoint list as it was last notified of it.
     fn start_gateway(&mut self, gateway: usize) -> Result<(), LabError> {
-        let settings = told::settings(&self.world.terms, gateway, &self.settings_overrides)?;
+        let settings =
+            node_settings::settings(&self.world.experiment, gateway, &self.settings_overrides)?;
         self.gateways[gateway].start();
         let seed = self.controller_seeds.generate();
         self.deliver(gateway, GatewayEvent::Start { settings, seed })?;
-        let seen = self.world.upto(gateway);
-        let list = self.world.list(seen);
+        let seen = self.world.notified_change_count(gateway);
+        let list = self.world.endpoint_list_after(seen);
         self.gateways[gateway].changes_seen = seen;
         let endpoints = self.notify_gateway(gateway, &list);
         let update = EndpointUpdate::Snapshot(endpoints);
@@ -332,16 +351,16 @@
     fn kill_gateway(&mut self, gateway: usize) -> Result<(), LabError> {
         let killed = self.gateways[gateway].kill();
         for attempt in killed.attempts.into_values() {
-            self.world.disconnected(attempt.server);
+            self.world.on_disconnect(attempt.server);
             if let Some(arrived_as) = attempt.arrived_as {
                 self.abandon_attempt(gateway, attempt.server, arrived_as);
             }
         }
         for server in killed.connections.idle_servers() {
-            self.world.disconnected(server);
+            self.world.on_disconnect(server);
         }
         for request in killed.requests.into_keys() {
-            self.world.not_taken(self.now, request);
+            self.world.on_request_not_accepted(self.now, request);
         }
         self.deliver(gateway, GatewayEvent::Kill)
     }
@@ -355,7 +374,7 @@
             return Ok(());
         };
         let start = std::mem::replace(&mut notified.changes_seen, end);
-        let changes = self.world.changes[start..end].to_vec();
+        let changes = self.world.endpoint_changes(start..end);
         let endpoints = self.notify_gateway(gateway.gateway, &changes);
         if self.defect == Some(InjectedDefect::IgnoresEndpointUpdates) {
             for change in &changes {
@@ -368,7 +387,7 @@
     }
 
     /// Changes of the endpoint list reach a gateway's adapter; returns them as its controller is told them.
-    fn notify_gateway(&mut self, gateway: usize, changes: &[Change]) -> Vec<Endpoint> {
+    fn notify_gateway(&mut self, gateway: usize, changes: &[EndpointChange]) -> Vec<Endpoint> {
         let mut endpoints = Vec::new();
         for change in changes {
             let endpoint = self.endpoint(change);
@@ -378,38 +397,38 @@
             self.gateways[gateway].set_ready(change.server, is_ready);
             endpoints.push(endpoint);
         }
-        self.world.told(self.now, gateway, changes);
+        self.world.on_gateway_notified(self.now, gateway, changes);
         endpoints
     }
 
-    fn endpoint(&self, change: &Change) -> Endpoint {
-        let server = &self.world.servers[change.server.0 as usize];
-        let state = match change.listing {
-            Listing::Active => EndpointState::Ready,
-            Listing::Leaving => EndpointState::Draining,
-            Listing::Left => EndpointState::Removed,
+    fn endpoint(&self, change: &EndpointChange) -> Endpoint {
+        let server = self.world.server(change.server);
+        let state = match change.state {
+            ListingState::Active => EndpointState::Ready,
+            ListingState::Draining => EndpointState::Draining,
+            ListingState::Removed => EndpointState::Removed,
         };
         Endpoint {
-            id: server.uid.as_str().into(),
+            id: server.name.as_str().into(),
             state,
             started_at: change
-                .started
+                .started_at
                 .map(|started_at| UnixTime(CLOCK_ORIGIN + started_at)),
             cell: server.cell,
-            zone: told::zone_name(server.zone),
-            machine_type: server.kind.clone(),
+            zone: node_settings::zone_name(server.zone),
+            machine_type: server.machine_type.clone(),
             weight: 1.0,
         }
     }
 
     /// Closes connections that were idle for so long that the server is about to close them.
     fn close_stale_connections(&mut self) {
-        let fleet = &self.world.terms.fleet;
+        let fleet = &self.world.experiment.fleet;
         let max_idle = (fleet.idle_close - fleet.connect_timeout).max(0.0);
         let max_idle = Duration::from_secs_f64(max_idle);
         for gateway in &mut self.gateways {
             for server in gateway.connections.close_stale(self.now, max_idle) {
-                self.world.disconnected(server);
+                self.world.on_disconnect(server);
             }
         }
         self.schedule(
--- a/lab/src/world/troubles.rs
+++ b/lab/src/world/faults.rs
@@ -1,10 +1,11 @@
 //! The troubles of a day: what each kind does to the world when it begins, at its steps and when it ends.
 
-use super::agenda::Due;
 use super::clients::Surge;
 use super::counter::{Counter, Mode};
-use super::server::{Health, Listing};
-use super::{secs, Act, GatewayState, ServerNo, World};
+use super::event_queue::WorldEvent;
+use super::server::{Health, ListingState};
+use super::{secs, Action, GatewayState, World};
+use crate::events::ServerId;
 use crate::experiment::{Trouble, TroubleKind};
 use nanorand::Rng;
 use std::time::Duration;
@@ -19,9 +20,9 @@
 impl World {
     /// What a trouble needs before the day begins.
     pub(super) fn expect(&mut self, place: usize) {
-        let it = self.terms.troubles[place].clone();
+        let it = self.experiment.troubles[place].clone();
         let (from, to) = (secs(it.at), secs(it.at + it.lasts));
-        let plan = it.plan.as_ref().and_then(|name| self.terms.plan(name));
+        let plan = it.plan.as_ref().and_then(|name| self.experiment.plan(name));
         match it.kind {
             TroubleKind::Surge | TroubleKind::DeadlineSurge | TroubleKind::PlanBurst => {
                 let grows = it.kind == TroubleKind::DeadlineSurge;
@@ -36,17 +37,19 @@
             TroubleKind::Scan => self.scan.push((from, to, it.share)),
             _ => (),
         }
-        self.agenda.at(from, Due::Trouble { place, step: 0 });
+        self.event_queue
+            .at(from, WorldEvent::Trouble { place, step: 0 });
         if it.lasts > 0.0 {
-            self.agenda.at(to, Due::TroubleEnds(place));
+            self.event_queue.at(to, WorldEvent::TroubleEnds(place));
         }
     }
 
     /// Some of the servers that are in service, by chance: so many of all.
-    fn some_servers(&mut self, share: f64) -> Vec<ServerNo> {
-        let fit = |it: &super::Server| it.listing == Listing::Active && it.health == Health::Up;
+    fn some_servers(&mut self, share: f64) -> Vec<ServerId> {
+        let fit =
+            |it: &super::Server| it.listing == ListingState::Active && it.health == Health::Up;
         let all = self.servers.iter().enumerate().filter(|(_, it)| fit(it));
-        let mut all: Vec<ServerNo> = all.map(|(place, _)| ServerNo(place as u32)).collect();
+        let mut all: Vec<ServerId> = all.map(|(place, _)| ServerId(place as u32)).collect();
         let wanted = (all.len() as f64 * share).round() as usize;
         self.chance.shuffle(&mut all);
         all.truncate(wanted);
@@ -61,43 +64,43 @@
         all
     }
 
-    fn at_server(&mut self, server: ServerNo) -> &mut super::Server {
+    fn at_server(&mut self, server: ServerId) -> &mut super::Server {
         &mut self.servers[server.0 as usize]
     }
 
     /// A server's process ends; connections are reset.
-    fn fell_down(&mut self, server: ServerNo, health: Health, acts: &mut Vec<Act>) {
+    fn fell_down(&mut self, server: ServerId, health: Health, actions: &mut Vec<Action>) {
         if self.at_server(server).health == Health::Fallen {
             return;
         }
         self.at_server(server).crash(health);
         if health == Health::Down {
-            acts.push(Act::Down(server));
+            actions.push(Action::StopServer(server));
         }
     }
 
     /// A server that was to leave has finished what it had: its process ends and the list forgets it.
-    pub(super) fn retires(&mut self, now: Duration, server: ServerNo, acts: &mut Vec<Act>) {
-        self.at_server(server).listing = Listing::Left;
-        self.fell_down(server, Health::Down, acts);
-        self.change(now, server, Listing::Left);
+    pub(super) fn retires(&mut self, now: Duration, server: ServerId, actions: &mut Vec<Action>) {
+        self.at_server(server).listing = ListingState::Removed;
+        self.fell_down(server, Health::Down, actions);
+        self.change(now, server, ListingState::Removed);
     }
 
     /// A server that was away is back, cold, under its old name.
-    pub(super) fn returns(&mut self, now: Duration, server: ServerNo, acts: &mut Vec<Act>) {
+    pub(super) fn returns(&mut self, now: Duration, server: ServerId, actions: &mut Vec<Action>) {
         let it = self.at_server(server);
-        if matches!(it.health, Health::Up | Health::Fallen) || it.listing != Listing::Active {
+        if matches!(it.health, Health::Up | Health::Fallen) || it.listing != ListingState::Active {
             return;
         }
         let was_silent = it.health == Health::Silent;
         it.start(now);
         // What a silent machine still held open is reset when it is back.
         if was_silent {
-            it.life += 1;
-            acts.push(Act::Down(server));
+            it.incarnation += 1;
+            actions.push(Action::StopServer(server));
         }
-        acts.push(Act::Up(server));
-        self.change(now, server, Listing::Active);
+        actions.push(Action::RestartServer(server));
+        self.change(now, server, ListingState::Active);
     }
 
     pub(super) fn trouble(
@@ -105,16 +108,16 @@
         now: Duration,
         place: usize,
         step: usize,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
-        let it = self.terms.troubles[place].clone();
+        let it = self.experiment.troubles[place].clone();
         let until = now + secs(it.lasts);
         match it.kind {
             TroubleKind::CounterSilent => self.counters[0].mode = Mode::Silent,
             TroubleKind::CounterBusy => self.counters[0].mode = Mode::Busy,
             TroubleKind::CounterReset => {
                 self.counters[0].mode = Mode::Reset;
-                acts.push(Act::CounterCut);
+                actions.push(Action::ResetCounterConnections);
             }
             TroubleKind::CounterSlow => self.counters[0].mode = Mode::Slow(it.factor),
             TroubleKind::CounterEmpty => self.counters[0].empty(),
@@ -127,14 +130,17 @@
                 };
                 for gateway in self.some_gateways(share) {
                     self.gateways[gateway].counter = 1;
-                    acts.push(Act::Move(gateway));
+                    actions.push(Action::MovePlatform(gateway));
                 }
             }
             TroubleKind::ServersSlow
             | TroubleKind::ServersFailing
             | TroubleKind::RouteUnanswered => {
                 let servers = self.some_servers(it.share);
-                let route = it.route.as_ref().and_then(|name| self.terms.route(name));
+                let route = it
+                    .route
+                    .as_ref()
+                    .and_then(|name| self.experiment.route(name));
                 for server in &servers {
                     let at = self.at_server(*server);
                     match it.kind {
@@ -149,30 +155,30 @@
                 let silent = it.kind == TroubleKind::ServersSilent;
                 let health = if silent { Health::Silent } else { Health::Down };
                 for server in self.some_servers(it.share) {
-                    self.fell_down(server, health, acts);
-                    self.agenda.at(until, Due::Returns(server));
+                    self.fell_down(server, health, actions);
+                    self.event_queue.at(until, WorldEvent::Returns(server));
                 }
             }
             TroubleKind::ZoneLost => {
-                for server in (0..self.servers.len() as u32).map(ServerNo) {
+                for server in (0..self.servers.len() as u32).map(ServerId) {
                     let at = self.at_server(server);
                     if at.zone == it.zone
-                        && at.listing == Listing::Active
+                        && at.listing == ListingState::Active
                         && at.health == Health::Up
                     {
-                        self.fell_down(server, Health::Silent, acts);
-                        self.agenda.at(until, Due::Returns(server));
+                        self.fell_down(server, Health::Silent, actions);
+                        self.event_queue.at(until, WorldEvent::Returns(server));
                     }
                 }
             }
-            TroubleKind::ServersReplace => self.replace(now, place, step, &it, acts),
+            TroubleKind::ServersReplace => self.replace(now, place, step, &it, actions),
             TroubleKind::AnswersSpoilt => self.spoilt = (until, it.share),
             TroubleKind::ListLate => self.late_list = (until, it.factor),
             TroubleKind::ListSilent => self.silent_list = until,
             TroubleKind::ListWrong => {
                 let servers = self.some_servers(it.share);
                 for server in &servers {
-                    self.change(now, *server, Listing::Left);
+                    self.change(now, *server, ListingState::Removed);
                 }
                 self.taken_servers.insert(place, servers);
             }
@@ -189,17 +195,19 @@
             }
             TroubleKind::Impatient => self.clients.pressure.patience = it.factor.clamp(0.05, 1.0),
             TroubleKind::Heedless => self.clients.pressure.heedless = it.share,
-            TroubleKind::BadClients => acts.push(Act::BadClients(it.factor as usize)),
+            TroubleKind::BadClients => {
+                actions.push(Action::AddMisbehavingClients(it.factor as usize))
+            }
             TroubleKind::GatewaysKill => {
                 for gateway in self.some_gateways(it.share) {
-                    self.kill(now, gateway, acts);
-                    self.agenda.at(until, Due::Start(gateway));
+                    self.kill(now, gateway, actions);
+                    self.event_queue.at(until, WorldEvent::Start(gateway));
                 }
             }
-            TroubleKind::GatewaysRestart => self.restart(now, place, step, &it, acts),
+            TroubleKind::GatewaysRestart => self.restart(now, place, step, &it, actions),
             TroubleKind::GatewaysMove => {
                 for gateway in self.some_gateways(it.share) {
-                    acts.push(Act::Move(gateway));
+                    actions.push(Action::MovePlatform(gateway));
                 }
             }
             TroubleKind::ZoneCut => self.cut.push((it.zone, until)),
@@ -211,9 +219,9 @@
     fn steps(&mut self, now: Duration, place: usize, lasts: f64, count: usize) {
         let each = secs(lasts / count.max(1) as f64);
         for later in 1..count {
-            self.agenda.at(
+            self.event_queue.at(
                 now + each * later as u32,
-                Due::Trouble { place, step: later },
+                WorldEvent::Trouble { place, step: later },
             );
         }
     }
@@ -225,7 +233,7 @@
         place: usize,
         step: usize,
         it: &Trouble,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
         if step == 0 {
             let servers = self.some_servers(it.share);
@@ -235,23 +243,26 @@
         let Some(old) = self.taken_servers[&place].get(step).copied() else {
             return;
         };
-        let (zone, kind) = (self.at_server(old).zone, self.at_server(old).kind.clone());
+        let (zone, kind) = (
+            self.at_server(old).zone,
+            self.at_server(old).machine_type.clone(),
+        );
         let kind = self
-            .terms
+            .experiment
             .fleet
             .kinds
             .iter()
             .position(|known| known.name == kind)
             .unwrap_or(0);
-        self.at_server(old).listing = Listing::Leaving;
-        self.change(now, old, Listing::Leaving);
+        self.at_server(old).listing = ListingState::Draining;
+        self.change(now, old, ListingState::Draining);
         let fresh = self.build(zone, kind);
         // It is listed by the change that tells its start, not by the one that made it.
         self.changes.pop();
         self.at_server(fresh).start(now);
-        acts.push(Act::Born(fresh));
-        self.change(now, fresh, Listing::Active);
-        self.agenda.at(now + LEAVING, Due::Retires(old));
+        actions.push(Action::AddServer(fresh));
+        self.change(now, fresh, ListingState::Active);
+        self.event_queue.at(now + LEAVING, WorldEvent::Retires(old));
     }
 
     /// Gateways are told to stop one after another, and killed when all that they had must be answered.
@@ -261,7 +272,7 @@
         place: usize,
         step: usize,
         it: &Trouble,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
         if step == 0 {
             let gateways = self.some_gateways(it.share);
@@ -276,14 +287,15 @@
         }
         self.gateways[gateway].state = GatewayState::Stopping;
         self.gateways[gateway].since = now;
-        acts.push(Act::Stop(gateway));
-        let gone = now + secs(self.terms.longest_wait().min(LONGEST_COUNTED) + 0.7);
-        self.agenda.at(gone, Due::Kill(gateway));
-        self.agenda.at(gone + AGAIN, Due::Start(gateway));
+        actions.push(Action::StopGateway(gateway));
+        let gone = now + secs(self.experiment.longest_wait().min(LONGEST_COUNTED) + 0.7);
+        self.event_queue.at(gone, WorldEvent::Kill(gateway));
+        self.event_queue
+            .at(gone + AGAIN, WorldEvent::Start(gateway));
     }
 
-    pub(super) fn trouble_ends(&mut self, now: Duration, place: usize, acts: &mut Vec<Act>) {
-        let it = self.terms.troubles[place].clone();
+    pub(super) fn trouble_ends(&mut self, now: Duration, place: usize, actions: &mut Vec<Action>) {
+        let it = self.experiment.troubles[place].clone();
         match it.kind {
             TroubleKind::CounterSilent
             | TroubleKind::CounterBusy
@@ -297,7 +309,7 @@
             TroubleKind::CounterSplit => {
                 for gateway in 0..self.gateways.len() {
                     if std::mem::replace(&mut self.gateways[gateway].counter, 0) != 0 {
-                        acts.push(Act::Move(gateway));
+                        actions.push(Action::MovePlatform(gateway));
                     }
                 }
             }
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -1,115 +1,123 @@
 //! The world in which gateways serve: app servers, the counter, the server list, clients, the network between
 //! gateways, and the troubles of a day. No I/O and no clock: an engine tells it what has come and what time it
-//! is, asks it what is due, and carries out the [`Act`]s it leaves. Both engines play this one world.
+//! is, asks it what is due, and carries out the [`Action`]s it leaves. Both engines play this one world.
 
-pub mod agenda;
 pub mod clients;
 pub mod counter;
+pub mod event_queue;
+mod faults;
 pub mod server;
 pub mod token_bucket;
-mod troubles;
 
+use crate::events::{
+    AttemptEnd, AttemptId, ClientOutcome, ClientRequestId, CounterCallId, OperationId, ServerId,
+};
 use crate::experiment::{Experiment, Group};
-use crate::measure::{Measure, Results};
+use crate::metrics::{MetricsRecorder, Results, ServerLoad};
 use crate::record::Recorded;
-use crate::referee::{Referee, TryEnd, Verdict};
-use agenda::{Agenda, Due};
-use clients::Clients;
-use counter::{Call, Counter, CounterSays, Turn};
+use crate::rule_checker::RuleChecker;
+use clients::{Account, Clients, Operation};
+use counter::{Call, Counter, CounterResponse, Turn};
+use event_queue::{EventQueue, WorldEvent};
 use nanorand::{Rng, WyRand};
-use server::{Build, Health, Listing, Report, Server, Taken, Task};
+use server::{Build, Health, ListingState, LoadReport, Server, Taken, Task};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-macro_rules! id {
-    ($($(#[$about:meta])* $name:ident),* $(,)?) => {$(
-        $(#[$about])*
-        #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-        pub struct $name(pub u32);
-    )*};
-}
-id!(
-    /// One asking of a client; each of its retries is a new one.
-    AskId,
-    /// What a client wants, however often it asks.
-    OriginId,
-    /// One upstream try, as a server sees it.
-    TryId,
-    /// One call on a counter.
-    CountId,
-    /// A server by its place in the world; a new one takes a new place.
-    ServerNo,
-);
-
 /// What an engine has to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    /// A client sends this to its gateway.
-    Ask(AskId),
-    /// A client has no patience left and closes its connection.
-    Leave(AskId),
-    /// A server answers a try, or ends its connection.
-    Reply(TryId, Says),
+pub enum Action {
+    /// A client sends this request to its gateway.
+    SendRequest(ClientRequestId),
+    /// A client gives up waiting and closes its connection.
+    CloseClient(ClientRequestId),
+    /// A server answers an attempt, or ends its connection.
+    SendResponse(AttemptId, ServerResponse),
     /// The counter answers a call.
-    Counted(CountId, CounterSays),
-    /// The gateway is told of the list's changes up to and without this one.
-    Told {
+    SendCounterResponse(CounterCallId, CounterResponse),
+    /// Discovery notifies a gateway of the changes of the endpoint list up to and without this one.
+    NotifyGateway {
+        /// The gateway.
         gateway: usize,
-        upto: usize,
+        /// How many of the changes it knows from now on.
+        change_count: usize,
     },
-    /// A server is new, refuses connections and resets the open ones, or is there again.
-    Born(ServerNo),
-    Down(ServerNo),
-    Up(ServerNo),
-    /// A gateway is killed, told to stop, started, told that discovery and counter have moved.
-    Kill(usize),
-    Stop(usize),
-    Start(usize),
-    Move(usize),
-    /// Connections of the counter are reset.
-    CounterCut,
-    /// So many clients come that send what cannot be read.
-    BadClients(usize),
+    /// A new server listens.
+    AddServer(ServerId),
+    /// A server refuses connections and resets the open ones.
+    StopServer(ServerId),
+    /// A server that was down listens again.
+    RestartServer(ServerId),
+    /// A gateway's process is killed.
+    KillGateway(usize),
+    /// A gateway is told to stop.
+    StopGateway(usize),
+    /// A gateway's process is started.
+    StartGateway(usize),
+    /// A gateway is told that discovery and counter have new addresses.
+    MovePlatform(usize),
+    /// All connections of the counter are reset.
+    ResetCounterConnections,
+    /// So many clients connect that send bytes that cannot be parsed.
+    AddMisbehavingClients(usize),
 }
 
-/// What a server says.
+/// What a server answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Says {
-    Value {
+pub enum ServerResponse {
+    /// The attempt was executed.
+    Success {
+        /// The units that it truly took, where servers report them.
         units: Option<f64>,
-        load: Option<Report>,
+        /// The server's load, where servers report it.
+        load: Option<LoadReport>,
     },
+    /// Rejected unexecuted: the server is full or leaving.
     Busy,
+    /// An error.
     Failed,
-    /// Something that cannot be read; which kind of it.
-    Spoilt(u32),
+    /// Bytes that cannot be parsed; which kind of them.
+    Malformed(u32),
 }
 
-pub struct Ask {
-    pub origin: OriginId,
+/// One request as a client sends it.
+pub struct ClientRequest {
+    /// What the client wants by it.
+    pub operation: OperationId,
+    /// The gateway that the front routed it to.
     pub gateway: usize,
     /// When it was meant to be sent: latency counts from here.
-    pub born: Duration,
-    pub until: Duration,
-    pub over: bool,
-    pub sent_on: bool,
+    pub scheduled_at: Duration,
+    /// When its client timeout ends.
+    pub deadline: Duration,
+    /// The client has its answer, or waits no longer.
+    pub closed: bool,
+    /// At least one attempt for it has reached a server.
+    forwarded: bool,
 }
 
-pub struct Try {
-    pub ask: AskId,
-    pub server: ServerNo,
-    pub gateway: usize,
-    life: u32,
+/// One attempt of a gateway at a server.
+pub struct Attempt {
+    /// The request that it serves.
+    pub request: ClientRequestId,
+    /// The server that it reached.
+    pub server: ServerId,
+    gateway: usize,
+    /// The server's incarnation at that time; a later one knows nothing of it.
+    server_incarnation: u32,
     ended: bool,
-    says: Option<Says>,
+    response: Option<ServerResponse>,
 }
 
-/// One change of the server list.
+/// One change of the endpoint list.
 #[derive(Clone, Debug)]
-pub struct Change {
-    pub server: ServerNo,
-    pub listing: Listing,
-    pub started: Option<Duration>,
+pub struct EndpointChange {
+    /// The server that it concerns.
+    pub server: ServerId,
+    /// What the list says of it from now on.
+    pub state: ListingState,
+    /// When the server's process started; none: long before the run.
+    pub started_at: Option<Duration>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -142,17 +150,17 @@
 const NOTICED: Duration = Duration::from_millis(300);
 
 pub struct World {
-    pub terms: Experiment,
+    pub experiment: Experiment,
     pub servers: Vec<Server>,
     pub clients: Clients,
-    pub asks: Vec<Ask>,
-    pub tries: Vec<Try>,
-    pub changes: Vec<Change>,
-    pub referee: Referee,
-    pub measure: Measure,
-    agenda: Agenda,
+    requests: Vec<ClientRequest>,
+    attempts: Vec<Attempt>,
+    changes: Vec<EndpointChange>,
+    pub rule_checker: RuleChecker,
+    pub metrics: MetricsRecorder,
+    event_queue: EventQueue,
     counters: Vec<Counter>,
-    counts: BTreeMap<CountId, Call>,
+    counts: BTreeMap<CounterCallId, Call>,
     next_count: u32,
     gateways: Vec<Gateway>,
     replay: Vec<Recorded>,
@@ -169,7 +177,7 @@
     cut: Vec<(usize, Duration)>,
     deaf: (Duration, f64),
     scan: Vec<(Duration, Duration, f64)>,
-    taken_servers: BTreeMap<usize, Vec<ServerNo>>,
+    taken_servers: BTreeMap<usize, Vec<ServerId>>,
     taken_gateways: BTreeMap<usize, Vec<usize>>,
     /// When tokens were first begun, by the group of servers that drops their repeats.
     tokens: BTreeMap<(u64, u64), Duration>,
@@ -199,12 +207,12 @@
         let mut world = World {
             servers: Vec::new(),
             clients: Clients::new(terms, seed),
-            asks: Vec::new(),
-            tries: Vec::new(),
+            requests: Vec::new(),
+            attempts: Vec::new(),
             changes: Vec::new(),
-            referee: Referee::new(terms, slack),
-            measure: Measure::new(secs(terms.warm_up), length),
-            agenda: Agenda::default(),
+            rule_checker: RuleChecker::new(terms, slack),
+            metrics: MetricsRecorder::new(secs(terms.warm_up), length),
+            event_queue: EventQueue::default(),
             counters: Vec::new(),
             counts: BTreeMap::new(),
             next_count: 0,
@@ -226,7 +234,7 @@
             tokens: BTreeMap::new(),
             last_busy: Vec::new(),
             next_busy: 1,
-            terms: terms.clone(),
+            experiment: terms.clone(),
         };
         world.counters = vec![
             Counter::new(&world.counter_terms()),
@@ -258,15 +266,15 @@
         }
         for account in 0..world.clients.accounts.len() {
             world
-                .referee
+                .rule_checker
                 .account(account as u32, world.clients.accounts[account].plan);
         }
         world
     }
 
     /// A new server: listed, and of no age.
-    fn build(&mut self, zone: usize, kind: usize) -> ServerNo {
-        let (fleet, place) = (&self.terms.fleet, self.servers.len());
+    fn build(&mut self, zone: usize, kind: usize) -> ServerId {
+        let (fleet, place) = (&self.experiment.fleet, self.servers.len());
         let it = &fleet.kinds[kind];
         let build = Build {
             cores: it.cores,
@@ -275,65 +283,107 @@
             cold_from: fleet.cold_from,
             cold: fleet.cold,
             fall_multiple: fleet.fall_multiple,
-            mean_work: self.terms.mean_work(),
+            mean_work: self.experiment.mean_work(),
             overload_for: secs(fleet.overload_for),
         };
         let (cell, uid) = (place as u64 % fleet.cells, format!("box-{place:04}"));
         self.servers
             .push(Server::new(uid, zone, cell, it.name.clone(), build));
         self.last_busy.push(0.0);
-        let server = ServerNo(place as u32);
-        self.referee.server(server, cell, zone);
-        let started = self.servers[place].started;
-        self.changes.push(Change {
+        let server = ServerId(place as u32);
+        self.rule_checker.server(server, cell, zone);
+        let started = self.servers[place].started_at;
+        self.changes.push(EndpointChange {
             server,
-            listing: Listing::Active,
-            started,
+            state: ListingState::Active,
+            started_at: started,
         });
         server
     }
 
     /// The day begins; the gateways' first list is what stands now.
-    pub fn begin(&mut self) {
+    pub fn begin_run(&mut self) {
         for gateway in &mut self.gateways {
             gateway.upto = self.changes.len();
         }
-        for place in 0..self.terms.troubles.len() {
+        for place in 0..self.experiment.troubles.len() {
             self.expect(place);
         }
         if self.replay.is_empty() {
             self.next_arrival(Duration::ZERO);
         } else {
             for (place, recorded) in self.replay.iter().enumerate() {
-                self.agenda.at(recorded.at, Due::Replayed(place));
+                self.event_queue
+                    .at(recorded.at, WorldEvent::Replayed(place));
             }
         }
     }
 
+    /// A request by its id.
+    pub fn request(&self, request: ClientRequestId) -> &ClientRequest {
+        &self.requests[request.0 as usize]
+    }
+
+    /// Whether there is a request of this id.
+    pub fn knows_request(&self, request: ClientRequestId) -> bool {
+        (request.0 as usize) < self.requests.len()
+    }
+
+    /// An operation by its id.
+    pub fn operation(&self, operation: OperationId) -> &Operation {
+        &self.clients.operations[operation.0 as usize]
+    }
+
+    /// An account by its index.
+    pub fn account(&self, account: u32) -> &Account {
+        &self.clients.accounts[account as usize]
+    }
+
+    /// An attempt by its id.
+    pub fn attempt(&self, attempt: AttemptId) -> &Attempt {
+        &self.attempts[attempt.0 as usize]
+    }
+
+    /// A server by its id.
+    pub fn server(&self, server: ServerId) -> &Server {
+        &self.servers[server.0 as usize]
+    }
+
+    /// All servers that there have been, with their ids, in the order of these.
+    pub fn servers(&self) -> impl Iterator<Item = (ServerId, &Server)> {
+        (0..).map(ServerId).zip(&self.servers)
+    }
+
+    /// Changes of the endpoint list by their numbers.
+    pub fn endpoint_changes(&self, numbers: std::ops::Range<usize>) -> Vec<EndpointChange> {
+        self.changes[numbers].to_vec()
+    }
+
     pub fn next_due(&self) -> Option<Duration> {
-        self.agenda.next()
+        self.event_queue.next()
     }
 
     /// When all is over, the last answers included.
-    pub fn end(&self) -> Duration {
-        self.length + secs(self.terms.longest_wait()) + self.slack + ms(200.0)
+    pub fn end_time(&self) -> Duration {
+        self.length + secs(self.experiment.longest_wait()) + self.slack + ms(200.0)
     }
 
     /// What the day has brought, as both engines report it.
     pub fn results(&mut self, engine: &str, title: &str, variant: &str, seed: u64) -> Results {
-        let mut results = self.measure.results();
+        let mut results = self.metrics.results();
         (results.experiment, results.variant) = (title.into(), variant.into());
         (results.engine, results.seed) = (engine.into(), seed);
-        let fleet = &self.terms.fleet;
+        let fleet = &self.experiment.fleet;
         (results.gateways, results.servers) = (fleet.gateways, fleet.servers);
-        results.broken = std::mem::take(&mut self.referee.broken);
-        results.broken_count = self.referee.count;
-        let named = |at: &u32| self.servers[*at as usize].uid.clone();
+        results.violations = std::mem::take(&mut self.rule_checker.broken);
+        results.violation_count = self.rule_checker.count;
         results.server_load = self
-            .measure
-            .busy
-            .iter()
-            .map(|(at, load)| (named(at), load.clone()))
+            .metrics
+            .server_load()
+            .map(|(server, busy_share)| ServerLoad {
+                server: self.servers[server as usize].name.clone(),
+                busy_share: busy_share.to_vec(),
+            })
             .collect();
         results
     }
@@ -343,7 +393,7 @@
     }
 
     fn counter_terms(&self) -> counter::Terms {
-        let it = &self.terms.counter;
+        let it = &self.experiment.counter;
         counter::Terms {
             parts: it.parts,
             bears: it.bears,
@@ -353,17 +403,17 @@
     }
 
     /// One way between a gateway and a server.
-    pub fn way(&self, gateway: usize, server: ServerNo) -> Duration {
-        let near = gateway % self.terms.fleet.zones == self.servers[server.0 as usize].zone;
+    pub fn one_way_delay(&self, gateway: usize, server: ServerId) -> Duration {
+        let near = gateway % self.experiment.fleet.zones == self.servers[server.0 as usize].zone;
         ms(if near {
-            self.terms.network.near_ms
+            self.experiment.network.near_ms
         } else {
-            self.terms.network.far_ms
+            self.experiment.network.far_ms
         })
     }
 
-    pub fn near(&self) -> Duration {
-        ms(self.terms.network.near_ms)
+    pub fn in_zone_delay(&self) -> Duration {
+        ms(self.experiment.network.near_ms)
     }
 
     fn lag(&self, way: Duration) -> Duration {
@@ -375,25 +425,25 @@
     }
 
     /// Does what is due by now.
-    pub fn advance(&mut self, now: Duration, acts: &mut Vec<Act>) {
-        while let Some((when, due)) = self.agenda.pop(now) {
+    pub fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        while let Some((when, due)) = self.event_queue.pop(now) {
             self.count_busy(when);
             match due {
-                Due::Arrival => self.arrival(when, acts),
-                Due::Replayed(place) => self.replayed(when, place, acts),
-                Due::Again(origin) => self.ask(when, origin, acts),
-                Due::Leaves(ask) => self.leaves(when, ask, acts),
-                Due::TimeUp(ask) => self.time_up(when, ask),
-                Due::Served(server, of) => self.served(when, server, of),
-                Due::Said(of) => self.said(when, of, acts),
-                Due::Counted(count) => self.counted(when, count, acts),
-                Due::Told { gateway, change } => self.tell(when, gateway, change, acts),
-                Due::Trouble { place, step } => self.trouble(when, place, step, acts),
-                Due::TroubleEnds(place) => self.trouble_ends(when, place, acts),
-                Due::Returns(server) => self.returns(when, server, acts),
-                Due::Retires(server) => self.retires(when, server, acts),
-                Due::Kill(gateway) => self.kill(when, gateway, acts),
-                Due::Start(gateway) => self.start(when, gateway, acts),
+                WorldEvent::Arrival => self.arrival(when, actions),
+                WorldEvent::Replayed(place) => self.replayed(when, place, actions),
+                WorldEvent::Again(origin) => self.ask(when, origin, actions),
+                WorldEvent::Leaves(ask) => self.leaves(when, ask, actions),
+                WorldEvent::TimeUp(ask) => self.time_up(when, ask),
+                WorldEvent::Served(server, of) => self.served(when, server, of),
+                WorldEvent::Said(of) => self.said(when, of, actions),
+                WorldEvent::Counted(count) => self.counted(when, count, actions),
+                WorldEvent::Told { gateway, change } => self.tell(when, gateway, change, actions),
+                WorldEvent::Trouble { place, step } => self.trouble(when, place, step, actions),
+                WorldEvent::TroubleEnds(place) => self.trouble_ends(when, place, actions),
+                WorldEvent::Returns(server) => self.returns(when, server, actions),
+                WorldEvent::Retires(server) => self.retires(when, server, actions),
+                WorldEvent::Kill(gateway) => self.kill(when, gateway, actions),
+                WorldEvent::Start(gateway) => self.start(when, gateway, actions),
             }
         }
         self.count_busy(now);
@@ -405,20 +455,23 @@
             let counted = self.next_busy <= self.length.as_secs();
             for (place, server) in self.servers.iter().enumerate().filter(|_| counted) {
                 let spent = server.busy - self.last_busy[place];
-                let load = self.measure.busy.entry(place as u32).or_default();
-                load.resize(self.next_busy as usize - 1, 0.0);
-                load.push((spent / server.build.cores as f64) as f32);
+                let busy_share = (spent / server.build.cores as f64) as f32;
+                self.metrics.record_server_load(
+                    place as u32,
+                    self.next_busy as usize - 1,
+                    busy_share,
+                );
                 self.last_busy[place] = server.busy;
             }
             let memory = self
-                .terms
+                .experiment
                 .routes
                 .iter()
                 .map(|route| route.memory)
                 .fold(0.0, f64::max);
             self.tokens.retain(|_, begun| *begun + secs(memory) >= now);
             let long = Duration::from_secs(30);
-            self.referee
+            self.rule_checker
                 .forget(Duration::from_secs(self.next_busy).saturating_sub(long));
             self.next_busy += 1;
         }
@@ -428,11 +481,11 @@
 
     fn next_arrival(&mut self, now: Duration) {
         if let Some(next) = self.clients.next(now).filter(|next| *next < self.length) {
-            self.agenda.at(next, Due::Arrival);
+            self.event_queue.at(next, WorldEvent::Arrival);
         }
     }
 
-    fn arrival(&mut self, now: Duration, acts: &mut Vec<Act>) {
+    fn arrival(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if let Some(mut account) = self.clients.arrives(now) {
             let strange = self
                 .scan
@@ -442,66 +495,68 @@
             if strange.is_some_and(|share| self.chance.generate::<f64>() < share) {
                 account = self
                     .clients
-                    .stranger(&self.terms, self.clients.accounts[account].plan);
-                self.referee
+                    .stranger(&self.experiment, self.clients.accounts[account].plan);
+                self.rule_checker
                     .account(account as u32, self.clients.accounts[account].plan);
             }
-            let origin = self.clients.want(now, account, &self.terms);
-            self.wanted(now, origin, acts);
+            let origin = self.clients.want(now, account, &self.experiment);
+            self.wanted(now, origin, actions);
         }
         self.next_arrival(now);
     }
 
-    fn replayed(&mut self, now: Duration, place: usize, acts: &mut Vec<Act>) {
+    fn replayed(&mut self, now: Duration, place: usize, actions: &mut Vec<Action>) {
         let recorded = self.replay[place].clone();
-        let Some(route) = self.terms.route(&recorded.route) else {
+        let Some(route) = self.experiment.route(&recorded.route) else {
             return;
         };
-        let Some(plan) = self.terms.plan(&recorded.plan) else {
+        let Some(plan) = self.experiment.plan(&recorded.plan) else {
             return;
         };
         let account = match self.replay_accounts.get(&recorded.account) {
             Some(account) => *account,
             None => {
-                let account = self.clients.stranger(&self.terms, plan);
+                let account = self.clients.stranger(&self.experiment, plan);
                 self.clients.accounts[account].name = recorded.account;
-                self.referee.account(account as u32, plan);
+                self.rule_checker.account(account as u32, plan);
                 self.replay_accounts.insert(recorded.account, account);
                 account
             }
         };
         let units = recorded
             .units
-            .clamp(1.0, f64::from(self.terms.load.units_top));
-        let origin = self.clients.wants(now, account, route, units, &self.terms);
-        self.wanted(now, origin, acts);
+            .clamp(1.0, f64::from(self.experiment.load.units_top));
+        let origin = self
+            .clients
+            .wants(now, account, route, units, &self.experiment);
+        self.wanted(now, origin, actions);
     }
 
     fn value(&self, origin: usize) -> f64 {
-        let it = &self.clients.origins[origin];
-        let plan = &self.terms.plans[self.clients.accounts[it.account as usize].plan];
-        self.terms.routes[it.route].billed_value * plan.price * it.units
+        let it = &self.clients.operations[origin];
+        let plan = &self.experiment.plans[self.clients.accounts[it.account as usize].plan];
+        self.experiment.routes[it.route].billed_value * plan.price * it.units
     }
 
     /// Something new is wanted: what is inside the quota counts as asked for.
-    fn wanted(&mut self, now: Duration, origin: usize, acts: &mut Vec<Act>) {
-        if self.clients.origins[origin].inside {
-            self.measure.at(now).value_asked += self.value(origin);
+    fn wanted(&mut self, now: Duration, origin: usize, actions: &mut Vec<Action>) {
+        if self.clients.operations[origin].inside {
+            self.metrics.second_at(now).requested_value += self.value(origin);
         }
-        self.ask(now, OriginId(origin as u32), acts);
+        self.ask(now, OperationId(origin as u32), actions);
     }
 
     /// A client asks, at the gateway that the front leads it to.
-    fn ask(&mut self, now: Duration, id: OriginId, acts: &mut Vec<Act>) {
+    fn ask(&mut self, now: Duration, id: OperationId, actions: &mut Vec<Action>) {
         let (account, route) = {
-            let origin = &self.clients.origins[id.0 as usize];
+            let origin = &self.clients.operations[id.0 as usize];
             if origin.done || now >= self.length {
                 return;
             }
             (origin.account as usize, origin.route)
         };
-        self.measure.at(now).asked += 1;
-        let notices = secs(self.terms.load.front_notices);
+        self.metrics.second_at(now).requests += 1;
+        let notices = secs(self.experiment.load.front_notices);
         let order = self.clients.order(account, now);
         let led = order.into_iter().find(|gateway| {
             let it = &self.gateways[*gateway];
@@ -509,41 +564,42 @@
                 GatewayState::Ready => true,
                 GatewayState::Down => now < it.since + notices,
                 // New connections keep coming for a while, and those that are open are used until they end.
-                GatewayState::Stopping => self.connects(now, *gateway) || it.resting > 0,
+                GatewayState::Stopping => self.accepts_connections(now, *gateway) || it.resting > 0,
                 GatewayState::Starting => false,
             }
         });
         let there = led.filter(|gateway| self.gateways[*gateway].state != GatewayState::Down);
         let Some(gateway) = there else {
-            self.measure.at(now).unreached += 1;
+            self.metrics.second_at(now).unreachable += 1;
             return self.again(now, id, None);
         };
-        let timeout = secs(self.terms.routes[route].client_timeout);
-        let (until, ask) = (now + timeout, AskId(self.asks.len() as u32));
-        self.asks.push(Ask {
-            origin: id,
+        let timeout = secs(self.experiment.routes[route].client_timeout);
+        let (until, ask) = (now + timeout, ClientRequestId(self.requests.len() as u32));
+        self.requests.push(ClientRequest {
+            operation: id,
             gateway,
-            born: now,
-            until,
-            over: false,
-            sent_on: false,
+            scheduled_at: now,
+            deadline: until,
+            closed: false,
+            forwarded: false,
         });
-        let patience = self.terms.load.patience * self.clients.pressure.patience;
+        let patience = self.experiment.load.patience * self.clients.pressure.patience;
         let patience = patience + (1.0 - patience) * self.chance.generate::<f64>();
         if patience < 1.0 {
-            self.agenda
-                .at(now + timeout.mul_f64(patience), Due::Leaves(ask));
+            self.event_queue
+                .at(now + timeout.mul_f64(patience), WorldEvent::Leaves(ask));
         }
-        self.agenda.at(until + self.slack, Due::TimeUp(ask));
-        acts.push(Act::Ask(ask));
+        self.event_queue
+            .at(until + self.slack, WorldEvent::TimeUp(ask));
+        actions.push(Action::SendRequest(ask));
     }
 
     /// The gateway has taken it: from now on an answer is owed.
-    pub fn taken(&mut self, now: Duration, ask: AskId) {
-        let it = &self.asks[ask.0 as usize];
-        let origin = &self.clients.origins[it.origin.0 as usize];
-        let times = (now, it.until);
-        self.referee.asked(
+    pub fn on_request_accepted(&mut self, now: Duration, ask: ClientRequestId) {
+        let it = &self.requests[ask.0 as usize];
+        let origin = &self.clients.operations[it.operation.0 as usize];
+        let times = (now, it.deadline);
+        self.rule_checker.asked(
             ask,
             it.gateway,
             origin.route,
@@ -554,28 +610,28 @@
     }
 
     /// Whether new connections still come to a gateway.
-    pub fn connects(&self, now: Duration, gateway: usize) -> bool {
+    pub fn accepts_connections(&self, now: Duration, gateway: usize) -> bool {
         let it = &self.gateways[gateway];
         it.state != GatewayState::Stopping || now < it.since + NOTICED
     }
 
     /// No gateway has taken it: its process has gone, perhaps in the moment in which it was written.
-    pub fn not_taken(&mut self, now: Duration, ask: AskId) {
-        self.referee.not_taken(ask);
-        let it = &mut self.asks[ask.0 as usize];
-        if it.over {
+    pub fn on_request_not_accepted(&mut self, now: Duration, ask: ClientRequestId) {
+        self.rule_checker.not_taken(ask);
+        let it = &mut self.requests[ask.0 as usize];
+        if it.closed {
             return;
         }
-        it.over = true;
-        let origin = it.origin;
-        self.measure.at(now).unreached += 1;
+        it.closed = true;
+        let origin = it.operation;
+        self.metrics.second_at(now).unreachable += 1;
         self.again(now, origin, None);
     }
 
     /// The client comes again, if it does: when it was told to, or after a wait of its own.
-    fn again(&mut self, now: Duration, id: OriginId, advice: Option<Duration>) {
-        let load = &self.terms.load;
-        let origin = &mut self.clients.origins[id.0 as usize];
+    fn again(&mut self, now: Duration, id: OperationId, advice: Option<Duration>) {
+        let load = &self.experiment.load;
+        let origin = &mut self.clients.operations[id.0 as usize];
         if origin.retries >= load.retries || origin.done {
             return;
         }
@@ -584,81 +640,81 @@
         let heeds = heeds && self.chance.generate::<f64>() >= self.clients.pressure.heedless;
         let own = secs(load.retry_wait).mul_f64(0.5 + self.chance.generate::<f64>());
         let wait = advice.filter(|_| heeds).unwrap_or(own);
-        self.agenda.at(now + wait, Due::Again(id));
+        self.event_queue.at(now + wait, WorldEvent::Again(id));
     }
 
-    fn leaves(&mut self, now: Duration, ask: AskId, acts: &mut Vec<Act>) {
-        let it = &mut self.asks[ask.0 as usize];
-        if it.over {
+    fn leaves(&mut self, now: Duration, ask: ClientRequestId, actions: &mut Vec<Action>) {
+        let it = &mut self.requests[ask.0 as usize];
+        if it.closed {
             return;
         }
-        it.over = true;
-        let origin = it.origin;
-        self.referee.left(now, ask);
-        self.measure.at(now).unanswered += 1;
-        acts.push(Act::Leave(ask));
+        it.closed = true;
+        let origin = it.operation;
+        self.rule_checker.left(now, ask);
+        self.metrics.second_at(now).unanswered += 1;
+        actions.push(Action::CloseClient(ask));
         self.again(now, origin, None);
     }
 
-    fn time_up(&mut self, now: Duration, ask: AskId) {
-        self.referee.time_up(now, ask);
-        let it = &mut self.asks[ask.0 as usize];
-        if !it.over {
-            it.over = true;
-            let origin = it.origin;
-            self.measure.at(now).unanswered += 1;
+    fn time_up(&mut self, now: Duration, ask: ClientRequestId) {
+        self.rule_checker.time_up(now, ask);
+        let it = &mut self.requests[ask.0 as usize];
+        if !it.closed {
+            it.closed = true;
+            let origin = it.operation;
+            self.metrics.second_at(now).unanswered += 1;
             self.again(now, origin, None);
         }
     }
 
     /// A client has heard: the value's key if it was served, or how long to wait if it was told.
-    pub fn answered(
+    pub fn on_final_answer(
         &mut self,
         now: Duration,
-        ask: AskId,
-        verdict: Verdict,
+        ask: ClientRequestId,
+        verdict: ClientOutcome,
         advice: Option<Duration>,
     ) {
-        self.referee.answered(now, ask, verdict);
-        let it = &mut self.asks[ask.0 as usize];
-        if it.over {
+        self.rule_checker.answered(now, ask, verdict);
+        let it = &mut self.requests[ask.0 as usize];
+        if it.closed {
             return;
         }
-        it.over = true;
-        let (id, took) = (it.origin, now.saturating_sub(it.born));
-        let origin = &self.clients.origins[id.0 as usize];
+        it.closed = true;
+        let (id, took) = (it.operation, now.saturating_sub(it.scheduled_at));
+        let origin = &self.clients.operations[id.0 as usize];
         let (account, units) = (origin.account as usize, origin.units);
         match verdict {
-            Verdict::Served { .. } => {
-                self.measure.proxied(now, took);
-                let route = &self.terms.routes[origin.route];
+            ClientOutcome::Served { .. } => {
+                self.metrics.record_success(now, took);
+                let route = &self.experiment.routes[origin.route];
                 let worth = if took <= secs(route.latency_target) {
                     1.0
                 } else {
                     route.late_worth
                 };
-                let (born, first) = (it.born, !origin.earned && origin.within);
+                let (born, first) = (it.scheduled_at, !origin.earned && origin.within);
                 if first {
                     let value = self.value(id.0 as usize);
-                    self.measure.at(born).value_in_time += value * worth;
+                    self.metrics.second_at(born).value_in_time += value * worth;
                 }
-                let origin = &mut self.clients.origins[id.0 as usize];
+                let origin = &mut self.clients.operations[id.0 as usize];
                 (origin.earned, origin.done) = (true, true);
             }
-            Verdict::Limited => {
-                self.measure.limited(now, took);
-                let cap = self.terms.plans[self.clients.accounts[account].plan].cap;
+            ClientOutcome::Rejected => {
+                self.metrics.record_rejection(now, took);
+                let cap = self.experiment.plans[self.clients.accounts[account].plan].cap;
                 let it = &mut self.clients.accounts[account];
                 let room = it.sent.holds(now, units) && (cap <= 0.0 || it.out < cap);
                 let half = it.sent.holds(now, units.max(it.sent.depth / 2.0))
                     && (cap <= 0.0 || it.out < cap / 2.0);
-                let second = self.measure.at(now);
-                second.limited_with_room += u64::from(room);
-                second.limited_half_unused += u64::from(half);
+                let second = self.metrics.second_at(now);
+                second.rejected_within_quota += u64::from(room);
+                second.rejected_with_half_quota += u64::from(half);
                 self.again(now, id, advice);
             }
-            Verdict::Errored | Verdict::Cut => {
-                self.measure.errored(now, took);
+            ClientOutcome::Failed | ClientOutcome::Disconnected => {
+                self.metrics.record_failure(now, took);
                 self.again(now, id, None);
             }
         }
@@ -668,7 +724,7 @@
 
     /// Whether a gateway and a server can hear each other.
     fn apart(&self, now: Duration, gateway: usize, zone: usize) -> bool {
-        let at = gateway % self.terms.fleet.zones;
+        let at = gateway % self.experiment.fleet.zones;
         at != zone
             && self
                 .cut
@@ -677,45 +733,45 @@
     }
 
     /// Whether a new connection is refused; one that is not may still be met by silence.
-    pub fn refuses(&self, server: ServerNo) -> bool {
+    pub fn refuses_connections(&self, server: ServerId) -> bool {
         let it = &self.servers[server.0 as usize];
         matches!(it.health, Health::Down | Health::Fallen)
     }
 
-    pub fn connected(&mut self, now: Duration, server: ServerNo) {
-        self.measure.at(now).connections += 1;
+    pub fn on_connect(&mut self, now: Duration, server: ServerId) {
+        self.metrics.second_at(now).new_connections += 1;
         self.servers[server.0 as usize].connections += 1;
     }
 
-    pub fn disconnected(&mut self, server: ServerNo) {
+    pub fn on_disconnect(&mut self, server: ServerId) {
         let it = &mut self.servers[server.0 as usize];
         it.connections = it.connections.saturating_sub(1);
     }
 
     /// A try has come whole, over a fresh connection or one in use.
-    pub fn came(
+    pub fn on_attempt_arrival(
         &mut self,
         now: Duration,
         gateway: usize,
-        server: ServerNo,
-        (ask, fresh): (AskId, bool),
-        acts: &mut Vec<Act>,
-    ) -> TryId {
-        let id = TryId(self.tries.len() as u32);
-        let life = self.servers[server.0 as usize].life;
-        self.tries.push(Try {
-            ask,
+        server: ServerId,
+        (ask, fresh): (ClientRequestId, bool),
+        actions: &mut Vec<Action>,
+    ) -> AttemptId {
+        let id = AttemptId(self.attempts.len() as u32);
+        let life = self.servers[server.0 as usize].incarnation;
+        self.attempts.push(Attempt {
+            request: ask,
             server,
             gateway,
-            life,
+            server_incarnation: life,
             ended: false,
-            says: None,
+            response: None,
         });
-        self.measure.at(now).tries += 1;
-        self.referee.came(now, id, ask, gateway, server);
-        let it = &mut self.asks[ask.0 as usize];
-        let (first, born) = (!std::mem::replace(&mut it.sent_on, true), it.born);
-        let origin = &self.clients.origins[it.origin.0 as usize];
+        self.metrics.second_at(now).attempts += 1;
+        self.rule_checker.came(now, id, ask, gateway, server);
+        let it = &mut self.requests[ask.0 as usize];
+        let (first, born) = (!std::mem::replace(&mut it.forwarded, true), it.scheduled_at);
+        let origin = &self.clients.operations[it.operation.0 as usize];
         let (account, units, work, key, route) = (
             origin.account as usize,
             origin.units,
@@ -725,22 +781,23 @@
         );
         self.clients.accounts[account].out += 1.0;
         if first {
-            let origin = it.origin;
-            self.measure.first_try(now, now.saturating_sub(born));
+            let origin = it.operation;
+            self.metrics
+                .record_first_attempt(now, now.saturating_sub(born));
             let within = self.sent_on(now, account, units, route);
-            self.clients.origins[origin.0 as usize].within = within;
+            self.clients.operations[origin.0 as usize].within = within;
         }
         let silent = self.servers[server.0 as usize].health == Health::Silent;
         let apart = self.apart(now, gateway, self.servers[server.0 as usize].zone);
         if silent || apart || self.servers[server.0 as usize].mute.contains(&route) {
             return id;
         }
-        let terms = &self.terms.routes[route];
+        let terms = &self.experiment.routes[route];
         let memory = secs(terms.memory);
-        let fleet = &self.terms.fleet;
+        let fleet = &self.experiment.fleet;
         let it = &mut self.servers[server.0 as usize];
         if it.connections > fleet.connections {
-            self.will_say(now, id, Says::Busy);
+            self.will_say(now, id, ServerResponse::Busy);
             return id;
         }
         if terms.memory > 0.0 {
@@ -758,7 +815,7 @@
                 self.will_say(
                     now,
                     id,
-                    Says::Value {
+                    ServerResponse::Success {
                         units: None,
                         load: None,
                     },
@@ -768,7 +825,8 @@
             self.tokens.insert((group, key), now);
         }
         let handshake = if fresh { fleet.handshake_ms / 1e3 } else { 0.0 };
-        let told = it.start_told.0 == it.started && self.gateways[gateway].upto > it.start_told.1;
+        let told =
+            it.start_told.0 == it.started_at && self.gateways[gateway].upto > it.start_told.1;
         let task = Task {
             of: id,
             work: work + handshake,
@@ -776,16 +834,16 @@
         };
         let fallen = it.health;
         match it.take(now, task) {
-            Taken::Begun(done) => self.agenda.at(done, Due::Served(server, id)),
+            Taken::Begun(done) => self.event_queue.at(done, WorldEvent::Served(server, id)),
             Taken::Waits => (),
-            Taken::TurnedAway => self.will_say(now, id, Says::Busy),
+            Taken::TurnedAway => self.will_say(now, id, ServerResponse::Busy),
         }
         if fallen == Health::Up && self.servers[server.0 as usize].health == Health::Fallen {
             if self.servers[server.0 as usize].pushed_knowingly() {
-                self.referee.fell(now, server);
+                self.rule_checker.fell(now, server);
             }
             self.servers[server.0 as usize].crash(Health::Fallen);
-            acts.push(Act::Down(server));
+            actions.push(Action::StopServer(server));
         }
         id
     }
@@ -793,65 +851,68 @@
     /// A first try takes its units from the quota, as it truly is.
     fn sent_on(&mut self, now: Duration, account: usize, units: f64, route: usize) -> bool {
         let it = &mut self.clients.accounts[account];
-        let plan = &self.terms.plans[it.plan];
+        let plan = &self.experiment.plans[it.plan];
         let fits = it.sent.pay(now, units);
-        let value = self.terms.routes[route].billed_value * plan.price * units;
-        let second = self.measure.at(now);
-        second.units += units;
+        let value = self.experiment.routes[route].billed_value * plan.price * units;
+        let second = self.metrics.second_at(now);
+        second.forwarded_units += units;
         if !fits {
-            second.beyond += units;
-            second.beyond_cost += value * plan.over_cost;
+            second.over_quota_units += units;
+            second.over_quota_cost += value * plan.over_cost;
         }
         fits
     }
 
     /// The gateway has given a try up, or its connection has gone.
-    pub fn left(&mut self, now: Duration, of: TryId) {
-        let it = &self.tries[of.0 as usize];
-        let (server, life) = (it.server, it.life);
+    pub fn on_attempt_abandoned(&mut self, now: Duration, of: AttemptId) {
+        let it = &self.attempts[of.0 as usize];
+        let (server, life) = (it.server, it.server_incarnation);
         if it.ended {
             return;
         }
-        self.ended(now, of, TryEnd::GivenUp);
+        self.ended(now, of, AttemptEnd::Abandoned);
         let at = &mut self.servers[server.0 as usize];
-        if at.life == life && (!at.give_up(of) || self.terms.fleet.stops_work) {
+        if at.incarnation == life && (!at.give_up(of) || self.experiment.fleet.stops_work) {
             self.next_at(now, server, of);
         }
     }
 
-    fn next_at(&mut self, now: Duration, server: ServerNo, of: TryId) {
+    fn next_at(&mut self, now: Duration, server: ServerId, of: AttemptId) {
         if let Some((next, done)) = self.servers[server.0 as usize].over(now, of) {
-            self.agenda.at(done, Due::Served(server, next));
+            self.event_queue.at(done, WorldEvent::Served(server, next));
         }
     }
 
-    fn ended(&mut self, now: Duration, of: TryId, end: TryEnd) {
-        let it = &mut self.tries[of.0 as usize];
+    fn ended(&mut self, now: Duration, of: AttemptId, end: AttemptEnd) {
+        let it = &mut self.attempts[of.0 as usize];
         if std::mem::replace(&mut it.ended, true) {
             return;
         }
-        let ask = it.ask;
-        let account = self.clients.origins[self.asks[ask.0 as usize].origin.0 as usize].account;
+        let ask = it.request;
+        let account =
+            self.clients.operations[self.requests[ask.0 as usize].operation.0 as usize].account;
         self.clients.accounts[account as usize].out -= 1.0;
-        self.referee.over(now, of, ask, end);
+        self.rule_checker.over(now, of, ask, end);
     }
 
     /// A server is done with a try's work.
-    fn served(&mut self, now: Duration, server: ServerNo, of: TryId) {
-        let it = &self.tries[of.0 as usize];
+    fn served(&mut self, now: Duration, server: ServerId, of: AttemptId) {
+        let it = &self.attempts[of.0 as usize];
         let at = &mut self.servers[server.0 as usize];
-        if it.life != at.life {
+        if it.server_incarnation != at.incarnation {
             return;
         }
-        let every = secs(self.terms.fleet.report_every);
+        let every = secs(self.experiment.fleet.report_every);
         let report = (!every.is_zero()).then(|| at.report(now, every));
         let (failing, silent) = (at.failing, at.health == Health::Silent);
         self.next_at(now, server, of);
-        if silent || self.tries[of.0 as usize].ended {
+        if silent || self.attempts[of.0 as usize].ended {
             return;
         }
-        let origin = &self.clients.origins
-            [self.asks[self.tries[of.0 as usize].ask.0 as usize].origin.0 as usize];
+        let origin = &self.clients.operations[self.requests
+            [self.attempts[of.0 as usize].request.0 as usize]
+            .operation
+            .0 as usize];
         let (units, account) = (origin.true_units, origin.account as usize);
         let asked = origin.units;
         let drawn = self.chance.generate::<f64>();
@@ -861,15 +922,15 @@
             0.0
         };
         let says = if drawn < failing {
-            Says::Failed
+            ServerResponse::Failed
         } else if self.chance.generate::<f64>() < spoilt {
-            Says::Spoilt(self.chance.generate::<u32>() % 6)
+            ServerResponse::Malformed(self.chance.generate::<u32>() % 6)
         } else {
             self.clients.accounts[account]
                 .sent
                 .settle(now, units - asked);
-            Says::Value {
-                units: self.terms.load.settles.then_some(units),
+            ServerResponse::Success {
+                units: self.experiment.load.settles.then_some(units),
                 load: report,
             }
         };
@@ -877,33 +938,33 @@
     }
 
     /// What a server says arrives after the way back, where the engine does not add that itself.
-    fn will_say(&mut self, now: Duration, of: TryId, says: Says) {
-        let it = &mut self.tries[of.0 as usize];
-        it.says = Some(says);
+    fn will_say(&mut self, now: Duration, of: AttemptId, says: ServerResponse) {
+        let it = &mut self.attempts[of.0 as usize];
+        it.response = Some(says);
         let (gateway, server) = (it.gateway, it.server);
-        let lag = self.lag(self.way(gateway, server));
-        self.agenda.at(now + lag, Due::Said(of));
+        let lag = self.lag(self.one_way_delay(gateway, server));
+        self.event_queue.at(now + lag, WorldEvent::Said(of));
     }
 
-    fn said(&mut self, now: Duration, of: TryId, acts: &mut Vec<Act>) {
-        let it = &self.tries[of.0 as usize];
-        let (Some(says), false) = (it.says, it.ended) else {
+    fn said(&mut self, now: Duration, of: AttemptId, actions: &mut Vec<Action>) {
+        let it = &self.attempts[of.0 as usize];
+        let (Some(says), false) = (it.response, it.ended) else {
             return;
         };
         if self.apart(now, it.gateway, self.servers[it.server.0 as usize].zone) {
             return;
         }
         let end = match says {
-            Says::Busy => TryEnd::TurnedAway,
-            _ => TryEnd::Answered,
+            ServerResponse::Busy => AttemptEnd::Rejected,
+            _ => AttemptEnd::Answered,
         };
         self.ended(now, of, end);
-        acts.push(Act::Reply(of, says));
+        actions.push(Action::SendResponse(of, says));
     }
 
     /// A probe of a server's load, where there may be any and it can answer.
-    pub fn probed(&mut self, now: Duration, server: ServerNo) -> Option<Report> {
-        let fleet = &self.terms.fleet;
+    pub fn on_load_probe(&mut self, now: Duration, server: ServerId) -> Option<LoadReport> {
+        let fleet = &self.experiment.fleet;
         let (may, every) = (fleet.probes, secs(fleet.report_every));
         let it = &mut self.servers[server.0 as usize];
         (may && it.health == Health::Up).then(|| it.report(now, every))
@@ -912,18 +973,18 @@
     // ---- the counter ----
 
     /// A call has come; nothing is answered if it is silent.
-    pub fn count(
+    pub fn on_counter_call(
         &mut self,
         now: Duration,
         gateway: usize,
         name: u64,
         add: f64,
         keep: Duration,
-        acts: &mut Vec<Act>,
-    ) -> CountId {
+        actions: &mut Vec<Action>,
+    ) -> CounterCallId {
         self.next_count += 1;
-        let id = CountId(self.next_count);
-        self.measure.at(now).counter_calls += 1;
+        let id = CounterCallId(self.next_count);
+        self.metrics.second_at(now).counter_calls += 1;
         let counter = self.gateways[gateway].counter;
         let call = Call {
             gateway,
@@ -936,16 +997,18 @@
         match self.counters[counter].take(now, &call, &terms) {
             Turn::At(when) => {
                 self.counts.insert(id, call);
-                self.agenda
-                    .at(when + self.lag(self.near()), Due::Counted(id));
+                self.event_queue.at(
+                    when + self.lag(self.in_zone_delay()),
+                    WorldEvent::Counted(id),
+                );
             }
-            Turn::Now(says) => acts.push(Act::Counted(id, says)),
+            Turn::Now(says) => actions.push(Action::SendCounterResponse(id, says)),
             Turn::Never => (),
         }
         id
     }
 
-    fn counted(&mut self, now: Duration, id: CountId, acts: &mut Vec<Act>) {
+    fn counted(&mut self, now: Duration, id: CounterCallId, actions: &mut Vec<Action>) {
         let Some(call) = self.counts.remove(&id) else {
             return;
         };
@@ -954,19 +1017,22 @@
             return;
         }
         let total = counter.add(now, &call);
-        acts.push(Act::Counted(id, CounterSays::Total(total)));
+        actions.push(Action::SendCounterResponse(
+            id,
+            CounterResponse::Total(total),
+        ));
     }
 
     // ---- the list ----
 
     /// The list changes; each gateway hears of it in its own time.
-    fn change(&mut self, now: Duration, server: ServerNo, listing: Listing) {
-        let started = self.servers[server.0 as usize].started;
+    fn change(&mut self, now: Duration, server: ServerId, listing: ListingState) {
+        let started = self.servers[server.0 as usize].started_at;
         let change = self.changes.len();
-        self.changes.push(Change {
+        self.changes.push(EndpointChange {
             server,
-            listing,
-            started,
+            state: listing,
+            started_at: started,
         });
         let it = &mut self.servers[server.0 as usize];
         if it.start_told.0 != started {
@@ -978,18 +1044,19 @@
             0.0
         };
         for gateway in 0..self.gateways.len() {
-            let late = self.terms.discovery.late * self.chance.generate::<f64>() + more;
+            let late = self.experiment.discovery.late * self.chance.generate::<f64>() + more;
             let when = (now + secs(late)).max(self.gateways[gateway].told);
             self.gateways[gateway].told = when;
-            self.agenda.at(when, Due::Told { gateway, change });
+            self.event_queue
+                .at(when, WorldEvent::Told { gateway, change });
         }
     }
 
-    fn tell(&mut self, now: Duration, gateway: usize, change: usize, acts: &mut Vec<Act>) {
+    fn tell(&mut self, now: Duration, gateway: usize, change: usize, actions: &mut Vec<Action>) {
         if now < self.silent_list {
             return self
-                .agenda
-                .at(self.silent_list, Due::Told { gateway, change });
+                .event_queue
+                .at(self.silent_list, WorldEvent::Told { gateway, change });
         }
         let it = &mut self.gateways[gateway];
         if it.upto > change {
@@ -997,38 +1064,43 @@
         }
         it.upto = change + 1;
         if it.state != GatewayState::Down {
-            acts.push(Act::Told {
+            actions.push(Action::NotifyGateway {
                 gateway,
-                upto: change + 1,
+                change_count: change + 1,
             });
         }
     }
 
     /// How much of the list a gateway has been told so far.
-    pub fn upto(&self, gateway: usize) -> usize {
+    pub fn notified_change_count(&self, gateway: usize) -> usize {
         self.gateways[gateway].upto
     }
 
     /// The list as it stands after so many changes: each server's latest line, but for those that have left.
-    pub fn list(&self, upto: usize) -> Vec<Change> {
-        let mut list: BTreeMap<ServerNo, &Change> = BTreeMap::new();
+    pub fn endpoint_list_after(&self, upto: usize) -> Vec<EndpointChange> {
+        let mut list: BTreeMap<ServerId, &EndpointChange> = BTreeMap::new();
         for change in &self.changes[..upto] {
             list.insert(change.server, change);
         }
         list.into_values()
-            .filter(|it| it.listing != Listing::Left)
+            .filter(|it| it.state != ListingState::Removed)
             .cloned()
             .collect()
     }
 
     /// Changes were written to a gateway.
-    pub fn told(&mut self, now: Duration, gateway: usize, changes: &[Change]) {
+    pub fn on_gateway_notified(
+        &mut self,
+        now: Duration,
+        gateway: usize,
+        changes: &[EndpointChange],
+    ) {
         for change in changes {
-            self.referee.told(
+            self.rule_checker.told(
                 now,
                 gateway,
                 change.server,
-                change.listing == Listing::Active,
+                change.state == ListingState::Active,
             );
         }
     }
@@ -1036,19 +1108,19 @@
     // ---- gateways ----
 
     /// A gateway serves from now on.
-    pub fn ready(&mut self, now: Duration, gateway: usize) {
+    pub fn on_gateway_ready(&mut self, now: Duration, gateway: usize) {
         let it = &mut self.gateways[gateway];
         (it.state, it.since) = (GatewayState::Ready, now);
     }
 
     /// Whether a gateway has been ready for so long: those that were when the day began, in any case.
-    pub fn ready_for(&self, now: Duration, gateway: usize, span: Duration) -> bool {
+    pub fn is_ready_for(&self, now: Duration, gateway: usize, span: Duration) -> bool {
         let it = &self.gateways[gateway];
         it.state == GatewayState::Ready && (it.since.is_zero() || now >= it.since + span)
     }
 
     /// A gateway's process has ended by itself: what it had taken and not answered is lost.
-    pub fn ended_by_itself(&mut self, now: Duration, gateway: usize) {
+    pub fn on_gateway_exit(&mut self, now: Duration, gateway: usize) {
         let it = &mut self.gateways[gateway];
         if it.state != GatewayState::Down {
             (it.state, it.since, it.killed) = (GatewayState::Down, now, false);
@@ -1061,43 +1133,43 @@
     }
 
     /// So many connections of clients to a gateway have nothing open.
-    pub fn set_resting(&mut self, gateway: usize, connections: usize) {
+    pub fn set_idle_connections(&mut self, gateway: usize, connections: usize) {
         self.gateways[gateway].resting = connections;
     }
 
-    pub fn state(&self, gateway: usize) -> GatewayState {
+    pub fn gateway_state(&self, gateway: usize) -> GatewayState {
         self.gateways[gateway].state
     }
 
-    fn kill(&mut self, now: Duration, gateway: usize, acts: &mut Vec<Act>) {
+    fn kill(&mut self, now: Duration, gateway: usize, actions: &mut Vec<Action>) {
         let it = &mut self.gateways[gateway];
         let stopping = it.state == GatewayState::Stopping;
         (it.state, it.since, it.killed) = (GatewayState::Down, now, true);
         match stopping {
-            true => self.referee.stopped(now, gateway),
-            false => self.referee.killed(gateway),
+            true => self.rule_checker.stopped(now, gateway),
+            false => self.rule_checker.killed(gateway),
         }
-        acts.push(Act::Kill(gateway));
+        actions.push(Action::KillGateway(gateway));
     }
 
-    fn start(&mut self, now: Duration, gateway: usize, acts: &mut Vec<Act>) {
+    fn start(&mut self, now: Duration, gateway: usize, actions: &mut Vec<Action>) {
         let it = &mut self.gateways[gateway];
         (it.state, it.since) = (GatewayState::Starting, now);
-        self.referee.started(gateway);
-        acts.push(Act::Start(gateway));
+        self.rule_checker.started(gateway);
+        actions.push(Action::StartGateway(gateway));
     }
 
     /// A datagram from one gateway to another: after how long it arrives, if it does.
-    pub fn datagram(&mut self, now: Duration, from: usize, to: usize) -> Option<Duration> {
-        self.measure.at(now).datagrams += 1;
-        let net = &self.terms.network;
+    pub fn on_datagram(&mut self, now: Duration, from: usize, to: usize) -> Option<Duration> {
+        self.metrics.second_at(now).datagrams += 1;
+        let net = &self.experiment.network;
         let (lost, deaf) = (net.lost, if now < self.deaf.0 { self.deaf.1 } else { 0.0 });
-        let late = ms(net.peer_late_ms * self.chance.generate::<f64>()) + self.near();
+        let late = ms(net.peer_late_ms * self.chance.generate::<f64>()) + self.in_zone_delay();
         let drawn = self.chance.generate::<f64>();
-        if drawn < lost.max(deaf) || self.apart(now, from, to % self.terms.fleet.zones) {
+        if drawn < lost.max(deaf) || self.apart(now, from, to % self.experiment.fleet.zones) {
             return None;
         }
-        let rate = self.terms.network.peer_rate;
+        let rate = self.experiment.network.peer_rate;
         let it = &mut self.gateways[to];
         it.taken = (it.taken + now.saturating_sub(it.filled).as_secs_f64() * rate).min(rate);
         it.filled = now;
