--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -5,6 +5,7 @@
 pub mod capacity;
 pub mod clock;
 pub mod decision_engine;
+pub mod error;
 pub mod events;
 pub mod experiment;
 pub mod loopback;
