--- a/lab/src/stats/tests.rs
+++ b/lab/src/stats/tests.rs
@@ -6,9 +6,12 @@
     let off = 2.0 * (3.0f64 / 4.0).sqrt();
     let interval = Interval::of(&[5.0 - off, 5.0 + off, 5.0 - off, 5.0 + off]);
     assert!((interval.mean - 5.0).abs() < 1e-9);
-    assert!((interval.off.unwrap() - 3.182).abs() < 1e-3, "{interval}");
+    assert!(
+        (interval.half_width.unwrap() - 3.182).abs() < 1e-3,
+        "{interval}"
+    );
     assert!(interval.holds(8.0) && !interval.holds(8.3));
-    assert_eq!(Interval::of(&[1.0]).off, None);
+    assert_eq!(Interval::of(&[1.0]).half_width, None);
 }
 
 #[test]
@@ -38,5 +41,5 @@
         "{:?}",
         found.rows[0]
     );
-    assert!(found.rows[0].difference.off.unwrap() < 1e-9);
+    assert!(found.rows[0].difference.half_width.unwrap() < 1e-9);
 }
--- a/lab/src/validate.rs
+++ b/lab/src/validate.rs
@@ -1,5 +1,5 @@
-//! Does the model say what loopback measures? For a known change the model's difference of two variants, with
-//! the interval in which a measurement on the same number of seeds should fall, beside what loopback measures.
+//! Does the model say what loopback measures? For a known change: the difference of two variants in simulated
+//! time, with the interval in which a measurement should fall, beside the difference that loopback measures.
 
 use crate::error::LabError;
 use crate::experiment::{Engine, Experiment};
@@ -8,85 +8,111 @@
 use crate::stats;
 use serde::{Deserialize, Serialize};
 
-/// One change on one kind of day.
-#[derive(Clone, Debug, Serialize, Deserialize)]
+/// The model is played on at least so many seeds: fewer give no useful interval.
+const MIN_MODEL_SEEDS: usize = 3;
+
+/// One change in one experiment. Stored as JSON; renamed fields stay readable under their old names.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Trial {
+    /// Title of the experiment.
     pub experiment: String,
+    /// The variant that is compared with.
     pub base: String,
+    /// The variant that is compared.
     pub other: String,
+    /// The figure that is compared.
     pub figure: String,
-    /// The model's difference, and how far from it a measurement may lie.
+    /// The model's difference.
     pub model: f64,
-    pub off: f64,
+    /// How far from it a measurement may lie.
+    #[serde(alias = "off")]
+    pub tolerance: f64,
+    /// The difference that loopback measured.
     pub measured: f64,
+    /// On so many seeds.
     pub measured_seeds: usize,
-    /// Loopback runs on which the laboratory ran late.
+    /// Loopback runs in which the laboratory itself ran late.
     pub late: usize,
 }
 
 impl Trial {
+    /// Whether the measurement lies where the model says.
     pub fn holds(&self) -> bool {
-        (self.model - self.measured).abs() <= self.off
+        (self.model - self.measured).abs() <= self.tolerance
     }
 }
 
-/// The model's differences by seed.
+/// How many seeds each engine plays.
+#[derive(Clone, Copy, Debug)]
+pub struct SeedCounts {
+    /// In simulated time.
+    pub model: usize,
+    /// On loopback.
+    pub loopback: usize,
+}
+
+/// A figure's differences of two variants, by seed. A figure that does not exist counts as 0.
 fn differences(results: &[Results], base: &str, other: &str, figure: &str) -> Vec<f64> {
-    let value = |it: &Results| it.figure(figure).unwrap_or(0.0);
-    let all: Vec<&Results> = results.iter().collect();
-    let pairs = stats::pairs(&all, base, other)
-        .into_iter()
-        .filter(stats::in_time);
-    pairs.map(|(one, two)| value(two) - value(one)).collect()
+    let runs: Vec<&Results> = results.iter().collect();
+    let mut differences = Vec::new();
+    for pair in stats::pairs(&runs, base, other) {
+        if pair.in_time() {
+            let base_value = pair.base.figure(figure).unwrap_or(0.0);
+            let other_value = pair.other.figure(figure).unwrap_or(0.0);
+            differences.push(other_value - base_value);
+        }
+    }
+    differences
 }
 
-/// Where a mean over `count` seeds should fall, from the model's differences: half the width of 95%.
-pub fn reach(differences: &[f64], count: usize) -> f64 {
-    stats::half_width(
-        differences,
-        1.0 / differences.len() as f64 + 1.0 / count.max(1) as f64,
-    )
+/// How far from the model's mean a mean over `count` seeds may lie: half the width of 95%.
+fn measurement_tolerance(differences: &[f64], count: usize) -> f64 {
+    let share = 1.0 / differences.len() as f64 + 1.0 / count.max(1) as f64;
+    stats::half_width(differences, share)
 }
 
-/// Plays every variant of an experiment against its first in both engines. `model_seeds` in simulated time,
-/// `seeds` on loopback.
+/// Plays every variant of an experiment against its first in both engines. `on_run` hears of each run's end.
 pub fn trials(
     experiment: &Experiment,
     ways: &Ways,
-    (model_seeds, seeds): (usize, usize),
+    seeds: SeedCounts,
     figure: &str,
-    told: &(dyn Fn(&Result<Results, LabError>) + Sync),
+    on_run: &(dyn Fn(&Result<Results, LabError>) + Sync),
 ) -> Result<Vec<Trial>, LabError> {
-    let engine = |engine, count: usize| Ways {
-        engine: Some(engine),
-        seeds: Some((1..=count.max(1) as u64).collect()),
-        ..ways.clone()
-    };
-    let model = runs::all(
-        experiment,
-        &engine(Engine::Simulated, model_seeds.max(3)),
-        told,
-    )?;
-    let loopback = runs::all(experiment, &engine(Engine::Loopback, seeds), told)?;
-    let sides = experiment.sides();
-    let trial = |other: &crate::experiment::Variant| {
-        let base = &sides[0].name;
-        let simulated = differences(&model, base, &other.name, figure);
-        let measured = differences(&loopback, base, &other.name, figure);
-        let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len().max(1) as f64;
-        Trial {
+    let model_seeds = seeds.model.max(MIN_MODEL_SEEDS);
+    let model_ways = ways_of(ways, Engine::Simulated, model_seeds);
+    let loopback_ways = ways_of(ways, Engine::Loopback, seeds.loopback);
+    let model = runs::all(experiment, &model_ways, on_run)?;
+    let loopback = runs::all(experiment, &loopback_ways, on_run)?;
+    let variants = experiment.sides();
+    let base = &variants[0].name;
+    let mut trials = Vec::new();
+    for variant in &variants[1..] {
+        let simulated = differences(&model, base, &variant.name, figure);
+        let measured = differences(&loopback, base, &variant.name, figure);
+        let late = loopback.iter().filter(|run| run.lateness.excessive);
+        trials.push(Trial {
             experiment: experiment.title.clone(),
             base: base.clone(),
-            other: other.name.clone(),
+            other: variant.name.clone(),
             figure: figure.to_string(),
-            model: mean(&simulated),
-            off: reach(&simulated, measured.len()),
-            measured: mean(&measured),
+            model: stats::mean(&simulated),
+            tolerance: measurement_tolerance(&simulated, measured.len()),
+            measured: stats::mean(&measured),
             measured_seeds: measured.len(),
-            late: loopback.iter().filter(|it| it.lateness.excessive).count(),
-        }
-    };
-    Ok(sides[1..].iter().map(trial).collect())
+            late: late.count(),
+        });
+    }
+    Ok(trials)
+}
+
+/// How an engine plays the first seeds.
+fn ways_of(ways: &Ways, engine: Engine, seed_count: usize) -> Ways {
+    Ways {
+        engine: Some(engine),
+        seeds: Some((1..=seed_count.max(1) as u64).collect()),
+        ..ways.clone()
+    }
 }
 
 #[cfg(test)]
--- a/tool/src/lab.rs
+++ b/tool/src/lab.rs
@@ -466,7 +466,7 @@
         let Some(net) = net else {
             return Err(Short::Fell("nothing is left to compare".into()));
         };
-        let best = net.difference.mean + net.difference.off.unwrap_or(0.0);
+        let best = net.difference.mean + net.difference.half_width.unwrap_or(0.0);
         if best < -most {
             let why = format!(
                 "{}: net {} against {}",
@@ -554,7 +554,10 @@
         all.extend(validate::trials(
             &experiment,
             &ways,
-            (it.model_seeds, it.seeds),
+            validate::SeedCounts {
+                model: it.model_seeds,
+                loopback: it.seeds,
+            },
             &it.figure,
             &told,
         )?);
@@ -573,7 +576,7 @@
             .chars()
             .take(44)
             .collect();
-        let model = format!("{:+.3} ± {:.3}", trial.model, trial.off);
+        let model = format!("{:+.3} ± {:.3}", trial.model, trial.tolerance);
         let holds = if trial.holds() { "yes" } else { "no" };
         println!("{name:<44} {model:>18} {:>+9.3} {holds:>6}", trial.measured);
     }
@@ -607,12 +610,12 @@
         "{:>9} {:>8} {:>9} {:>9} {:>9} {:>10} {:>8}",
         "calls/s", "proxied", "p50 ms", "p99 ms", "cpu/call", "lab late", "borne"
     );
-    let rest = runs::one(
-        &capacity::day(0.0, it.seconds, !it.no_counter),
-        &Variant::default(),
-        1,
-        &ways,
-    )?;
+    let test = capacity::CapacityTest {
+        p99_ms: it.p99_ms,
+        counter: !it.no_counter,
+        seconds: it.seconds,
+    };
+    let rest = runs::one(&test.experiment(0.0), &Variant::default(), 1, &ways)?;
     let mut told = |step: &capacity::Step| {
         let results = &step.results;
         let each = results.gateway_cpu_seconds
@@ -624,16 +627,16 @@
                 .max(1) as f64);
         println!(
             "{:>9.0} {:>8} {:>9.2} {:>9.2} {:>6.0} us {:>7.1} ms {:>8}",
-            step.calls,
+            step.rate,
             results.totals.succeeded,
             results.succeeded_ms.p50,
             results.succeeded_ms.p99,
             each * 1e6,
             results.lateness.p99_ms,
-            if step.borne { "yes" } else { "no" }
+            if step.sustained { "yes" } else { "no" }
         );
     };
-    let borne = capacity::search(&ways, it.p99_ms, !it.no_counter, it.seconds, &mut told)?;
+    let borne = test.search(&ways, &mut told)?;
     println!(
         "borne at p99 under {} ms: {borne:.0} API calls a second",
         it.p99_ms
