--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -4,6 +4,7 @@
 use crate::client::{Client, IDLE};
 use crate::lingering::Lingering;
 use crate::reactor::{Notification, Reactor, Serial, Side};
+use crate::readiness::Readiness;
 use crate::requests::{OpenRequests, ResponseSlot};
 use crate::resp;
 use crate::stream::BufferedStream;
@@ -180,15 +181,21 @@
         self.pump(reactor, key, requests);
     }
 
-    pub fn ready(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
-        if reactor.broken {
+    pub fn ready(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        readiness: Readiness,
+        requests: &mut OpenRequests,
+    ) {
+        if readiness.is_broken() {
             return self.close(reactor, key, requests);
         }
         let Some(client) = self.connections.get(key) else {
             return;
         };
         // Its end is told once. One that is not read any further must not be missed.
-        if reactor.ending && (client.held_up || client.closing) {
+        if readiness.has_peer_stopped_sending() && (client.held_up || client.closing) {
             self.sending_ended(reactor, key, requests);
         }
         let Some(client) = self.connections.get_mut(key) else {
