--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -1,186 +1,151 @@
-//! Clients' connections: takes their commands as they come, piped or in pieces, and answers each in its
-//! order.
+//! Clients' connections: takes their commands as they come, piped or in pieces, and answers each in its order.
 
-use crate::client::{Client, IDLE};
+mod listener;
+
+use crate::client::{Client, GatewayStatus, MAX_IDLE};
 use crate::lingering::Lingering;
 use crate::reactor::{Notification, Reactor, Serial, Side};
 use crate::requests::{OpenRequests, ResponseSlot};
 use crate::resp;
 use crate::stream::BufferedStream;
-use mio::net::TcpListener;
-use mio::Interest;
+use listener::{Accepted, Listener};
+use mio::net::TcpStream;
 use slab::Slab;
-use socket2::{Domain, Socket, Type};
 use std::io;
 use std::net::SocketAddr;
 
-/// Errors of a connection that waited and is gone, which accept(2) passes on: the next one is taken at once.
-const PASSED_ON: [i32; 12] = [
-    libc::ECONNABORTED,
-    libc::EINTR,
-    libc::ENETDOWN,
-    libc::EPROTO,
-    libc::ENOPROTOOPT,
-    libc::EHOSTDOWN,
-    libc::ENONET,
-    libc::EHOSTUNREACH,
-    libc::EOPNOTSUPP,
-    libc::ENETUNREACH,
-    libc::ETIMEDOUT,
-    libc::ECONNRESET,
-];
-
-/// So many connections may wait to be accepted, as far as the system allows. One beyond them comes up a second late.
-const QUEUE: i32 = 4096;
-
-/// So many commands of one connection may wait for their answers: what comes behind them waits for those before it, whose
-/// time does not count, and a flood does not fill the memory within a turn.
-const PIPED: usize = 1024;
-
 /// So many connections may linger beyond the clients' budget.
-const SPARE: usize = 2;
+const SPARE_LINGERING: usize = 2;
 
-pub struct Clients {
-    listener: TcpListener,
+/// All connections of clients.
+pub(crate) struct Clients {
+    listener: Listener,
     connections: Slab<Client>,
     lingering: Lingering,
-    /// Accepting was left off for want of sockets; a connection has since ended or become idle.
-    waiting: bool,
-    room: bool,
-    /// The system has refused to accept, and has not accepted since.
-    refused: bool,
-    /// Held up connections that may go on.
-    resume: Vec<usize>,
-    /// A server list is known.
-    pub ready: bool,
+    /// Accepting was left off, for want of sockets or since the system refused.
+    is_accept_paused: bool,
+    /// A connection has ended or become idle since: accepting may go on.
+    may_resume_accept: bool,
+    /// Paused connections that may go on.
+    resumable: Vec<usize>,
+    /// The gateway may say that it is ready: an endpoint list is known, or has not come for long.
+    pub(crate) ready: bool,
 }
 
-fn listener(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
-    socket.set_reuse_address(true)?;
-    socket.set_nonblocking(true)?;
-    socket.bind(&at.into())?;
-    socket.listen(QUEUE)?;
-    Ok(TcpListener::from_std(socket.into()))
+/// Whether there is no room for further requests: too many are open, or the memory could not take the value that each of
+/// them may bring yet.
+fn is_full(reactor: &Reactor, requests: &OpenRequests) -> bool {
+    let max_open = reactor.settings.limits.max_open_requests as usize;
+    let bytes_in_prospect = reactor.held + requests.len() * resp::VALUE;
+    bytes_in_prospect > reactor.budget.bytes || (max_open > 0 && requests.len() >= max_open)
 }
 
 impl Clients {
-    pub fn listen(reactor: &mut Reactor, at: SocketAddr) -> io::Result<Clients> {
-        let mut listener = listener(at)?;
-        reactor
-            .registry
-            .register(&mut listener, Side::Listener.token(0), Interest::READABLE)?;
-        let connections = Slab::new();
-        let (waiting, room, refused, ready, resume) = (false, false, false, false, vec![]);
-        let lingering = Lingering::default();
+    /// Listens for clients at an address.
+    pub(crate) fn listen(reactor: &mut Reactor, address: SocketAddr) -> io::Result<Clients> {
         Ok(Clients {
-            listener,
-            connections,
-            lingering,
-            waiting,
-            room,
-            refused,
-            resume,
-            ready,
+            listener: Listener::bind(reactor, address)?,
+            connections: Slab::new(),
+            lingering: Lingering::default(),
+            is_accept_paused: false,
+            may_resume_accept: false,
+            resumable: Vec::new(),
+            ready: false,
         })
     }
 
-    /// Connections, with those that the gateway has ended and the client has not yet.
-    pub fn len(&self) -> usize {
+    /// How many connections there are, with those that the gateway has ended and the client has not yet.
+    pub(crate) fn len(&self) -> usize {
         self.connections.len() + self.lingering.len()
     }
 
+    fn is_budget_used(&self, reactor: &Reactor) -> bool {
+        self.connections.len() >= reactor.budget.clients
+    }
+
     /// Accepts what waits; when short of sockets an idle connection makes room, else the rest waits on.
-    pub fn accept(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
-        self.waiting = false;
+    pub(crate) fn accept(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
+        self.is_accept_paused = false;
         loop {
-            // What goes for a new connection is ended only when there is one.
-            let full = |clients: &Clients, reactor: &Reactor| {
-                clients.connections.len() >= reactor.budget.clients
-            };
-            let oldest = if full(self, reactor) {
-                self.idle_longest(reactor, requests)
-            } else {
-                None
-            };
-            if oldest.is_none() && full(self, reactor) {
-                self.waiting = true;
+            let mut evictable = None;
+            if self.is_budget_used(reactor) {
+                evictable = self.find_evictable(reactor, requests);
+            }
+            if evictable.is_none() && self.is_budget_used(reactor) {
+                self.is_accept_paused = true;
                 return;
             }
-            let socket = match self.listener.accept() {
-                Ok((socket, _)) => socket,
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                Err(error)
-                    if error
-                        .raw_os_error()
-                        .is_some_and(|it| PASSED_ON.contains(&it)) =>
-                {
-                    continue
-                }
-                Err(error) => {
-                    if !std::mem::replace(&mut self.refused, true) {
-                        slog::warn!(reactor.log, "cannot accept, trying again soon"; "error" => %error);
-                    }
-                    self.waiting = true;
+            let socket = match self.listener.accept(reactor) {
+                Accepted::Connection(socket) => socket,
+                Accepted::ConnectionGone => continue,
+                Accepted::NoneWaiting => return,
+                Accepted::Failed => {
+                    self.is_accept_paused = true;
                     return;
                 }
             };
-            self.refused = false;
-            if let Some(key) = oldest {
+            // What goes for a new connection is ended only when there is one.
+            if let Some(key) = evictable {
                 self.end(reactor, key, requests);
             }
-            while self.len() >= reactor.budget.clients + SPARE && self.lingering.give_up(reactor) {}
-            let key = self.connections.vacant_key();
-            let stream = BufferedStream::accepted(reactor, socket, Side::Client, key);
-            let client = Client::new(stream, reactor.serial(), reactor.now);
-            self.connections.insert(client);
+            self.insert(reactor, socket);
         }
     }
 
-    /// The connection to go for another one: that of a client that has asked nothing yet, else one that has
-    /// been idle longest.
-    fn idle_longest(
+    fn insert(&mut self, reactor: &mut Reactor, socket: TcpStream) {
+        let most = reactor.budget.clients + SPARE_LINGERING;
+        while self.len() >= most && self.lingering.evict_oldest(reactor) {}
+        let key = self.connections.vacant_key();
+        let stream = BufferedStream::accepted(reactor, socket, Side::Client, key);
+        let client = Client::new(stream, reactor.serial(), reactor.now);
+        self.connections.insert(client);
+    }
+
+    /// The connection to go for another one: that of a client that has asked nothing yet, else one that has been idle for
+    /// longest.
+    fn find_evictable(
         &mut self,
         reactor: &mut Reactor,
         requests: &mut OpenRequests,
     ) -> Option<usize> {
         loop {
-            let idle = self
+            let (key, _) = self
                 .connections
                 .iter()
-                .filter(|(_, client)| client.makes_room(reactor));
-            let (key, _) = idle.min_by_key(|(_, client)| (client.known, client.used))?;
-            self.meet_unread(reactor, key, requests);
-            if self
+                .filter(|(_, client)| client.is_evictable(reactor))
+                .min_by_key(|(_, client)| (client.has_asked, client.last_active))?;
+            self.take_unread(reactor, key, requests);
+            let stays_evictable = self
                 .connections
                 .get(key)
-                .is_some_and(|client| client.makes_room(reactor))
-            {
+                .is_some_and(|client| client.is_evictable(reactor));
+            if stays_evictable {
                 return Some(key);
             }
         }
     }
 
-    /// Takes what has come and not been told yet; says whether that was nothing.
+    /// Takes what has come and the poll has not told of yet; returns whether the connection is idle still.
     fn stays_idle(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
         requests: &mut OpenRequests,
     ) -> bool {
-        self.meet_unread(reactor, key, requests);
+        self.take_unread(reactor, key, requests);
         self.connections
             .get(key)
-            .is_some_and(|client| client.idle(reactor))
+            .is_some_and(|client| client.is_idle(reactor))
     }
 
-    /// Takes what has come on a connection and not been told yet.
-    fn meet_unread(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
+    /// Takes what has come on a connection and the poll has not told of yet.
+    fn take_unread(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         self.connections[key].stream.read_would_block = false;
-        self.pump(reactor, key, requests);
+        self.read_commands(reactor, key, requests);
     }
 
-    pub fn ready(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
+    /// The poll tells of a connection.
+    pub(crate) fn ready(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         if reactor.broken {
             return self.close(reactor, key, requests);
         }
@@ -188,8 +153,8 @@
             return;
         };
         // Its end is told once. One that is not read any further must not be missed.
-        if reactor.ending && (client.held_up || client.closing) {
-            self.sending_ended(reactor, key, requests);
+        if reactor.ending && (client.is_paused() || client.is_closing()) {
+            self.on_peer_closed(reactor, key, requests);
         }
         let Some(client) = self.connections.get_mut(key) else {
             return;
@@ -198,153 +163,156 @@
         if client.stream.pending_bytes() > 0 {
             self.flush(reactor, key, requests);
         }
-        self.pump(reactor, key, requests);
+        self.read_commands(reactor, key, requests);
     }
 
     /// Takes commands and reads on, until there is no more or no room.
-    fn pump(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
-        loop {
-            if !self.take(reactor, key, requests) {
-                return;
-            }
+    fn read_commands(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
+        while self.take_commands(reactor, key, requests) {
             let client = &mut self.connections[key];
             if client.stream.read_would_block {
                 return;
             }
-            let begun = !client.stream.input.is_empty();
+            let was_empty = client.stream.input.is_empty();
             if !client.stream.read(reactor, resp::WHOLE) {
-                return match client.stream.has_failed {
-                    true => self.close(reactor, key, requests),
-                    false => self.sending_ended(reactor, key, requests),
-                };
+                return self.on_read_end(reactor, key, requests);
             }
-            if !begun && !client.stream.input.is_empty() {
-                client.used = reactor.now;
+            if was_empty && !client.stream.input.is_empty() {
+                client.last_active = reactor.now;
             }
         }
     }
 
-    /// Takes the whole commands in the input. False if the connection is to be read no further now.
-    fn take(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) -> bool {
+    /// A connection can't be read any further: it failed, or the client has ended its sending.
+    fn on_read_end(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
+        if self.connections[key].stream.has_failed {
+            self.close(reactor, key, requests);
+        } else {
+            self.on_peer_closed(reactor, key, requests);
+        }
+    }
+
+    /// Takes the whole commands in the input. Returns false if the connection is to be read no further now.
+    fn take_commands(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        requests: &mut OpenRequests,
+    ) -> bool {
         let Some(client) = self.connections.get_mut(key) else {
             return false;
         };
-        client.held_up = false;
-        let (input, mut took) = (std::mem::take(&mut client.stream.input), 0);
-        while !client.closing && took < input.len() {
-            let bytes = &input[took..];
+        client.resume();
+        let input = std::mem::take(&mut client.stream.input);
+        let mut consumed = 0;
+        while !client.is_closing() && consumed < input.len() {
+            let bytes = &input[consumed..];
             match resp::command(bytes) {
                 // What is no whole command yet must end within the size of one.
                 Ok(None) if bytes.len() < resp::WHOLE => break,
-                Ok(None) => client.malformed(reactor, "too long a command"),
-                Ok(Some((words, end))) => {
-                    let most = reactor.settings.limits.max_open_requests as usize;
-                    // Each open API call may yet bring a whole value.
-                    let crowded =
-                        reactor.held + requests.len() * resp::VALUE > reactor.budget.bytes;
-                    // A client that takes no answers, or has asked much and not been answered, is read no further. What there is no room for is refused: it
-                    // may not wait for others to end, past its own client's time.
-                    let behind =
-                        client.stream.pending_bytes() > resp::WHOLE || client.slots.len() >= PIPED;
-                    client.held_up = !client.half_closed && behind;
-                    if client.held_up {
+                Ok(None) => client.reject_input(reactor, "too long a command"),
+                Err(reason) => client.reject_input(reactor, reason),
+                Ok(Some((words, length))) => {
+                    if client.pause_if_behind() {
                         break;
                     }
-                    let full = crowded || (most > 0 && requests.len() >= most);
-                    client.command(
-                        reactor,
-                        key,
-                        &bytes[..end],
-                        words,
-                        requests,
-                        (self.ready, full),
-                    );
-                    (took, client.used) = (took + end, reactor.now);
+                    // What there is no room for is refused: it may not wait for others to end, past its own client's
+                    // time.
+                    let gateway = GatewayStatus {
+                        is_ready: self.ready,
+                        is_full: is_full(reactor, requests),
+                    };
+                    let command = &bytes[..length];
+                    client.handle_command(reactor, key, command, words, requests, gateway);
+                    consumed += length;
+                    client.last_active = reactor.now;
                 }
-                Err(why) => client.malformed(reactor, why),
             }
         }
         client.stream.input = input;
-        client.stream.consume(reactor, took);
-        !client.closing && !client.held_up
+        client.stream.consume(reactor, consumed);
+        !client.is_closing() && !client.is_paused()
     }
 
-    /// The client has ended its sending: what has come whole is refused, what is out is given up, and the connection ends
-    /// behind the last answer.
-    fn sending_ended(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
+    /// The client has ended its sending: what has come whole is refused, what is in flight is given up, and the connection
+    /// ends behind the last answer.
+    fn on_peer_closed(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         let Some(client) = self.connections.get_mut(key) else {
             return;
         };
-        if client.half_closed {
+        if client.has_peer_closed() {
             return;
         }
-        client.half_closed = true;
+        client.take_last_commands();
         let open: Vec<Serial> = client
-            .slots
+            .pending_commands
             .iter()
-            .filter_map(|slot| slot.request)
+            .filter_map(|command| command.request)
             .collect();
-        self.take(reactor, key, requests);
+        self.take_commands(reactor, key, requests);
         let Some(client) = self.connections.get_mut(key) else {
             return;
         };
-        (client.closing, client.held_up) = (true, false);
+        client.stop_reading();
         reactor.tally.gone += open.len() as u64;
-        let left = open
+        let given_up = open
             .into_iter()
             .filter_map(|request| requests.mark_client_left(request));
         reactor
             .notifications
-            .extend(left.map(Notification::Expired));
-        if self.connections[key].quiet() {
+            .extend(given_up.map(Notification::Expired));
+        if client.is_quiescent() {
             self.end(reactor, key, requests);
         }
     }
 
     /// Writes an answer, now if all before it are answered.
-    pub fn answer(
+    pub(crate) fn answer(
         &mut self,
         reactor: &mut Reactor,
         slot: ResponseSlot,
         write: impl FnOnce(&mut Vec<u8>),
     ) {
-        let client = self
+        let Some(client) = self
             .connections
             .get_mut(slot.key)
-            .filter(|it| it.connection == slot.connection);
-        let Some(client) = client else { return };
-        client.answer(reactor, slot.number, write);
-        if client.held_up {
-            self.resume.push(slot.key);
+            .filter(|client| client.connection == slot.connection)
+        else {
+            return;
+        };
+        client.respond(reactor, slot.number, write);
+        if client.is_paused() {
+            self.resumable.push(slot.key);
         }
     }
 
-    pub fn flush(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
+    /// Writes what it can of a connection's answers, and ends the connection where it is to end behind them.
+    pub(crate) fn flush(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         let Some(client) = self.connections.get_mut(key) else {
             return;
         };
-        match client.stream.flush(reactor) {
-            Ok(moved) => {
-                client.used = if moved { reactor.now } else { client.used };
-                if client.held_up && moved {
-                    self.resume.push(key);
-                }
-                let quiet = client.quiet();
-                self.room |= quiet;
-                let leaves = reactor.closing() && client.idle(reactor);
-                if (client.closing && quiet) || (leaves && self.stays_idle(reactor, key, requests))
-                {
-                    self.end(reactor, key, requests);
-                }
+        let Ok(has_progressed) = client.stream.flush(reactor) else {
+            return self.close(reactor, key, requests);
+        };
+        if has_progressed {
+            client.last_active = reactor.now;
+            if client.is_paused() {
+                self.resumable.push(key);
             }
-            Err(_) => self.close(reactor, key, requests),
+        }
+        let is_quiescent = client.is_quiescent();
+        self.may_resume_accept |= is_quiescent;
+        let ends = client.is_closing() && is_quiescent;
+        let may_end = reactor.closing() && client.is_idle(reactor);
+        if ends || (may_end && self.stays_idle(reactor, key, requests)) {
+            self.end(reactor, key, requests);
         }
     }
 
     /// Ends a connection with nothing open and all of its answers written.
     fn end(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         if let Some(client) = self.remove(reactor, key, requests) {
-            self.lingering.end(reactor, client.stream);
+            self.lingering.end_connection(reactor, client.stream);
         }
     }
 
@@ -355,13 +323,13 @@
         }
     }
 
-    /// What a connection that the gateway has ended still sends.
-    pub fn ending(&mut self, reactor: &mut Reactor, key: usize) {
-        self.lingering.ready(reactor, key);
-        self.room = true;
+    /// The poll tells of a connection that the gateway has ended.
+    pub(crate) fn ending(&mut self, reactor: &mut Reactor, key: usize) {
+        self.lingering.discard_input(reactor, key);
+        self.may_resume_accept = true;
     }
 
-    /// Open requests of a connection that goes have nobody to answer any more.
+    /// Takes a connection out; its open requests have nobody to answer any more.
     fn remove(
         &mut self,
         reactor: &mut Reactor,
@@ -369,123 +337,126 @@
         requests: &mut OpenRequests,
     ) -> Option<Client> {
         let mut client = self.connections.try_remove(key)?;
-        for slot in client.slots.drain(..) {
-            reactor.freed(slot.answer.map_or(0, |answer| answer.len()));
-            if let Some(call) = slot
+        for command in client.pending_commands.drain(..) {
+            reactor.freed(command.answer.map_or(0, |answer| answer.len()));
+            let given_up = command
                 .request
-                .and_then(|request| requests.mark_client_left(request))
-            {
-                reactor.notifications.push_back(Notification::Gone(call));
+                .and_then(|request| requests.mark_client_left(request));
+            if let Some(request) = given_up {
+                reactor.notifications.push_back(Notification::Gone(request));
             }
         }
-        self.room = true;
+        self.may_resume_accept = true;
         Some(client)
     }
 
-    /// Lets connections go on that an answer, a write or an end has made room for: those held up, and those
-    /// not accepted yet. The one place for it: to accept may close a connection, which may not accept again
-    /// from within. Says if there were any.
-    pub fn resume(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) -> bool {
-        if std::mem::take(&mut self.room) && self.waiting {
+    /// Lets connections go on that an answer, a write or an end has made room for: those paused, and those not accepted
+    /// yet. The one place for it: to accept may close a connection, which may not accept again from within. Returns whether
+    /// there were any.
+    pub(crate) fn resume(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) -> bool {
+        if std::mem::take(&mut self.may_resume_accept) && self.is_accept_paused {
             self.accept(reactor, requests);
             return true;
         }
-        let keys = std::mem::take(&mut self.resume);
+        let keys = std::mem::take(&mut self.resumable);
         for key in &keys {
-            if self
-                .connections
-                .get(*key)
-                .is_some_and(|client| client.held_up)
-            {
-                self.pump(reactor, *key, requests);
+            if self.connections.get(*key).is_some_and(Client::is_paused) {
+                self.read_commands(reactor, *key, requests);
             }
         }
         !keys.is_empty()
     }
 
-    /// At each tick: who has asked nothing that can be taken for so long, or has left a command unfinished, is
-    /// told so and closed; so are clients between two requests, where they hold most of the connections.
-    pub fn sweep_idle(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
+    /// At each tick: who has asked nothing that can be taken for so long, or has left a command unfinished, is told so and
+    /// closed; so are clients between two requests, where they hold most of the connections.
+    pub(crate) fn sweep_idle(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         // Who waits to be accepted is looked at again: some may have stood idle for long enough by now to make room.
-        self.room |= self.lingering.sweep(reactor) || self.waiting;
+        self.may_resume_accept |= self.lingering.close_expired(reactor) || self.is_accept_paused;
         for (_, client) in &mut self.connections {
             // One that the poll could not take when it came.
             let _ = client.stream.register(reactor);
         }
-        let (crowded, now) = (
-            self.connections.len() * 2 > reactor.budget.clients,
-            reactor.now,
-        );
-        let over = |client: &Client| {
-            let done = client.known && client.stream.input.is_empty();
-            client.quiet() && client.used + IDLE <= now && (crowded || !done)
-        };
-        for key in self.keys(over) {
-            self.meet_unread(reactor, key, requests);
-            match self.connections.get_mut(key).filter(|client| over(client)) {
-                Some(client) if client.stream.input.is_empty() => self.end(reactor, key, requests),
-                Some(client) => client.malformed(reactor, "too slow a command"),
-                None => (),
+        let now = reactor.now;
+        let are_scarce = self.connections.len() * 2 > reactor.budget.clients;
+        for key in self.keys(|client| client.is_overdue(now, are_scarce)) {
+            self.take_unread(reactor, key, requests);
+            let Some(client) = self
+                .connections
+                .get_mut(key)
+                .filter(|client| client.is_overdue(now, are_scarce))
+            else {
+                continue;
+            };
+            if client.stream.input.is_empty() {
+                self.end(reactor, key, requests);
+            } else {
+                client.reject_input(reactor, "too slow a command");
             }
         }
     }
 
-    /// Once a second: who does not take its answers for longer than any client waits is closed, and, when
-    /// memory is short, the largest half commands of clients with nothing open; others held up get a new
-    /// chance.
-    pub fn sweep(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
+    /// Once a second: who does not take its answers for longer than any client waits is closed, and, when memory is short,
+    /// the largest half commands of clients with nothing open; others that are paused get a new chance.
+    pub(crate) fn sweep(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
+        let now = reactor.now;
         // A client waits no longer for an answer.
-        let longest = reactor.settings.longest_timeout().max(IDLE);
-        let stuck = |client: &Client| {
-            client.stream.pending_bytes() > 0 && client.used + longest < reactor.now
-        };
-        for key in self.keys(stuck) {
+        let patience = reactor.settings.longest_timeout().max(MAX_IDLE);
+        for key in self.keys(|client| client.is_stuck(now, patience)) {
             self.close(reactor, key, requests);
         }
         while reactor.held > reactor.budget.bytes {
-            let stalled = reactor.now.saturating_sub(reactor.connect_timeout());
-            let half = self.connections.iter().filter(|(_, client)| {
-                client.quiet() && !client.stream.input.is_empty() && client.used < stalled
-            });
-            let Some((key, _)) = half.max_by_key(|(_, client)| client.stream.input.len()) else {
+            let Some(key) = self.largest_stalled_command(reactor) else {
                 break;
             };
             slog::warn!(reactor.log, "memory is short: a half command is dropped"; "held" => reactor.held);
             self.end(reactor, key, requests);
         }
-        self.resume = self.keys(|client| client.held_up);
-        self.room = true;
+        self.resumable = self.keys(Client::is_paused);
+        self.may_resume_accept = true;
+    }
+
+    /// The connection with the largest half command that waits for its rest for longer than a connection may take to come
+    /// up.
+    fn largest_stalled_command(&self, reactor: &Reactor) -> Option<usize> {
+        let stalled_since = reactor.now.saturating_sub(reactor.connect_timeout());
+        self.connections
+            .iter()
+            .filter(|(_, client)| client.has_stalled_command(stalled_since))
+            .max_by_key(|(_, client)| client.stream.input.len())
+            .map(|(key, _)| key)
     }
 
     /// The gateway stops: connections with nothing open are ended, unless something has just come.
-    pub fn end_idle(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
-        for key in self.keys(|client| client.idle(reactor)) {
+    pub(crate) fn end_idle(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
+        for key in self.keys(|client| client.is_idle(reactor)) {
             if self.connections.contains(key) && self.stays_idle(reactor, key, requests) {
                 self.end(reactor, key, requests);
             }
         }
     }
 
-    /// The gateway is at its end: what has come whole by now is taken, nothing is read any more, and each connection
-    /// ends behind its last answer.
-    pub fn last_answers(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
-        for key in self.keys(|client| !client.closing) {
+    /// The gateway is at its end: what has come whole by now is taken, nothing is read any more, and each connection ends
+    /// behind its last answer.
+    pub(crate) fn last_answers(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
+        for key in self.keys(|client| !client.is_closing()) {
             if self.connections.contains(key) {
-                self.meet_unread(reactor, key, requests);
+                self.take_unread(reactor, key, requests);
             }
             if let Some(client) = self.connections.get_mut(key) {
-                client.closing |= !client.held_up;
+                if !client.is_paused() {
+                    client.stop_reading();
+                }
             }
         }
-        for key in self.keys(|client| client.closing && client.quiet()) {
+        for key in self.keys(|client| client.is_closing() && client.is_quiescent()) {
             self.end(reactor, key, requests);
         }
     }
 
-    fn keys(&self, which: impl Fn(&Client) -> bool) -> Vec<usize> {
+    fn keys(&self, is_wanted: impl Fn(&Client) -> bool) -> Vec<usize> {
         self.connections
             .iter()
-            .filter(|(_, client)| which(client))
+            .filter(|(_, client)| is_wanted(client))
             .map(|(key, _)| key)
             .collect()
     }
--- a/edge/src/lingering.rs
+++ b/edge/src/lingering.rs
@@ -3,38 +3,44 @@
 //! over bytes that have come and were not read would reset the connection, and take the last answer along; to serve
 //! what crossed the end would answer into a connection that is shut.
 //!
-//! Harm: a connection holds its descriptor for a while longer. It counts as the clients' own, and goes first where one
-//! is wanted.
+//! Trade-off: a connection holds its descriptor for a while longer. It counts as the clients' own, and goes first where
+//! one is wanted.
 
 use crate::reactor::{Reactor, Side};
 use crate::stream::BufferedStream;
 use slab::Slab;
 use std::time::Duration;
 
-/// The other side's end is waited for as long as a connection may take to come up, within these.
-const LEAST: Duration = Duration::from_millis(200);
-const MOST: Duration = Duration::from_secs(1);
-/// And no more than this is read of what it still sends.
-const BYTES: usize = 1 << 20;
+/// The other side's end is waited for as long as a connection may take to come up, within these bounds.
+const MIN_LINGER: Duration = Duration::from_millis(200);
+const MAX_LINGER: Duration = Duration::from_secs(1);
 
-struct Ending {
+/// No more bytes than this are read of what the other side still sends.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
+
+/// A connection whose sending is shut down.
+struct LingeringConnection {
     stream: BufferedStream,
-    until: Duration,
-    bytes: usize,
+    /// Until when the other side's end is waited for.
+    deadline: Duration,
+    /// How many bytes more are read and dropped.
+    allowance: usize,
 }
 
+/// All connections whose sending is shut down.
 #[derive(Default)]
-pub struct Lingering {
-    connections: Slab<Ending>,
+pub(crate) struct Lingering {
+    connections: Slab<LingeringConnection>,
 }
 
 impl Lingering {
-    pub fn len(&self) -> usize {
+    /// How many there are.
+    pub(crate) fn len(&self) -> usize {
         self.connections.len()
     }
 
     /// Ends a connection on which all is written: the one way in which the gateway ends one that a client holds.
-    pub fn end(&mut self, reactor: &mut Reactor, mut stream: BufferedStream) {
+    pub(crate) fn end_connection(&mut self, reactor: &mut Reactor, mut stream: BufferedStream) {
         let key = self.connections.vacant_key();
         if stream
             .shut_down_sending(reactor, Side::Lingering, key)
@@ -42,46 +48,53 @@
         {
             return stream.close(reactor);
         }
-        let wait = reactor.connect_timeout().clamp(LEAST, MOST);
-        self.connections.insert(Ending {
+        let linger = reactor.connect_timeout().clamp(MIN_LINGER, MAX_LINGER);
+        self.connections.insert(LingeringConnection {
             stream,
-            until: reactor.now + wait,
-            bytes: BYTES,
+            deadline: reactor.now + linger,
+            allowance: MAX_DISCARDED_BYTES,
         });
-        self.ready(reactor, key);
+        self.discard_input(reactor, key);
     }
 
     /// Reads and drops what has come.
-    pub fn ready(&mut self, reactor: &mut Reactor, key: usize) {
-        let Some(ending) = self.connections.get_mut(key) else {
+    pub(crate) fn discard_input(&mut self, reactor: &mut Reactor, key: usize) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if !ending.stream.discard_input(reactor, &mut ending.bytes) {
+        let is_open = connection
+            .stream
+            .discard_input(reactor, &mut connection.allowance);
+        if !is_open {
             self.close(reactor, key);
         }
     }
 
-    /// At each tick: who has not ended by now is waited for no longer. Says whether any went.
-    pub fn sweep(&mut self, reactor: &mut Reactor) -> bool {
-        let over = self
+    /// At each tick: who has not ended by now is waited for no longer. Returns whether any went.
+    pub(crate) fn close_expired(&mut self, reactor: &mut Reactor) -> bool {
+        let expired: Vec<usize> = self
             .connections
             .iter()
-            .filter(|(_, ending)| ending.until <= reactor.now);
-        let over: Vec<usize> = over.map(|(key, _)| key).collect();
-        for key in &over {
+            .filter(|(_, connection)| connection.deadline <= reactor.now)
+            .map(|(key, _)| key)
+            .collect();
+        for key in &expired {
             self.close(reactor, *key);
         }
-        !over.is_empty()
+        !expired.is_empty()
     }
 
-    /// A descriptor is wanted: the one that has been ending for longest goes. Says whether there was one.
-    pub fn give_up(&mut self, reactor: &mut Reactor) -> bool {
-        let longest = self
+    /// A descriptor is wanted: the one that has lingered for longest goes. Returns whether there was one.
+    pub(crate) fn evict_oldest(&mut self, reactor: &mut Reactor) -> bool {
+        let oldest = self
             .connections
             .iter()
-            .min_by_key(|(_, ending)| ending.until);
-        let longest = longest.map(|(key, _)| key);
-        longest.map(|key| self.close(reactor, key)).is_some()
+            .min_by_key(|(_, connection)| connection.deadline)
+            .map(|(key, _)| key);
+        if let Some(key) = oldest {
+            self.close(reactor, key);
+        }
+        oldest.is_some()
     }
 
     fn close(&mut self, reactor: &mut Reactor, key: usize) {
