--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -1,306 +1,160 @@
 //! One self-contained page: figures, differences with intervals, plots, broken rules, and where the laboratory
 //! itself ran late.
 
+mod charts;
 mod plots;
 
-use crate::metrics::{Quantiles, Results, SecondMetrics};
-use crate::stats;
-use plots::Line;
+use crate::error::LabError;
+use crate::metrics::Results;
+use crate::stats::{self, Comparison};
 use std::fmt::Write;
 
-fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;")
-        .replace('<', "&lt;")
-        .replace('>', "&gt;")
-        .replace('"', "&quot;")
-}
+/// So many broken rules of a run are shown; the rest are counted.
+const SHOWN_VIOLATIONS: usize = 20;
 
 const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;max-width:1340px;margin:2em auto;padding:0 1em;color:#222}\
 table{border-collapse:collapse;margin:.6em 0}td,th{padding:.2em .8em;border-bottom:1px solid #ddd;text-align:right}\
 td:first-child,th:first-child{text-align:left}.plots{display:flex;flex-wrap:wrap;gap:12px}.bad{color:#a00}\
 svg{border:1px solid #eee}";
 
-/// A plot of something by second: its title, what is up, and the share it draws.
-type BySecond = (&'static str, &'static str, fn(&SecondMetrics) -> (f64, f64));
-
-const OVER_TIME: &[BySecond] = &[
-    (
-        "Billed value in time",
-        "share of what was asked inside quotas",
-        |it| (it.value_in_time, it.requested_value),
-    ),
-    ("API calls", "a second", |it| (it.requests as f64, 1.0)),
-    ("Rate-limited", "share of API calls", |it| {
-        (it.rejected as f64, it.requests as f64)
-    }),
-    (
-        "Rate-limited with half of the quota unused",
-        "a second",
-        |it| (it.rejected_with_half_quota as f64, 1.0),
-    ),
-    ("Sent beyond quotas", "share of units", |it| {
-        (it.over_quota_units, it.forwarded_units)
-    }),
-    ("Counter calls", "a second", |it| {
-        (it.counter_calls as f64, 1.0)
-    }),
-    ("New connections", "a try", |it| {
-        (it.new_connections as f64, it.attempts as f64)
-    }),
-    ("Not answered, errored or nobody there", "a second", |it| {
-        ((it.unanswered + it.failed + it.unreachable) as f64, 1.0)
-    }),
-];
+const WHAT_IS_REAL: &str =
+    "<p>App servers, counter, discovery and clients are simulated; on loopback the gateways are \
+     real processes, in simulated time they are their decisions alone.</p>";
 
-/// Mean over the runs of a variant, second by second.
-fn over_time(runs: &[&Results], pick: fn(&SecondMetrics) -> (f64, f64)) -> Vec<(f64, f64)> {
-    let longest = runs.iter().map(|it| it.by_second.len()).max().unwrap_or(0);
-    let point = |at: usize| {
-        let parts = runs.iter().filter_map(|it| it.by_second.get(at)).map(pick);
-        let (sum, of) = parts.fold((0.0, 0.0), |all, it| (all.0 + it.0, all.1 + it.1));
-        (of > 0.0).then(|| (at as f64, sum / of))
-    };
-    (0..longest).filter_map(point).collect()
+fn escaped(text: &str) -> String {
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
-/// The busiest, the middle and the least busy server, by second.
-fn server_load(runs: &[&Results]) -> Vec<Line> {
-    let Some(run) = runs.first() else {
-        return Vec::new();
+/// Appends formatted text. Writing to a string cannot fail.
+macro_rules! append {
+    ($page:expr, $($text:tt)*) => {
+        let _ = write!($page, $($text)*);
     };
-    let seconds = run
-        .server_load
-        .iter()
-        .map(|load| load.busy_share.len())
-        .max()
-        .unwrap_or(0);
-    let mut lines: Vec<Line> = ["busiest", "middle", "least busy"]
-        .map(|name| Line {
-            name: name.into(),
-            points: Vec::new(),
-        })
-        .into();
-    for at in 0..seconds {
-        let mut loads: Vec<f32> = run
-            .server_load
-            .iter()
-            .filter_map(|load| load.busy_share.get(at).copied())
-            .collect();
-        loads.sort_by(f32::total_cmp);
-        if let (Some(low), Some(high)) = (loads.first(), loads.last()) {
-            for (line, value) in lines.iter_mut().zip([*high, loads[loads.len() / 2], *low]) {
-                line.points.push((at as f64, f64::from(value)));
-            }
-        }
-    }
-    lines
 }
 
 /// The page for the runs of one experiment.
-pub fn page(title: &str, about: &str, results: &[Results]) -> Result<String, String> {
-    let mut out = String::new();
-    let say = |out: &mut String, text: &str| out.push_str(text);
-    let title = escaped(title);
-    let _ = write!(
-        out,
-        "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title><style>{STYLE}</style>\
-         <h1>{title}</h1><p>{}</p>",
+pub fn page(title: &str, about: &str, results: &[Results]) -> Result<String, LabError> {
+    let mut page = String::new();
+    append!(
+        page,
+        "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{0}</title><style>{STYLE}</style>\
+         <h1>{0}</h1><p>{1}</p>{WHAT_IS_REAL}",
+        escaped(title),
         escaped(about)
     );
-    say(
-        &mut out,
-        "<p>App servers, counter, discovery and clients are simulated; on loopback the gateways are \
-                   real processes, in simulated time they are their decisions alone.</p>",
-    );
-    let mut engines: Vec<&str> = results.iter().map(|it| it.engine.as_str()).collect();
-    engines.sort_unstable();
-    engines.dedup();
-    for engine in engines {
-        let of: Vec<Results> = results
-            .iter()
-            .filter(|it| it.engine == engine)
-            .cloned()
-            .collect();
-        let _ = write!(out, "<h2>Engine: {}</h2>", escaped(engine));
-        figures(&mut out, &of);
-        differences(&mut out, &of);
-        plots(&mut out, &of)?;
-        troubles(&mut out, &of);
+    for engine in stats::engines(results) {
+        let of_engine = results.iter().filter(|run| run.engine == engine);
+        let runs: Vec<Results> = of_engine.cloned().collect();
+        append!(page, "<h2>Engine: {}</h2>", escaped(engine));
+        append_figures(&mut page, &runs);
+        for comparison in stats::compare(&runs) {
+            append_comparison(&mut page, &comparison);
+        }
+        charts::append_charts(&mut page, &runs)?;
+        append_complaints(&mut page, &runs);
     }
-    say(&mut out, "</html>\n");
-    Ok(out)
+    page.push_str("</html>\n");
+    Ok(page)
 }
 
-fn figures(out: &mut String, results: &[Results]) {
-    let names = stats::variants(results);
-    out.push_str("<h3>Figures</h3><table><tr><th>mean over seeds</th>");
-    for name in &names {
-        let _ = write!(out, "<th>{}</th>", escaped(name));
+/// A table of the figures: a row for each, a column for each variant.
+fn append_figures(page: &mut String, results: &[Results]) {
+    let variants = stats::variants(results);
+    page.push_str("<h3>Figures</h3><table><tr><th>mean over seeds</th>");
+    for variant in &variants {
+        append!(page, "<th>{}</th>", escaped(variant));
     }
-    out.push_str("</tr>");
-    let rows = results.first().map(|it| it.figures()).unwrap_or_default();
-    for (place, figure) in rows.iter().enumerate() {
-        let _ = write!(out, "<tr><td>{}</td>", figure.name);
-        for name in &names {
-            let of = results.iter().filter(|it| it.variant == *name);
-            let values: Vec<f64> = of.map(|it| it.figures()[place].value).collect();
-            let _ = write!(
-                out,
-                "<td>{:.4}</td>",
-                values.iter().sum::<f64>() / values.len().max(1) as f64
-            );
+    page.push_str("</tr>");
+    let figures = results.first().map(Results::figures).unwrap_or_default();
+    for (index, figure) in figures.iter().enumerate() {
+        append!(page, "<tr><td>{}</td>", figure.name);
+        for variant in &variants {
+            let runs = results.iter().filter(|run| run.variant == *variant);
+            let values: Vec<f64> = runs.map(|run| run.figures()[index].value).collect();
+            append!(page, "<td>{:.4}</td>", stats::mean(&values));
         }
-        out.push_str("</tr>");
+        page.push_str("</tr>");
     }
-    out.push_str("</table>");
+    page.push_str("</table>");
 }
 
-fn differences(out: &mut String, results: &[Results]) {
-    for it in stats::compare(results) {
-        let _ = write!(
-            out,
-            "<h3>{} against {}</h3><table><tr><th>figure</th><th>{}</th><th>{}</th><th>difference, 95%</th>\
-             <th>pairs</th></tr>",
-            escaped(&it.other),
-            escaped(&it.base),
-            escaped(&it.base),
-            escaped(&it.other)
+/// A table of the differences of two variants.
+fn append_comparison(page: &mut String, comparison: &Comparison) {
+    let base = escaped(&comparison.base);
+    let other = escaped(&comparison.other);
+    append!(
+        page,
+        "<h3>{other} against {base}</h3><table><tr><th>figure</th><th>{base}</th><th>{other}</th>\
+         <th>difference, 95%</th><th>pairs</th></tr>"
+    );
+    for row in &comparison.rows {
+        append!(
+            page,
+            "<tr><td>{}</td><td>{:.4}</td><td>{:.4}</td><td>{}</td><td>{}</td></tr>",
+            row.figure,
+            row.base,
+            row.other,
+            row.difference,
+            row.pairs
         );
-        for row in &it.rows {
-            let _ = write!(
-                out,
-                "<tr><td>{}</td><td>{:.4}</td><td>{:.4}</td><td>{}</td><td>{}</td></tr>",
-                row.figure, row.base, row.other, row.difference, row.pairs
-            );
-        }
-        out.push_str("</table>");
-        if it.late > 0 {
-            let _ = write!(
-                out,
-                "<p class=\"bad\">{} pairs left out: the laboratory ran late.</p>",
-                it.late
-            );
-        }
-    }
-}
-
-type Pick = fn(&Results) -> &Quantiles;
-
-fn plots(out: &mut String, results: &[Results]) -> Result<(), String> {
-    let names = stats::variants(results);
-    let of = |name: &String| {
-        results
-            .iter()
-            .filter(|it| it.variant == *name)
-            .collect::<Vec<&Results>>()
-    };
-    out.push_str("<h3>Over time</h3><div class=\"plots\">");
-    for (title, up, pick) in OVER_TIME {
-        let lines: Vec<Line> = names
-            .iter()
-            .map(|name| Line {
-                name: name.clone(),
-                points: over_time(&of(name), *pick),
-            })
-            .collect();
-        out.push_str(&plots::lines(title, "seconds", up, &lines, true)?);
     }
-    out.push_str("</div><h3>Latency from the intended moment</h3><div class=\"plots\">");
-    let quantiles: [(&str, Pick); 3] = [
-        ("Proxied", |it| &it.succeeded_ms),
-        ("Rate-limited", |it| &it.rejected_ms),
-        ("To the first try", |it| &it.first_attempt_ms),
-    ];
-    for (title, pick) in quantiles {
-        let mut lines = Vec::new();
-        for name in &names {
-            let runs = of(name);
-            let longest = runs
-                .iter()
-                .map(|it| pick(it).curve.len())
-                .max()
-                .unwrap_or(0);
-            let points = (0..longest).map(|at| {
-                let parts: Vec<f64> = runs
-                    .iter()
-                    .filter_map(|it| Some(pick(it).curve.get(at)?.milliseconds))
-                    .collect();
-                // Nines of the quantile: 1 is p90, 2 is p99.
-                (
-                    (at + 1) as f64 / 15.0,
-                    (parts.iter().sum::<f64>() / parts.len().max(1) as f64)
-                        .max(0.001)
-                        .log10(),
-                )
-            });
-            lines.push(Line {
-                name: name.clone(),
-                points: points.collect(),
-            });
-        }
-        let up = "milliseconds, power of ten";
-        out.push_str(&plots::lines(
-            title,
-            "nines of the quantile (1: p90, 2: p99)",
-            up,
-            &lines,
-            false,
-        )?);
-    }
-    out.push_str("</div><h3>Load of app servers</h3><div class=\"plots\">");
-    for name in &names {
-        let title = format!("Busy share of cores: {name}, first seed");
-        out.push_str(&plots::lines(
-            &title,
-            "seconds",
-            "share",
-            &server_load(&of(name)),
-            true,
-        )?);
+    page.push_str("</table>");
+    if comparison.late > 0 {
+        append!(
+            page,
+            "<p class=\"bad\">{} pairs left out: the laboratory ran late.</p>",
+            comparison.late
+        );
     }
-    out.push_str("</div>");
-    Ok(())
 }
 
-fn troubles(out: &mut String, results: &[Results]) {
-    out.push_str("<h3>Rules, crashes, lateness</h3><ul>");
+/// A list of what went wrong in the runs.
+fn append_complaints(page: &mut String, results: &[Results]) {
+    page.push_str("<h3>Rules, crashes, lateness</h3><ul>");
     let mut clean = true;
-    for it in results {
-        let mut note = |text: String| {
+    for run in results {
+        for complaint in complaints(run) {
             clean = false;
-            let _ = write!(
-                out,
+            append!(
+                page,
                 "<li class=\"bad\">{} seed {}: {}</li>",
-                escaped(&it.variant),
-                it.seed,
-                escaped(&text)
+                escaped(&run.variant),
+                run.seed,
+                escaped(&complaint)
             );
-        };
-        it.violations
-            .iter()
-            .take(20)
-            .for_each(|broken| note(broken.to_string()));
-        if it.violation_count > 20 {
-            note(format!("{} broken rules in all", it.violation_count));
-        }
-        it.crashes.iter().for_each(|crash| note(crash.clone()));
-        if it.misbehaving_clients.unanswered > 0 {
-            note(format!(
-                "{} of {} bad clients got neither error nor close",
-                it.misbehaving_clients.unanswered, it.misbehaving_clients.total
-            ));
-        }
-        if it.lateness.excessive {
-            let (p99, worst) = (it.lateness.p99_ms, it.lateness.worst_ms);
-            note(format!(
-                "the laboratory ran late: {p99:.1} ms at p99, {worst:.0} ms at worst; not compared"
-            ));
         }
     }
     if clean {
-        out.push_str("<li>No rule broken, no crash, the laboratory in time.</li>");
+        page.push_str("<li>No rule broken, no crash, the laboratory in time.</li>");
+    }
+    page.push_str("</ul>");
+}
+
+/// What went wrong in a run.
+fn complaints(run: &Results) -> Vec<String> {
+    let shown = run.violations.iter().take(SHOWN_VIOLATIONS);
+    let mut complaints: Vec<String> = shown.map(ToString::to_string).collect();
+    if run.violation_count > SHOWN_VIOLATIONS as u64 {
+        complaints.push(format!("{} broken rules in all", run.violation_count));
+    }
+    complaints.extend(run.crashes.iter().cloned());
+    let misbehaving = run.misbehaving_clients;
+    if misbehaving.unanswered > 0 {
+        complaints.push(format!(
+            "{} of {} misbehaving clients got neither error nor close",
+            misbehaving.unanswered, misbehaving.total
+        ));
+    }
+    if run.lateness.excessive {
+        complaints.push(format!(
+            "the laboratory ran late: {:.1} ms at p99, {:.0} ms at worst; not compared",
+            run.lateness.p99_ms, run.lateness.worst_ms
+        ));
     }
-    out.push_str("</ul>");
+    complaints
 }
 
 #[cfg(test)]
--- a/lab/src/report/plots.rs
+++ b/lab/src/report/plots.rs
@@ -1,17 +1,16 @@
-//! Plots as SVG, drawn by `plotters`.
+//! Line plots as SVG, drawn by `plotters`.
 
+use crate::error::LabError;
 use plotters::coord::types::RangedCoordf64;
+use plotters::coord::Shift;
+use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::*;
+use std::ops::Range;
 
-/// A line with its name.
-pub struct Line {
-    pub name: String,
-    pub points: Vec<(f64, f64)>,
-}
-
+/// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (640, 280);
 
-/// Colours that stay apart for those who tell few.
+/// Colours that stay apart for readers who tell few of them.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -21,53 +20,99 @@
     RGBColor(60, 60, 60),
 ];
 
-fn span(lines: &[Line], pick: impl Fn(&(f64, f64)) -> f64) -> (f64, f64) {
-    let all = lines
-        .iter()
-        .flat_map(|line| line.points.iter().map(&pick))
-        .filter(|it| it.is_finite());
-    all.fold((f64::INFINITY, f64::NEG_INFINITY), |span, it| {
-        (span.0.min(it), span.1.max(it))
-    })
+/// A point of a line.
+pub(super) struct Point {
+    /// Its place on the horizontal axis.
+    pub(super) x: f64,
+    /// Its place on the vertical axis.
+    pub(super) y: f64,
 }
 
-/// Lines over an axis; `from_zero`: the other axis begins at 0.
-pub fn lines(
-    title: &str,
-    across: &str,
-    up: &str,
-    lines: &[Line],
-    from_zero: bool,
-) -> Result<String, String> {
-    let (left, right) = span(lines, |point| point.0);
-    let (low, high) = span(lines, |point| point.1);
-    if !left.is_finite() || !low.is_finite() {
-        return Ok(String::new());
+/// A line with its name.
+pub(super) struct Line {
+    /// What the legend calls it.
+    pub(super) name: String,
+    /// Its points, from left to right.
+    pub(super) points: Vec<Point>,
+}
+
+impl Line {
+    /// A line without points.
+    pub(super) fn new(name: &str) -> Line {
+        Line {
+            name: name.into(),
+            points: Vec::new(),
+        }
+    }
+
+    /// Appends a point.
+    pub(super) fn push(&mut self, x: f64, y: f64) {
+        self.points.push(Point { x, y });
+    }
+}
+
+/// What the axes show.
+pub(super) struct Axes<'a> {
+    /// Name of the horizontal axis.
+    pub(super) across: &'a str,
+    /// Name of the vertical axis.
+    pub(super) up: &'a str,
+    /// The vertical axis begins at 0.
+    pub(super) from_zero: bool,
+}
+
+type DrawingError<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
+
+/// The span of a coordinate over all lines; none without a finite value.
+fn span(lines: &[Line], coordinate: fn(&Point) -> f64) -> Option<Range<f64>> {
+    let points = lines.iter().flat_map(|line| &line.points);
+    let mut span: Option<Range<f64>> = None;
+    for value in points.map(coordinate).filter(|value| value.is_finite()) {
+        let so_far = span.unwrap_or(value..value);
+        span = Some(so_far.start.min(value)..so_far.end.max(value));
     }
-    let low = if from_zero { low.min(0.0) } else { low };
-    let high = if high > low {
-        high + (high - low) * 0.05
+    span
+}
+
+/// Draws lines as one SVG; an empty text where there is nothing to draw.
+pub(super) fn draw_lines(title: &str, axes: Axes, lines: &[Line]) -> Result<String, LabError> {
+    let Some(across) = span(lines, |point| point.x) else {
+        return Ok(String::new());
+    };
+    let Some(up) = span(lines, |point| point.y) else {
+        return Ok(String::new());
+    };
+    let right = if across.end > across.start {
+        across.end
     } else {
-        low + 1.0
+        across.start + 1.0
+    };
+    let bottom = if axes.from_zero {
+        up.start.min(0.0)
+    } else {
+        up.start
+    };
+    let top = if up.end > bottom {
+        up.end + (up.end - bottom) * 0.05
+    } else {
+        bottom + 1.0
     };
-    let right = if right > left { right } else { left + 1.0 };
     let mut svg = String::new();
-    {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        draw(&area, (title, across, up), lines, (left..right, low..high))
-            .map_err(|error| error.to_string())?;
-    }
+    let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+    let drawn = draw_chart(&area, title, &axes, lines, across.start..right, bottom..top);
+    drawn.map_err(|error| LabError::Text(format!("plot '{title}': {error}")))?;
+    drop(area);
     Ok(svg)
 }
 
-type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
-
-fn draw(
-    area: &Area,
-    (title, across, up): (&str, &str, &str),
+fn draw_chart<'a>(
+    area: &DrawingArea<SVGBackend<'a>, Shift>,
+    title: &str,
+    axes: &Axes,
     lines: &[Line],
-    (wide, high): (std::ops::Range<f64>, std::ops::Range<f64>),
-) -> Result<(), Box<dyn std::error::Error>> {
+    across: Range<f64>,
+    up: Range<f64>,
+) -> Result<(), DrawingError<'a>> {
     area.fill(&WHITE)?;
     let mut chart: ChartContext<_, Cartesian2d<RangedCoordf64, RangedCoordf64>> =
         ChartBuilder::on(area)
@@ -75,20 +120,19 @@
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(52)
-            .build_cartesian_2d(wide, high)?;
+            .build_cartesian_2d(across, up)?;
     chart
         .configure_mesh()
-        .x_desc(across)
-        .y_desc(up)
+        .x_desc(axes.across)
+        .y_desc(axes.up)
         .light_line_style(WHITE)
         .draw()?;
-    for (place, line) in lines.iter().enumerate() {
-        let colour = COLOURS[place % COLOURS.len()];
+    for (index, line) in lines.iter().enumerate() {
+        let colour = COLOURS[index % COLOURS.len()];
+        let points = line.points.iter().map(|point| (point.x, point.y));
+        let series = LineSeries::new(points, colour.stroke_width(2));
         chart
-            .draw_series(LineSeries::new(
-                line.points.iter().copied(),
-                colour.stroke_width(2),
-            ))?
+            .draw_series(series)?
             .label(&line.name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2)));
     }
@@ -100,6 +144,5 @@
             .border_style(RGBColor(200, 200, 200))
             .draw()?;
     }
-    area.present()?;
-    Ok(())
+    area.present()
 }
--- a/lab/src/report/tests.rs
+++ b/lab/src/report/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
+use crate::events::{Rule, RuleViolation};
+use crate::metrics::SecondMetrics;
 
 #[test]
 fn a_page_says_what_was_run_and_hides_no_broken_rule() {
-    use crate::events::{Rule, RuleViolation};
     let mut one = Results {
         variant: "a<b".into(),
         engine: "simulated".into(),
