--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -30,6 +30,18 @@
     /// The decisions of a simulated run could not be had.
     #[error(transparent)]
     DecisionEngine(#[from] DecisionEngineError),
+    /// A variant overrides a setting that the nodes' configuration does not have.
+    #[error("told: the configuration has no '{0}' there")]
+    UnknownSetting(String),
+    /// A plot of a report could not be drawn.
+    #[error("plot '{title}'")]
+    Plot {
+        /// Title of the plot.
+        title: String,
+        /// What the plotting library said.
+        #[source]
+        source: Box<dyn Error + Send + Sync>,
+    },
     /// A failure that is known by its text only.
     #[error("{0}")]
     Text(String),
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -314,7 +314,8 @@
 
     /// Writes a gateway's file; the list in it is the one that it was told last.
     fn write_file(&mut self, gateway: usize) -> Result<PathBuf, String> {
-        let settings = node_settings::settings(&self.world.experiment, gateway, &self.told)?;
+        let settings = node_settings::settings(&self.world.experiment, gateway, &self.told)
+            .map_err(|error| error.to_string())?;
         let upto = self.world.notified_change_count(gateway);
         let lines = self.lines(gateway, &self.world.endpoint_list_after(upto));
         let it = &self.gateways[gateway];
--- a/lab/src/node_settings/tests.rs
+++ b/lab/src/node_settings/tests.rs
@@ -1,14 +1,25 @@
 use super::*;
 
+fn experiment() -> Experiment {
+    Experiment::read("test", "title = \"t\"\nseconds = 2.0").expect("an experiment")
+}
+
+fn overrides(text: &str) -> toml::Table {
+    toml::from_str(text).expect("a table")
+}
+
 #[test]
-fn what_is_told_lies_over_the_truth_or_names_what_is_missing() {
-    let experiment = Experiment::read("test", "title = \"t\"\nseconds = 2.0").expect("a whole one");
-    let told: toml::Table = toml::from_str("[contracts.premiere]\nnever_over_rate = 0.0").unwrap();
-    let settings = settings(&experiment, 1, &told).expect("known names");
+fn overrides_are_laid_over_the_true_settings() {
+    let overrides = overrides("[contracts.premiere]\nnever_over_rate = 0.0");
+    let settings = settings(&experiment(), 1, &overrides).expect("known names");
     assert_eq!(settings["contracts"][2]["never_over_rate"], 0.0);
     assert_eq!(settings["contracts"][2]["refill"], 12.0);
     assert_eq!(settings["index"], 1);
-    let told: toml::Table = toml::from_str("[contracts.premier]\nrefill = 0.0").unwrap();
-    let why = super::settings(&experiment, 1, &told).unwrap_err();
-    assert!(why.contains("'premier'"), "{why}");
+}
+
+#[test]
+fn an_override_of_an_unknown_setting_is_refused_by_its_name() {
+    let overrides = overrides("[contracts.premier]\nrefill = 0.0");
+    let error = settings(&experiment(), 1, &overrides).expect_err("an unknown plan");
+    assert!(error.to_string().contains("'premier'"), "{error}");
 }
--- a/lab/src/report/plots.rs
+++ b/lab/src/report/plots.rs
@@ -100,7 +100,10 @@
     let mut svg = String::new();
     let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
     let drawn = draw_chart(&area, title, &axes, lines, across.start..right, bottom..top);
-    drawn.map_err(|error| LabError::Text(format!("plot '{title}': {error}")))?;
+    drawn.map_err(|error| LabError::Plot {
+        title: title.to_string(),
+        source: error.into(),
+    })?;
     drop(area);
     Ok(svg)
 }
