--- a/src/control/counter_client.rs
+++ b/src/control/counter_client.rs
@@ -3,7 +3,8 @@
 
 use super::circuit_breaker::CircuitBreaker;
 use super::context::Context;
-use super::leases::{LeaseAcquisition, LeaseId};
+use super::counter_names::{lease_counter, window_counter};
+use super::leases::{LeaseAcquisition, LeaseId, LEASE_TTL};
 use super::quota::BlockAcquisition;
 use super::rate_pacer::RatePacer;
 use crate::port::{CounterName, CounterReply, CustomerId};
@@ -11,8 +12,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How cheap a call may be that can be done without: it is made while at least this part of the tokens is there.
-const DISPENSABLE: f64 = 0.7;
+/// The part of the tokens that a call leaves in reserve which can be done without.
+const SPARE_CALL_RESERVE: f64 = 0.7;
+
+/// The counter keeps the name of a window for so many windows.
+const WINDOW_TTL_WINDOWS: u32 = 3;
 
 /// What a call on the counter was made for, and what its reply is handed on to.
 pub(super) enum CallPurpose {
@@ -39,13 +43,45 @@
 /// One call on the counter.
 pub(super) struct CounterCall {
     /// The number that is added to.
-    pub(super) name: CounterName,
+    name: CounterName,
     /// What is added, below zero to take off.
-    pub(super) amount: f64,
+    amount: f64,
     /// How long the counter keeps the name.
-    pub(super) ttl: Duration,
-    /// What for.
-    pub(super) purpose: CallPurpose,
+    ttl: Duration,
+    purpose: CallPurpose,
+}
+
+impl CounterCall {
+    /// Adds so many leases of a customer to the name of a period.
+    pub(super) fn add_leases(
+        customer: &CustomerId,
+        period: u64,
+        count: f64,
+        purpose: CallPurpose,
+    ) -> CounterCall {
+        CounterCall {
+            name: lease_counter(customer, period),
+            amount: count,
+            ttl: LEASE_TTL,
+            purpose,
+        }
+    }
+
+    /// Adds units of a customer to the name of a window of that number and length.
+    pub(super) fn add_units(
+        customer: &CustomerId,
+        window: u64,
+        length: Duration,
+        units: f64,
+        purpose: CallPurpose,
+    ) -> CounterCall {
+        CounterCall {
+            name: window_counter(customer, window),
+            amount: units,
+            ttl: length * WINDOW_TTL_WINDOWS,
+            purpose,
+        }
+    }
 }
 
 /// A call that is not answered yet.
@@ -83,16 +119,17 @@
         self.circuit.is_open(now)
     }
 
-    /// Whether a call may be made for what is so cheap, from 0 (dear) to 1. Where calls are scarce, the dear requests
-    /// are so judged by the counter, the others by this gateway's share of the quotas.
-    pub(super) fn may_call(&mut self, now: Duration, cheapness: f64) -> bool {
-        let allowed = self.pacer.allows(now, cheapness);
-        !self.is_circuit_open(now) && allowed
+    /// Whether a call may be made that leaves that part of the tokens in reserve ([`RatePacer::reserve_ratio`]). Where
+    /// calls are scarce, valuable requests are so decided by the counter, the others by this gateway's share of the
+    /// quotas. The pacer is asked in any case, since that refills its tokens.
+    pub(super) fn may_call(&mut self, now: Duration, reserve_ratio: f64) -> bool {
+        let is_allowed = self.pacer.allows(now, reserve_ratio);
+        !self.is_circuit_open(now) && is_allowed
     }
 
     /// Whether a call may be made that can be done without.
     pub(super) fn has_spare_calls(&mut self, now: Duration) -> bool {
-        self.may_call(now, DISPENSABLE)
+        self.may_call(now, SPARE_CALL_RESERVE)
     }
 
     /// Makes a call; its reply comes to [`CounterClient::on_reply`].
@@ -125,16 +162,19 @@
         if calls.is_empty() {
             self.pending.remove(&name);
         }
-        let latency = now.saturating_sub(answered.called_at);
-        let is_down = self
-            .pacer
-            .record_reply(now, latency, timeout, reply.is_applied());
-        if is_down {
-            if let Some(open_for) = self.circuit.trip(now, reply) {
-                let line = format!("counter circuit open for {open_for:?}: {reply:?}");
-                context.port.log(&line);
-            }
+        if reply.is_applied() {
+            let latency = now.saturating_sub(answered.called_at);
+            self.pacer.record_success(latency, timeout);
+        } else if self.pacer.record_error(now, timeout) {
+            self.trip_circuit(context, reply);
         }
         Some(answered.purpose)
     }
+
+    fn trip_circuit(&mut self, context: &mut Context, reply: CounterReply) {
+        if let Some(open_for) = self.circuit.trip(context.now, reply) {
+            let line = format!("counter circuit open for {open_for:?}: {reply:?}");
+            context.port.log(&line);
+        }
+    }
 }
