--- a/fleet/src/backoff.rs
+++ b/fleet/src/backoff.rs
@@ -4,17 +4,8 @@
 
 use std::time::Duration;
 
-/// The spans between calls after failures in a row.
-#[derive(Clone, Copy, Debug)]
-pub struct Backoff {
-    /// The span after the first failure.
-    pub first: Duration,
-    /// The span does not grow past this.
-    pub max: Duration,
-}
-
-/// So many gateways to a second of the first span: a fleet's calls after a failure that met all of them are spread over
-/// a span that grows with the fleet (a hundred gateways: five times the base).
+/// The first span is the base for each so many gateways: a fleet's calls after a failure that met all of them are spread
+/// over a span that grows with the fleet (a hundred gateways: twenty times the base).
 const GATEWAYS_PER_BASE: f64 = 5.0;
 
 /// The first span is no more than so many times the base.
@@ -26,6 +17,15 @@
 /// The least wait, as a divisor of the first span: a gateway never calls again at once.
 const MIN_WAIT_DIVISOR: u32 = 4;
 
+/// The spans between calls after failures in a row.
+#[derive(Clone, Copy, Debug)]
+pub struct Backoff {
+    /// The span after the first failure.
+    pub first: Duration,
+    /// The span does not grow past this.
+    pub max: Duration,
+}
+
 impl Backoff {
     /// For a service that a whole fleet of `gateways` calls alike, with `base` as the least first span and `max` as the
     /// most at any time: where calls that are turned away cost the service too, a fleet that comes again faster than it
--- a/fleet/src/backoff/tests.rs
+++ b/fleet/src/backoff/tests.rs
@@ -3,7 +3,7 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 #[test]
-fn spans_double_up_to_the_most() {
+fn spans_double_up_to_the_maximum() {
     let backoff = Backoff {
         first: MS(250),
         max: MS(4000),
@@ -28,34 +28,29 @@
     // A hundred gateways turned away at one instant, with evenly spread draws: no tenth of the span holds
     // more than a tenth and one of them.
     let waits: Vec<Duration> = (0..100)
-        .map(|g| backoff.wait(6, f64::from(g) / 100.0))
+        .map(|gateway| backoff.wait(6, f64::from(gateway) / 100.0))
         .collect();
     for tenth in 0..10u32 {
-        let (from, to) = (MS(400) * tenth, MS(400) * (tenth + 1));
-        assert!(
-            waits
-                .iter()
-                .filter(|wait| (from..to).contains(wait))
-                .count()
-                <= 11
-        );
+        let span = MS(400) * tenth..MS(400) * (tenth + 1);
+        let within = waits.iter().filter(|wait| span.contains(wait)).count();
+        assert!(within <= 11, "{span:?}: {within}");
     }
 }
 
 #[test]
-fn the_first_span_grows_with_the_fleet() {
-    let (base, longest) = (MS(250), MS(20_000));
-    let first = |gateways| Backoff::shared(base, gateways, longest).first;
+fn first_span_grows_with_the_fleet() {
+    let base = MS(250);
+    let first = |gateways| Backoff::shared(base, gateways, MS(20_000)).first;
     assert_eq!([first(1.0), first(4.0), first(5.0)], [base; 3]);
     assert_eq!(first(100.0), MS(5000));
     assert_eq!(first(300.0), MS(15_000));
-    assert_eq!(first(1024.0), MS(20_000), "the longest at most");
+    assert_eq!(first(1024.0), MS(20_000), "the maximum");
     assert_eq!(Backoff::shared(MS(9000), 100.0, MS(4000)).first, MS(4000));
     assert_eq!(Backoff::shared(base, 100.0, MS(100)).first, MS(100));
 }
 
 #[test]
-fn a_first_span_longer_than_the_most_is_kept() {
+fn first_span_beyond_the_maximum_is_kept() {
     let backoff = Backoff {
         first: MS(500),
         max: MS(100),
--- a/fleet/src/discovery_retry.rs
+++ b/fleet/src/discovery_retry.rs
@@ -23,6 +23,31 @@
 /// fit into it.
 pub const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
+/// The longest wait of a watch: what a watch misses that stops answering at once is found by the next call within
+/// [`NOTIFIED_WITHIN`].
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(3);
+
+/// The longest time between the beginnings of two calls after timeouts.
+const MAX_CALL_INTERVAL: Duration = Duration::from_millis(125);
+
+/// The longest time in which a connection may come up.
+const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// The longest time that an answer may take beyond the wait that was asked for.
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// The same for a whole list; an overloaded service takes as long to reject a call.
+const MAX_LIST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The longest wait after rejections: with [`MAX_LIST_RESPONSE_TIMEOUT`] it fits into [`NOTIFIED_WITHIN`].
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
+
+/// An answer may take so many times the connect timeout at the most.
+const MAX_RESPONSE_FACTOR: u32 = 4;
+
+/// The same for a whole list.
+const MAX_LIST_RESPONSE_FACTOR: u32 = 16;
+
 /// The least time that anything is waited for.
 const MIN_WAIT: Duration = Duration::from_millis(100);
 
@@ -93,7 +118,7 @@
     /// after which what a watch misses that fell silent at once counts as notified.
     pub fn watch_wait(&self) -> Duration {
         let half = Some(self.timing.refresh_interval / 2).filter(|half| *half >= MIN_WAIT);
-        half.unwrap_or(NOTIFIED_WITHIN / 2).min(NOTIFIED_WITHIN / 2)
+        half.unwrap_or(MAX_WATCH_WAIT).min(MAX_WATCH_WAIT)
     }
 
     /// The least time between the beginnings of two calls: a quarter of the grace, so that the return of the service,
@@ -101,7 +126,7 @@
     pub fn call_interval(&self) -> Duration {
         (self.timing.drain_grace / 4)
             .min(self.timing.connect_timeout)
-            .clamp(MIN_CALL_INTERVAL, NOTIFIED_WITHIN / 48)
+            .clamp(MIN_CALL_INTERVAL, MAX_CALL_INTERVAL)
     }
 
     /// How long a connection may take to come up: what asks for it may be lost while the service is away, and the
@@ -112,17 +137,17 @@
         self.timing
             .connect_timeout
             .min(fits)
-            .clamp(MIN_WAIT, NOTIFIED_WITHIN / 12)
+            .clamp(MIN_WAIT, MAX_CONNECT_TIMEOUT)
     }
 
     /// How long an answer may take beyond the wait that was asked for: twice as long after each failure, since the
-    /// service may be slow, up to four times as long (a whole list: sixteen times). An overloaded service that gateways
-    /// share is left the time that it takes to turn a call away: one given up before that has cost it as much.
+    /// service may be slow, up to a maximum. An overloaded service that gateways share is left the time that it takes to
+    /// reject a call: one given up before that has cost it as much.
     pub fn response_timeout(&self, whole_list: bool) -> Duration {
         let (max_factor, max) = if whole_list {
-            (16, NOTIFIED_WITHIN / 3)
+            (MAX_LIST_RESPONSE_FACTOR, MAX_LIST_RESPONSE_TIMEOUT)
         } else {
-            (4, NOTIFIED_WITHIN / 12)
+            (MAX_RESPONSE_FACTOR, MAX_RESPONSE_TIMEOUT)
         };
         let factor = (1u32 << self.failures().min(MAX_DOUBLINGS)).min(max_factor);
         let wanted = self.timing.connect_timeout.min(NOTIFIED_WITHIN) * factor;
@@ -151,13 +176,12 @@
         span.mul_f64(golden_ratio_phase(gateway))
     }
 
-    /// After a rejection: the wait for the next call, and the time in which an overloaded service answers or turns
-    /// away, a third of it, fit into the time after which what it has counts as notified.
+    /// The waits after rejections, over a fleet of so many gateways.
     fn backoff(&self, gateways: f64) -> Backoff {
         Backoff::shared(
             self.timing.connect_timeout.max(MIN_WAIT),
             gateways,
-            NOTIFIED_WITHIN * 2 / 3,
+            MAX_BACKOFF,
         )
     }
 
--- a/fleet/src/discovery_retry/tests.rs
+++ b/fleet/src/discovery_retry/tests.rs
@@ -3,7 +3,7 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-fn terms(connect: u64, grace: u64, sharing: Option<f64>) -> DiscoveryTiming {
+fn timing(connect: u64, grace: u64, sharing: Option<f64>) -> DiscoveryTiming {
     DiscoveryTiming {
         connect_timeout: MS(connect),
         drain_grace: MS(grace),
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn after_silence_the_return_is_heard_within_the_grace_at_any_number_of_failures() {
+fn after_timeouts_the_next_call_comes_within_the_drain_grace_whatever_their_number() {
     for (connect, grace) in [
         (250, 500),
         (250, 250),
@@ -23,7 +23,7 @@
     ] {
         for sharing in [None, Some(3.0), Some(1024.0)] {
             for draw in [0.0, 0.5, 0.999] {
-                let mut policy = DiscoveryRetryPolicy::new(terms(connect, grace, sharing));
+                let mut policy = DiscoveryRetryPolicy::new(timing(connect, grace, sharing));
                 for failure in 0..200 {
                     // A connection that is refused or reset at once, one that never came up, one that fell silent.
                     let ago = [MS(0), policy.connect_timeout(), policy.watch_wait()][failure % 3];
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn silence_does_not_make_calls_crowd_one_another() {
-    let mut policy = DiscoveryRetryPolicy::new(terms(250, 500, Some(300.0)));
+fn after_timeouts_calls_keep_half_of_the_call_interval_apart() {
+    let mut policy = DiscoveryRetryPolicy::new(timing(250, 500, Some(300.0)));
     for _ in 0..100 {
         assert!(
             policy.record_failure(DiscoveryFailure::Timeout, MS(0), 0.0)
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn a_shared_service_that_says_no_is_left_alone_for_longer_and_longer_within_what_counts_as_told() {
-    let mut policy = DiscoveryRetryPolicy::new(terms(250, 500, Some(20.0)));
+fn after_rejections_a_shared_service_is_called_less_and_less_often_up_to_a_maximum() {
+    let mut policy = DiscoveryRetryPolicy::new(timing(250, 500, Some(20.0)));
     let waits = |retry: &mut DiscoveryRetryPolicy| -> Vec<u64> {
         (0..5)
             .map(|_| {
@@ -63,7 +63,7 @@
             .collect()
     };
     assert_eq!(waits(&mut policy), [500, 1000, 2000, 2000, 2000]);
-    // Silence in between is no sign of room, nor does it make the next call wait.
+    // A timeout in between does not shorten the wait after a rejection, nor does it make the next call wait.
     assert!(policy.record_failure(DiscoveryFailure::Timeout, MS(0), 0.5) < MS(125));
     assert_eq!(
         policy.record_failure(DiscoveryFailure::Rejection, MS(0), 0.5),
@@ -75,51 +75,56 @@
         MS(500)
     );
     assert_eq!(
-        waits(&mut DiscoveryRetryPolicy::new(terms(250, 500, Some(300.0)))),
+        waits(&mut DiscoveryRetryPolicy::new(timing(
+            250,
+            500,
+            Some(300.0)
+        ))),
         [2000; 5]
     );
 }
 
 #[test]
-fn an_agent_of_ones_own_that_says_no_is_asked_again_soon() {
-    let mut policy = DiscoveryRetryPolicy::new(terms(250, 500, None));
+fn after_rejections_an_agent_of_ones_own_is_called_at_the_call_interval() {
+    let mut policy = DiscoveryRetryPolicy::new(timing(250, 500, None));
     assert!((0..50).all(
         |_| policy.record_failure(DiscoveryFailure::Rejection, MS(0), 0.9)
             <= policy.call_interval()
     ));
 }
 
-/// Any settings: missing, tiny, usual and huge ones.
-fn any(rng: &mut WyRand) -> DiscoveryTiming {
-    let mut span = |usual: u64| match rng.generate_range(0..5u32) {
+/// Any span: missing, tiny, huge, or usual up to so many milliseconds.
+fn any_span(rng: &mut WyRand, usual: u64) -> Duration {
+    match rng.generate_range(0..5u32) {
         0 => Duration::ZERO,
         1 => MS(1),
         2 => Duration::from_secs(1_000_000_000),
         _ => MS(rng.generate_range(1..usual)),
-    };
-    let (connect, grace, within) = (span(3000), span(3000), span(60_000));
-    let sharing =
-        [None, Some(0.0), Some(3.0), Some(350.0), Some(1024.0)][rng.generate_range(0..5usize)];
+    }
+}
+
+fn any_timing(rng: &mut WyRand) -> DiscoveryTiming {
     DiscoveryTiming {
-        connect_timeout: connect,
-        drain_grace: grace,
-        refresh_interval: within,
-        sharing_gateways: sharing,
+        connect_timeout: any_span(rng, 3000),
+        drain_grace: any_span(rng, 3000),
+        refresh_interval: any_span(rng, 60_000),
+        sharing_gateways: [None, Some(0.0), Some(3.0), Some(350.0), Some(1024.0)]
+            [rng.generate_range(0..5usize)],
     }
 }
 
 #[test]
-fn whatever_fails_the_next_answer_is_in_before_the_change_counts_as_told() {
+fn next_answer_comes_before_a_change_counts_as_notified_whatever_failed() {
     let mut rng = WyRand::new_seed(11);
     for _ in 0..20_000 {
-        let terms = any(&mut rng);
-        let mut policy = DiscoveryRetryPolicy::new(terms);
+        let timing = any_timing(&mut rng);
+        let mut policy = DiscoveryRetryPolicy::new(timing);
         for _ in 0..rng.generate_range(0..12u32) {
-            let how = [DiscoveryFailure::Timeout, DiscoveryFailure::Rejection]
+            let failure = [DiscoveryFailure::Timeout, DiscoveryFailure::Rejection]
                 [rng.generate_range(0..2usize)];
-            policy.record_failure(how, MS(rng.generate_range(0..9000)), rng.generate());
+            policy.record_failure(failure, MS(rng.generate_range(0..9000)), rng.generate());
         }
-        let shared = terms.sharing_gateways.is_some();
+        let shared = timing.sharing_gateways.is_some();
         // A watch that is silent from its start is given up, one connection more comes to nothing, the next answers.
         let silent = policy.watch_wait() + policy.response_timeout(false);
         let mut after = policy;
@@ -127,20 +132,20 @@
         let again = after.call_interval() + after.connect_timeout() + after.response_timeout(false);
         assert!(
             silent + again * 2 <= NOTIFIED_WITHIN + MS(250),
-            "{terms:?}: {silent:?} {again:?}"
+            "{timing:?}: {silent:?} {again:?}"
         );
         // So does a whole list.
         let whole = policy.response_timeout(true);
         assert!(
             whole + after.call_interval() + after.connect_timeout() + after.response_timeout(true)
                 <= NOTIFIED_WITHIN,
-            "{terms:?}"
+            "{timing:?}"
         );
         // A call is refused, the next is answered within the time that a crowded service takes.
         let wait = policy.record_failure(DiscoveryFailure::Rejection, MS(0), rng.generate());
         assert!(
             wait + NOTIFIED_WITHIN / 3 <= NOTIFIED_WITHIN,
-            "{terms:?}: {wait:?}"
+            "{timing:?}: {wait:?}"
         );
         assert!(
             !shared || policy.response_timeout(true) >= NOTIFIED_WITHIN / 3,
@@ -150,7 +155,7 @@
         let first = policy.first_call_delay(rng.generate_range(0..1024u32));
         assert!(
             first + NOTIFIED_WITHIN / 3 <= NOTIFIED_WITHIN && (shared || first.is_zero()),
-            "{terms:?}: {first:?}"
+            "{timing:?}: {first:?}"
         );
         // Nothing is so short that it can't succeed, or calls come one upon another.
         assert!(
@@ -162,8 +167,8 @@
 }
 
 #[test]
-fn three_hundred_gateways_that_start_together_do_not_call_together() {
-    let policy = DiscoveryRetryPolicy::new(terms(250, 500, Some(300.0)));
+fn first_calls_of_three_hundred_gateways_that_start_together_are_spread() {
+    let policy = DiscoveryRetryPolicy::new(timing(250, 500, Some(300.0)));
     let mut firsts: Vec<Duration> = (0..300)
         .map(|gateway| policy.first_call_delay(gateway))
         .collect();
--- a/fleet/src/slow_start/tests.rs
+++ b/fleet/src/slow_start/tests.rs
@@ -3,9 +3,9 @@
 
 const WINDOW: f64 = 1.0;
 
-/// The most sends in any window, where each gateway sends whenever it is permitted and `wants` says so, and a send
+/// The highest number of sends in any window, where each gateway sends whenever it is permitted and `wants` says so, and a send
 /// arrives up to `late` seconds after it was decided.
-fn most(
+fn max_sends_in_a_window(
     gateways: u32,
     budget: SlowStartBudget,
     late: f64,
@@ -38,24 +38,24 @@
     let mut rng = WyRand::new_seed(5);
     for gateways in [3, 20, 30, 100, 350, 1024] {
         for total_rate in [0.5, 4.0, 12.0, 60.0, 900.0] {
-            // The module uses 0.4 of the budget, its permits lapse in a window, and a send begins half of one late at most.
+            // The module uses 0.4 of the budget, its permits expire in a window, and a send begins half of one late at most.
             let budget = SlowStartBudget::share_of(
                 total_rate * 0.4,
                 f64::from(gateways),
                 Duration::from_secs_f64(WINDOW),
             );
             let allowed = total_rate + 2.0 * f64::sqrt(total_rate) + 2.0;
-            let steady = most(gateways, budget, 0.0, &mut rng, |_| true);
-            let burst = most(gateways, budget, 0.0, &mut rng, |at| {
+            let steady = max_sends_in_a_window(gateways, budget, 0.0, &mut rng, |_| true);
+            let burst = max_sends_in_a_window(gateways, budget, 0.0, &mut rng, |at| {
                 (4.0..4.1).contains(&at)
             });
-            let late = most(gateways, budget, WINDOW / 2.0, &mut rng, |at| {
+            let late = max_sends_in_a_window(gateways, budget, WINDOW / 2.0, &mut rng, |at| {
                 !(3.0..5.0).contains(&at)
             });
-            for (what, sends) in [("steady", steady), ("burst", burst), ("late", late)] {
+            for (pattern, sends) in [("steady", steady), ("burst", burst), ("late", late)] {
                 assert!(
                     sends as f64 <= allowed,
-                    "{gateways} gateways, {total_rate}, {what}: {sends} of {allowed}"
+                    "{gateways} gateways, {total_rate}, {pattern}: {sends} of {allowed}"
                 );
             }
             let least = (total_rate * 0.4 * WINDOW).floor() * 0.8 - 1.0;
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn fractions_are_carried_over_and_permits_lapse() {
+fn permits_carry_fractions_over_and_expire() {
     let start = Duration::from_secs(50);
     let budget = SlowStartBudget::share_of(1.0, 4.0, Duration::from_millis(500));
     let mut permits = SlowStartPermits {
@@ -78,7 +78,7 @@
     let at = |ms| start + Duration::from_millis(ms);
     assert!(!permits.allows_one(at(1999), budget));
     assert!(permits.allows_one(at(2001), budget));
-    assert!(!permits.allows_one(at(2501), budget), "lapsed");
+    assert!(!permits.allows_one(at(2501), budget), "expired");
     permits.take_one(at(2400), budget);
     assert!(!permits.allows_one(at(5999), budget));
     assert!(
@@ -92,15 +92,17 @@
 }
 
 #[test]
-fn gateways_begin_at_parts_that_are_spread_evenly() {
+fn gateways_begin_at_credits_that_are_spread_evenly() {
     for gateways in [3u32, 30, 350, 1024] {
-        let mut parts: Vec<f64> = (0..gateways)
+        let mut credits: Vec<f64> = (0..gateways)
             .map(|gateway| SlowStartPermits::new(gateway, 77, Duration::ZERO).credit)
             .collect();
-        parts.sort_by(f64::total_cmp);
+        credits.sort_by(f64::total_cmp);
         let even = f64::from(gateways);
         assert!(
-            parts.windows(2).all(|pair| pair[1] - pair[0] < 2.7 / even),
+            credits
+                .windows(2)
+                .all(|pair| pair[1] - pair[0] < 2.7 / even),
             "{gateways}"
         );
     }
--- a/fleet/src/subset.rs
+++ b/fleet/src/subset.rs
@@ -8,6 +8,19 @@
 use rustc_hash::FxHasher;
 use std::hash::Hasher;
 
+/// How often a connection should be used within its idle timeout: at random intervals it is then closed before its next
+/// use in under one case of seven.
+const USES_PER_IDLE_TIMEOUT: f64 = 2.0;
+
+/// How often, in seconds, an endpoint should answer something, for what is known of it to be of use.
+const MAX_SECONDS_UNHEARD: f64 = 3.0;
+
+/// The subset could have so many times the attempts in flight that there are.
+const LOAD_HEADROOM: f64 = 2.0;
+
+/// The least size, however few attempts there are: some endpoints may be bad, starting or full.
+const MIN_SIZE: f64 = 8.0;
+
 /// The position of an endpoint on the ring: the same at every gateway and in every build.
 pub fn ring_position(endpoint: &str) -> u64 {
     let mut hasher = FxHasher::default();
@@ -31,22 +44,12 @@
     pub in_flight_each: f64,
 }
 
-/// How often a connection should be used within its idle timeout: at random intervals it is then closed before its next
-/// use in under one case of seven.
-const USES_PER_IDLE_TIMEOUT: f64 = 2.0;
-
-/// How often, in seconds, an endpoint should answer something, for what is known of it to be of use.
-const MAX_SECONDS_UNHEARD: f64 = 3.0;
-
-/// The least size, however few attempts there are: some endpoints may be bad, starting or full.
-const MIN_SIZE: f64 = 8.0;
-
 impl SubsetSize {
     /// How many of `endpoints` to use: never more than all, and all where their connections stay open anyway.
     pub fn of(&self, endpoints: usize) -> usize {
         let kept_open = self.attempt_rate
             * (self.idle_timeout / USES_PER_IDLE_TIMEOUT).min(MAX_SECONDS_UNHEARD);
-        let for_load = 2.0 * self.in_flight / self.in_flight_each.max(1.0);
+        let for_load = LOAD_HEADROOM * self.in_flight / self.in_flight_each.max(1.0);
         (kept_open.max(for_load).max(MIN_SIZE).ceil() as usize).min(endpoints)
     }
 }
--- a/fleet/src/subset/tests.rs
+++ b/fleet/src/subset/tests.rs
@@ -1,96 +1,89 @@
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn ring(servers: &[String]) -> Vec<String> {
-    let mut ring = servers.to_vec();
-    ring.sort_by_key(|server| ring_position(server));
+/// Endpoints in the order of their position on the ring.
+fn ring(endpoints: &[String]) -> Vec<String> {
+    let mut ring = endpoints.to_vec();
+    ring.sort_by_key(|endpoint| ring_position(endpoint));
     ring
 }
 
 fn names(count: usize) -> Vec<String> {
     (0..count)
-        .map(|at| format!("s-{:08x}", at * 2_654_435))
+        .map(|number| format!("s-{:08x}", number * 2_654_435))
         .collect()
 }
 
-fn own(ring: &[String], gateway: u32, gateways: u32, width: usize) -> BTreeSet<String> {
-    members(ring.len(), gateway, gateways, width)
-        .map(|at| ring[at].clone())
+fn subset(ring: &[String], gateway: u32, gateways: u32, size: usize) -> BTreeSet<String> {
+    members(ring.len(), gateway, gateways, size)
+        .map(|index| ring[index].clone())
         .collect()
 }
 
 #[test]
-fn every_server_has_as_many_gateways_as_any_other() {
-    for (servers, gateways, width) in [
+fn every_endpoint_has_as_many_gateways_as_any_other() {
+    for (endpoints, gateways, size) in [
         (200, 300, 12),
         (37, 300, 8),
         (200, 23, 20),
         (9, 2, 8),
         (1000, 1000, 8),
     ] {
-        let ring = ring(&names(servers));
-        let mut count: BTreeMap<String, usize> = BTreeMap::new();
+        let ring = ring(&names(endpoints));
+        let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for gateway in 0..gateways {
-            for server in own(&ring, gateway, gateways, width) {
-                *count.entry(server).or_default() += 1;
+            for endpoint in subset(&ring, gateway, gateways, size) {
+                *counts.entry(endpoint).or_default() += 1;
             }
         }
-        let (least, most) = (count.values().min().unwrap(), count.values().max().unwrap());
-        let even = gateways as usize * width / servers;
+        let least = counts.values().min().expect("some");
+        let most = counts.values().max().expect("some");
+        let even = gateways as usize * size / endpoints;
         assert!(
-            count.len() == servers || gateways as usize * width < servers * 2,
+            counts.len() == endpoints || gateways as usize * size < endpoints * 2,
             "{}",
-            count.len()
+            counts.len()
         );
         assert!(
-            *most <= even + width.min(2) + 1 && *least + 2 >= even.min(*least + 2),
+            *most <= even + size.min(2) + 1 && *least + 2 >= even.min(*least + 2),
             "{least} {most} {even}"
         );
     }
 }
 
 #[test]
-fn a_server_that_comes_or_goes_moves_few() {
+fn endpoint_that_comes_or_goes_changes_two_members_of_a_subset_at_most() {
     let all = names(200);
     let before = ring(&all);
     for gone in [0, 57, 199] {
-        let mut left = all.clone();
-        left.remove(gone);
-        let after = ring(&left);
+        let mut others = all.clone();
+        others.remove(gone);
+        let after = ring(&others);
         for gateway in 0..300 {
-            let (one, two) = (
-                own(&before, gateway, 300, 12),
-                own(&after, gateway, 300, 12),
-            );
-            assert!(one.difference(&two).count() <= 2, "gateway {gateway}");
+            let subset_before = subset(&before, gateway, 300, 12);
+            let subset_after = subset(&after, gateway, 300, 12);
+            let left = subset_before.difference(&subset_after).count();
+            assert!(left <= 2, "gateway {gateway}");
         }
     }
 }
 
 #[test]
-fn the_width_follows_what_keeps_connections_warm() {
-    let width = |tries, open| {
-        SubsetSize {
-            attempt_rate: tries,
+fn subset_size_follows_the_load_and_the_idle_timeout() {
+    for (attempt_rate, in_flight, endpoints, expected) in [
+        (0.1, 0.0, 200, 8),
+        (8.0, 2.0, 200, 24),
+        (100.0, 2.0, 200, 200),
+        // Much is out at once: more endpoints, whatever the connections cost.
+        (0.1, 60.0, 200, 30),
+        (0.0, 0.0, 5, 5),
+    ] {
+        let size = SubsetSize {
+            attempt_rate,
             idle_timeout: 20.0,
-            in_flight: open,
+            in_flight,
             in_flight_each: 4.0,
-        }
-        .of(200)
-    };
-    assert_eq!(width(0.1, 0.0), 8);
-    assert_eq!(width(8.0, 2.0), 24);
-    assert_eq!(width(100.0, 2.0), 200);
-    // Much is out at once: more servers, whatever the connections cost.
-    assert_eq!(width(0.1, 60.0), 30);
-    assert_eq!(
-        SubsetSize {
-            attempt_rate: 0.0,
-            idle_timeout: 20.0,
-            in_flight: 0.0,
-            in_flight_each: 1.0
-        }
-        .of(5),
-        5
-    );
+        };
+        assert_eq!(size.of(endpoints), expected, "{attempt_rate} {in_flight}");
+    }
 }
