--- a/src/control/counter_client.rs
+++ b/src/control/counter_client.rs
@@ -1,5 +1,5 @@
-//! Calls on the shared counter: what each reply is awaited for, how often calls are made ([`RatePacer`]) and when the
-//! counter is left alone ([`CircuitBreaker`]).
+//! Calls on the shared counter: what each reply is awaited for, how often calls are made ([`RatePacer`]) and when none
+//! is made ([`CircuitBreaker`]).
 
 use super::circuit_breaker::CircuitBreaker;
 use super::context::Context;
@@ -114,7 +114,7 @@
         self.circuit = CircuitBreaker::new(has_counter);
     }
 
-    /// Whether the counter is left alone.
+    /// Whether the counter must not be called.
     pub(super) fn is_circuit_open(&self, now: Duration) -> bool {
         self.circuit.is_open(now)
     }
@@ -127,7 +127,7 @@
         !self.is_circuit_open(now) && is_allowed
     }
 
-    /// Whether a call may be made that can be done without.
+    /// Whether calls are plenty enough for one that can be done without.
     pub(super) fn has_spare_calls(&mut self, now: Duration) -> bool {
         self.may_call(now, SPARE_CALL_RESERVE)
     }
--- a/src/control/customer_quotas.rs
+++ b/src/control/customer_quotas.rs
@@ -94,7 +94,7 @@
         self.counter.set_present(is_present);
     }
 
-    /// Whether the counter is left alone.
+    /// Whether the counter must not be called.
     pub(super) fn is_circuit_open(&self, now: Duration) -> bool {
         self.counter.is_circuit_open(now)
     }
@@ -176,8 +176,9 @@
         self.last_lease
     }
 
-    /// Calls being scarce where quotas are small, a cap goes uncounted until the units seen in this window could fill
-    /// it: two calls for a lease leave none to ask for the units. Trade-off: others' attempts under a cap are seen late.
+    /// Whether a lease is left uncounted to save calls: where calls are scarce and quotas small, until the units seen in
+    /// this window could fill the cap. Two calls for each lease would leave none to ask for the units. Trade-off:
+    /// attempts of other gateways are seen late.
     fn is_lease_call_spared(
         &mut self,
         now: Duration,
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Adds leases to a further period's name.
+    /// Counts leases in a further period too.
     fn add_leases(
         &mut self,
         context: &mut Context,
@@ -279,7 +280,8 @@
         self.counter.call(context, call);
     }
 
-    /// Before a period's edge the open leases go into the next name, once, uncounted ones too.
+    /// Adds the open leases to the next period's name shortly before that period begins, once, uncounted ones too. Waits
+    /// while calls are scarce.
     pub(super) fn renew_leases(&mut self, context: &mut Context) {
         if !self.counter.has_spare_calls(context.now) {
             return;
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Any end of an attempt takes its lease off every live name in which it was counted, and off no other.
+    /// Ends a lease: takes it off every name in which it was counted and that has not expired, and off no other.
     pub(super) fn release_lease(
         &mut self,
         context: &mut Context,
@@ -403,7 +405,7 @@
         self.counter.call(context, call);
     }
 
-    /// The counter has replied about a block: what overshot goes back. Says whether the block was granted.
+    /// The counter has replied about a block: units beyond the quota go back. Says whether the block was granted.
     fn on_block_reply(
         &mut self,
         context: &mut Context,
