--- a/src/control.rs
+++ b/src/control.rs
@@ -43,6 +43,8 @@
 mod retries;
 mod retry_after;
 mod slow_start;
+#[cfg(test)]
+mod test_support;
 mod throughput;
 mod timers;
 mod token_bucket;
--- a/src/control/circuit_breaker.rs
+++ b/src/control/circuit_breaker.rs
@@ -45,3 +45,6 @@
         Some(open_for)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/concurrency_limit.rs
+++ b/src/control/concurrency_limit.rs
@@ -107,3 +107,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/counter_names.rs
+++ b/src/control/counter_names.rs
@@ -59,3 +59,6 @@
     });
     (hash ^ (hash >> 29)) >> 1
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/customers.rs
+++ b/src/control/customers.rs
@@ -94,3 +94,6 @@
         });
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/endpoint_picker.rs
+++ b/src/control/endpoint_picker.rs
@@ -191,3 +191,6 @@
         .filter(|id| fits(id))
         .collect()
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/endpoints.rs
+++ b/src/control/endpoints.rs
@@ -299,3 +299,6 @@
     let age = timing.unix_now.0.saturating_sub(started_at?.0).min(max_age);
     Some(now.saturating_sub(age))
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/failure_rate.rs
+++ b/src/control/failure_rate.rs
@@ -98,3 +98,6 @@
         AttemptOutcome::Success | AttemptOutcome::Rejected => Some(0.0),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/latency.rs
+++ b/src/control/latency.rs
@@ -131,3 +131,6 @@
 fn at_least_min(latency: Duration) -> f64 {
     latency.as_secs_f64().max(MIN_LATENCY)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/leases.rs
+++ b/src/control/leases.rs
@@ -187,3 +187,6 @@
     let extra = if turn < remainder { 1.0 } else { 0.0 };
     (limit / place.count).floor() + extra
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/load_shedding.rs
+++ b/src/control/load_shedding.rs
@@ -38,3 +38,6 @@
         self.mean_priority += (priority - self.mean_priority) * PRIORITY_SMOOTHING;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/quota.rs
+++ b/src/control/quota.rs
@@ -333,3 +333,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/rate_pacer.rs
+++ b/src/control/rate_pacer.rs
@@ -186,3 +186,6 @@
         self.slowed_at = now;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/retries.rs
+++ b/src/control/retries.rs
@@ -127,3 +127,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/retry_after.rs
+++ b/src/control/retry_after.rs
@@ -36,3 +36,6 @@
         DEFAULT_RETRY_AFTER
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -59,3 +59,6 @@
             .is_none_or(|budget| endpoint.permits.allows_one(self.now, budget))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/timers.rs
+++ b/src/control/timers.rs
@@ -34,3 +34,6 @@
         (due_at <= now).then(|| first.remove())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/control/token_bucket.rs
+++ b/src/control/token_bucket.rs
@@ -55,3 +55,6 @@
         self.units = 0.0;
     }
 }
+
+#[cfg(test)]
+mod tests;
