--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,6 +1,10 @@
-//! wellcrank's laboratory: one model of the world ([`world`]) with two engines under it, the decisions in
-//! simulated time ([`simulated`]) and the programs on loopback sockets ([`loopback`]); experiments, a referee
-//! that shares no code with the program, recorded traffic, comparisons and reports.
+//! wellcrank's laboratory: an emulated platform on which the gateways are played, and what is told of it.
+//!
+//! One model of the world (`world`: servers, counter, endpoint list, clients, network, faults) runs under two
+//! engines: [`simulated`] plays the decisions alone in simulated time, [`loopback`] the programs themselves on
+//! sockets. [`experiment`] is what is played, `rule_checker` judges it without any of the program's code,
+//! [`metrics`] is what comes of it, and [`runs`], [`stats`], [`validate`], [`capacity`] and [`report`] make
+//! comparisons and pages of that. [`events`] has the identifiers that all of them share.
 
 pub mod capacity;
 pub mod clock;
--- a/lab/src/metrics/tests.rs
+++ b/lab/src/metrics/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::events::Rule;
 use serde_json::Value;
+use std::time::Duration;
 
 /// A run with two broken rules as commit 73f2b76 wrote it, before fields were renamed.
 const STORED_BEFORE: &str = include_str!("results-of-73f2b76.jsonl");
--- a/lab/src/rule_checker.rs
+++ b/lab/src/rule_checker.rs
@@ -366,6 +366,10 @@
         Some((Rule::NoEffectTwice, description))
     }
 
+    fn location(&self, server: ServerId) -> ServerLocation {
+        self.locations.get(&server).copied().unwrap_or_default()
+    }
+
     /// Whether a server drops the repeat of an earlier attempt: in time, and in the same scope.
     fn is_deduplicated(
         &self,
@@ -376,9 +380,8 @@
     ) -> bool {
         let window = Duration::from_secs_f64(route.memory);
         let in_window = earlier.arrived_at + window + self.slack >= now;
-        let location = |server| self.locations.get(server).copied().unwrap_or_default();
-        let earlier_location = location(&earlier.server);
-        let present_location = location(&server);
+        let earlier_location = self.location(earlier.server);
+        let present_location = self.location(server);
         let in_scope = match route.group {
             Group::All => true,
             Group::Cell => earlier_location.cell == present_location.cell,
--- a/lab/src/stats.rs
+++ b/lab/src/stats.rs
@@ -180,7 +180,7 @@
         let differences: Vec<f64> = base_values
             .iter()
             .zip(&other_values)
-            .map(|(base, other)| other - base)
+            .map(|(base_value, other_value)| other_value - base_value)
             .collect();
         rows.push(Row {
             figure: figure.name.to_string(),
--- a/lab/src/world/attempts.rs
+++ b/lab/src/world/attempts.rs
@@ -2,7 +2,8 @@
 
 use super::event_queue::WorldEvent;
 use super::server::{Admission, Health, LoadReport, Task};
-use super::{seconds, Action, ServerResponse, World};
+use super::span::seconds;
+use super::{Action, ServerResponse, World};
 use crate::events::{AttemptEnd, AttemptId, ClientRequestId, ServerId};
 use nanorand::Rng;
 use std::time::Duration;
--- a/lab/src/world/clients.rs
+++ b/lab/src/world/clients.rs
@@ -187,7 +187,7 @@
 /// Requests a second of each account under a plan.
 fn draw_account_rates(experiment: &Experiment, plan: &PlanTerms, rng: &mut WyRand) -> Vec<f64> {
     let load = &experiment.load;
-    let all_shares: f64 = experiment.plans.iter().map(|plan| plan.share).sum();
+    let all_shares: f64 = experiment.plans.iter().map(|each| each.share).sum();
     let plan_rate = load.calls * plan.share / all_shares.max(1e-9);
     let usual_rate = if plan.rate > 0.0 {
         plan.rate * load.use_usual / mean_units(load.units_top)
--- a/lab/src/world/counter.rs
+++ b/lab/src/world/counter.rs
@@ -111,7 +111,7 @@
             return CallOutcome::Immediate(CounterResponse::Busy);
         }
         shard.free_at = shard.free_at.max(now) + Duration::from_secs_f64(seconds_per_call);
-        let latency = super::milliseconds(terms.latency_ms);
+        let latency = super::span::milliseconds(terms.latency_ms);
         CallOutcome::DoneAt(shard.free_at + latency.mul_f64(slowdown))
     }
 
--- a/lab/src/world/counter/tests.rs
+++ b/lab/src/world/counter/tests.rs
@@ -19,25 +19,28 @@
     service.on_call(milliseconds(now), gateway, 5, 2.0, milliseconds(1000))
 }
 
+fn finish(service: &mut CounterService, id: CounterCallId, now: u64) -> Option<CounterResponse> {
+    service.finish_call(milliseconds(now), id)
+}
+
 #[test]
 fn calls_take_turns_and_names_expire() {
     let mut service = service(1);
-    let (first, outcome) = call(&mut service, 0, 0);
-    assert_eq!(outcome, CallOutcome::DoneAt(milliseconds(101)));
-    let (second, outcome) = call(&mut service, 0, 0);
-    assert_eq!(outcome, CallOutcome::DoneAt(milliseconds(201)));
-    let (_, outcome) = call(&mut service, 0, 0);
-    assert_eq!(outcome, CallOutcome::Immediate(CounterResponse::Busy));
-    let mut finish = |id, now| service.finish_call(milliseconds(now), id);
-    assert_eq!(finish(first, 101), Some(CounterResponse::Total(2.0)));
-    assert_eq!(finish(second, 201), Some(CounterResponse::Total(4.0)));
-    let (third, _) = call(&mut service, 0, 1100);
-    let (fourth, _) = call(&mut service, 0, 1100);
-    let mut finish = |id, now| service.finish_call(milliseconds(now), id);
-    assert_eq!(finish(third, 1200), Some(CounterResponse::Total(2.0)));
+    let (first, first_outcome) = call(&mut service, 0, 0);
+    let (second, second_outcome) = call(&mut service, 0, 0);
+    let (_, third_outcome) = call(&mut service, 0, 0);
+    assert_eq!(first_outcome, CallOutcome::DoneAt(milliseconds(101)));
+    assert_eq!(second_outcome, CallOutcome::DoneAt(milliseconds(201)));
+    let busy = CallOutcome::Immediate(CounterResponse::Busy);
+    assert_eq!(third_outcome, busy);
+    let total = |total| Some(CounterResponse::Total(total));
+    assert_eq!(finish(&mut service, first, 101), total(2.0));
+    assert_eq!(finish(&mut service, second, 201), total(4.0));
+    let (expired, _) = call(&mut service, 0, 1100);
+    let (cleared, _) = call(&mut service, 0, 1100);
+    assert_eq!(finish(&mut service, expired, 1200), total(2.0));
     service.clear_primary();
-    let mut finish = |id, now| service.finish_call(milliseconds(now), id);
-    assert_eq!(finish(fourth, 1201), Some(CounterResponse::Total(2.0)));
+    assert_eq!(finish(&mut service, cleared, 1201), total(2.0));
 }
 
 #[test]
--- a/lab/src/world/endpoint_list.rs
+++ b/lab/src/world/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use super::event_queue::{EventQueue, WorldEvent};
 use super::server::ListingState;
-use super::{seconds, TimedValue};
+use super::span::{seconds, TimedValue};
 use crate::events::ServerId;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -4,8 +4,10 @@
 //! It does no I/O and has no clock: an engine tells it what has come and what time it is, asks it when something
 //! is due, and carries out the [`Action`]s that it leaves. Both engines play this one world. Each part owns its
 //! state in a type of its own; [`World`] joins them, and has its methods beside the part that they concern:
-//! requests of clients in `requests`, attempts at servers in `attempts`, faults in `faults`.
+//! requests of clients in `requests`, attempts at servers in `attempts`, calls on the counter and
+//! notifications of gateways in `platform`, faults in `faults`.
 
+mod action;
 mod attempts;
 mod clients;
 pub(crate) mod counter;
@@ -15,32 +17,36 @@
 mod faults;
 mod gateways;
 mod network;
+mod platform;
 mod requests;
 pub(crate) mod server;
+mod span;
 mod token_bucket;
 
+pub(crate) use action::{Action, ServerResponse};
 pub(crate) use attempts::{Attempt, AttemptArrival};
 pub(crate) use endpoint_list::EndpointChange;
 pub(crate) use gateways::GatewayState;
 pub(crate) use requests::ClientRequest;
 
-use crate::events::{AttemptId, ClientRequestId, CounterCallId, OperationId, ServerId};
+use crate::events::{AttemptId, ClientRequestId, OperationId, ServerId};
 use crate::experiment::Experiment;
 use crate::metrics::{MetricsRecorder, Results, ServerLoad};
 use crate::record::Recorded;
 use crate::rule_checker::RuleChecker;
 use clients::{Account, Clients, Operation};
-use counter::{CallOutcome, CounterResponse, CounterService};
+use counter::CounterService;
 use deduplication::DeduplicationTable;
-use endpoint_list::{EndpointList, Notification};
+use endpoint_list::EndpointList;
 use event_queue::{EventQueue, WorldEvent};
 use faults::FaultState;
 use gateways::Gateways;
 use nanorand::WyRand;
 use network::Network;
 use requests::Replay;
-use server::{ListingState, LoadReport, Server, ServerSpec};
-use std::ops::Range;
+use server::{ListingState, Server, ServerSpec};
+use span::seconds;
+
 use std::time::Duration;
 
 /// The rule checker forgets a request so long after its client timeout.
@@ -48,62 +54,6 @@
 /// A run goes on for so long after the last answer is due.
 const END_MARGIN: Duration = Duration::from_millis(200);
 
-/// What an engine has to carry out.
-#[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Action {
-    /// A client sends this request to its gateway.
-    SendRequest(ClientRequestId),
-    /// A client gives up waiting and closes its connection.
-    CloseClient(ClientRequestId),
-    /// A server answers an attempt, or ends its connection.
-    SendResponse(AttemptId, ServerResponse),
-    /// The counter answers a call.
-    SendCounterResponse(CounterCallId, CounterResponse),
-    /// Discovery notifies a gateway of the changes of the endpoint list up to and without this one.
-    NotifyGateway {
-        /// The gateway.
-        gateway: usize,
-        /// How many of the changes it knows from now on.
-        change_count: usize,
-    },
-    /// A new server listens.
-    AddServer(ServerId),
-    /// A server refuses connections and resets the open ones.
-    StopServer(ServerId),
-    /// A server that was down listens again.
-    RestartServer(ServerId),
-    /// A gateway's process is killed.
-    KillGateway(usize),
-    /// A gateway is told to stop.
-    StopGateway(usize),
-    /// A gateway's process is started.
-    StartGateway(usize),
-    /// A gateway is told that discovery and counter have new addresses.
-    MovePlatform(usize),
-    /// All connections of the counter are reset.
-    ResetCounterConnections,
-    /// So many clients connect that send bytes that cannot be parsed.
-    AddMisbehavingClients(usize),
-}
-
-/// What a server answers.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum ServerResponse {
-    /// The attempt was executed.
-    Success {
-        /// The units that it truly took, where servers report them.
-        units: Option<f64>,
-        /// The server's load, where servers report it.
-        load: Option<LoadReport>,
-    },
-    /// Rejected unexecuted: the server is full or leaving.
-    Busy,
-    /// An error.
-    Failed,
-    /// Bytes that cannot be parsed; which kind of them.
-    Malformed(u32),
-}
-
 /// Who adds the time that responses take on their way.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum ResponseDelay {
@@ -113,33 +63,6 @@
     AddedByWorld,
 }
 
-/// A value that holds for a while; 0 afterwards.
-#[derive(Clone, Copy, Debug, Default)]
-struct TimedValue {
-    until: Duration,
-    value: f64,
-}
-
-impl TimedValue {
-    fn at(self, now: Duration) -> f64 {
-        if now < self.until {
-            self.value
-        } else {
-            0.0
-        }
-    }
-}
-
-/// A span of seconds; spans that make no sense are cut to what does.
-fn seconds(seconds: f64) -> Duration {
-    Duration::from_secs_f64(seconds.clamp(0.0, 1e9))
-}
-
-/// A span of milliseconds.
-fn milliseconds(milliseconds: f64) -> Duration {
-    seconds(milliseconds / 1e3)
-}
-
 /// The emulated platform of one run.
 pub(crate) struct World {
     /// What is played.
@@ -416,202 +339,4 @@
     pub(crate) fn servers(&self) -> impl Iterator<Item = (ServerId, &Server)> {
         (0..).map(ServerId).zip(&self.servers)
     }
-
-    // ---- the network ----
-
-    /// One way between two ends in the same zone.
-    pub(crate) fn in_zone_delay(&self) -> Duration {
-        self.network.in_zone_delay()
-    }
-
-    /// What a response is later by for its way, where the engine does not add that itself.
-    fn round_trip_delay(&self, one_way: Duration) -> Duration {
-        match self.response_delay {
-            ResponseDelay::AddedByEngine => Duration::ZERO,
-            ResponseDelay::AddedByWorld => one_way * 2,
-        }
-    }
-
-    /// A datagram from one gateway to another: after how long it arrives, if it does.
-    pub(crate) fn on_datagram(
-        &mut self,
-        now: Duration,
-        from: usize,
-        to: usize,
-    ) -> Option<Duration> {
-        self.metrics.second_at(now).datagrams += 1;
-        let receiver_is_up = self.gateways.state(to) != GatewayState::Down;
-        self.network
-            .send_datagram(now, from, to, receiver_is_up, &mut self.rng)
-    }
-
-    // ---- the counter ----
-
-    /// A gateway's call on the counter has come.
-    pub(crate) fn on_counter_call(
-        &mut self,
-        now: Duration,
-        gateway: usize,
-        name: u64,
-        amount: f64,
-        time_to_live: Duration,
-        actions: &mut Vec<Action>,
-    ) -> CounterCallId {
-        self.metrics.second_at(now).counter_calls += 1;
-        let (id, outcome) = self
-            .counters
-            .on_call(now, gateway, name, amount, time_to_live);
-        match outcome {
-            CallOutcome::DoneAt(done_at) => {
-                let due = done_at + self.round_trip_delay(self.in_zone_delay());
-                self.event_queue
-                    .schedule(due, WorldEvent::CounterCallDone(id));
-            }
-            CallOutcome::Immediate(response) => {
-                actions.push(Action::SendCounterResponse(id, response));
-            }
-            CallOutcome::NoAnswer => (),
-        }
-        id
-    }
-
-    fn on_counter_call_done(
-        &mut self,
-        now: Duration,
-        id: CounterCallId,
-        actions: &mut Vec<Action>,
-    ) {
-        if let Some(response) = self.counters.finish_call(now, id) {
-            actions.push(Action::SendCounterResponse(id, response));
-        }
-    }
-
-    // ---- the endpoint list ----
-
-    /// The list gives a server's state; each gateway is notified in its own time.
-    fn change_endpoint(&mut self, now: Duration, server: ServerId, state: ListingState) {
-        let started_at = self.server(server).started_at;
-        let change = self.endpoint_list.append(EndpointChange {
-            server,
-            state,
-            started_at,
-        });
-        self.server_mut(server).record_listed_start(change);
-        self.endpoint_list.schedule_notifications(
-            now,
-            change,
-            &mut self.rng,
-            &mut self.event_queue,
-        );
-    }
-
-    fn on_notification_due(
-        &mut self,
-        now: Duration,
-        gateway: usize,
-        change: usize,
-        actions: &mut Vec<Action>,
-    ) {
-        match self.endpoint_list.on_notification_due(now, gateway, change) {
-            Notification::Postponed(due) => {
-                let event = WorldEvent::NotificationDue { gateway, change };
-                self.event_queue.schedule(due, event);
-            }
-            Notification::AlreadyKnown => (),
-            Notification::Notified { change_count } => {
-                if self.gateways.state(gateway) != GatewayState::Down {
-                    actions.push(Action::NotifyGateway {
-                        gateway,
-                        change_count,
-                    });
-                }
-            }
-        }
-    }
-
-    /// How many changes of the list a gateway was notified of.
-    pub(crate) fn notified_change_count(&self, gateway: usize) -> usize {
-        self.endpoint_list.notified_change_count(gateway)
-    }
-
-    /// Changes of the list by their numbers.
-    pub(crate) fn endpoint_changes(&self, numbers: Range<usize>) -> Vec<EndpointChange> {
-        self.endpoint_list.changes(numbers).to_vec()
-    }
-
-    /// The list after so many changes: each server's latest line, but for those that were removed.
-    pub(crate) fn endpoint_list_after(&self, change_count: usize) -> Vec<EndpointChange> {
-        self.endpoint_list.list_after(change_count)
-    }
-
-    /// Changes were written to a gateway.
-    pub(crate) fn on_gateway_notified(
-        &mut self,
-        now: Duration,
-        gateway: usize,
-        changes: &[EndpointChange],
-    ) {
-        for change in changes {
-            let ready = change.state == ListingState::Active;
-            self.rule_checker
-                .on_gateway_notified(now, gateway, change.server, ready);
-        }
-    }
-
-    // ---- gateways ----
-
-    /// The state of a gateway.
-    pub(crate) fn gateway_state(&self, gateway: usize) -> GatewayState {
-        self.gateways.state(gateway)
-    }
-
-    /// Whether a gateway has been ready for so long; one that was when the run began counts in any case.
-    pub(crate) fn is_ready_for(&self, now: Duration, gateway: usize, span: Duration) -> bool {
-        self.gateways.is_ready_for(now, gateway, span)
-    }
-
-    /// Whether clients still open connections to a gateway.
-    pub(crate) fn accepts_connections(&self, now: Duration, gateway: usize) -> bool {
-        self.gateways.accepts_connections(now, gateway)
-    }
-
-    /// So many connections of clients to a gateway have no request open on them.
-    pub(crate) fn set_idle_connections(&mut self, gateway: usize, count: usize) {
-        self.gateways.set_idle_connections(gateway, count);
-    }
-
-    /// A gateway serves from now on.
-    pub(crate) fn on_gateway_ready(&mut self, now: Duration, gateway: usize) {
-        self.gateways.set_state(now, gateway, GatewayState::Ready);
-    }
-
-    /// A gateway's process has ended by itself: what it had accepted and not answered is lost.
-    pub(crate) fn on_gateway_exit(&mut self, now: Duration, gateway: usize) {
-        if self.gateways.state(gateway) != GatewayState::Down {
-            self.gateways.set_down(now, gateway, false);
-        }
-    }
-
-    /// Whether a gateway's process was killed, which excuses what it had not answered.
-    pub(crate) fn was_killed(&self, gateway: usize) -> bool {
-        self.gateways.was_killed(gateway)
-    }
-
-    fn on_gateway_kill(&mut self, now: Duration, gateway: usize, actions: &mut Vec<Action>) {
-        let was_stopping = self.gateways.state(gateway) == GatewayState::Stopping;
-        self.gateways.set_down(now, gateway, true);
-        if was_stopping {
-            self.rule_checker.on_gateway_stopped(now, gateway);
-        } else {
-            self.rule_checker.on_gateway_killed(gateway);
-        }
-        actions.push(Action::KillGateway(gateway));
-    }
-
-    fn on_gateway_start(&mut self, now: Duration, gateway: usize, actions: &mut Vec<Action>) {
-        self.gateways
-            .set_state(now, gateway, GatewayState::Starting);
-        self.rule_checker.on_gateway_started(gateway);
-        actions.push(Action::StartGateway(gateway));
-    }
 }
--- a/lab/src/world/network.rs
+++ b/lab/src/world/network.rs
@@ -1,6 +1,6 @@
 //! The network between gateways, servers and the counter: delays, cut zones and datagrams between gateways.
 
-use super::{milliseconds, TimedValue};
+use super::span::{milliseconds, TimedValue};
 use crate::experiment::Experiment;
 use nanorand::{Rng, WyRand};
 use std::time::Duration;
--- a/lab/src/world/requests.rs
+++ b/lab/src/world/requests.rs
@@ -2,7 +2,8 @@
 
 use super::event_queue::WorldEvent;
 use super::gateways::GatewayState;
-use super::{seconds, Action, World};
+use super::span::seconds;
+use super::{Action, World};
 use crate::events::{ClientOutcome, ClientRequestId, OperationId};
 use crate::record::Recorded;
 use crate::rule_checker::AcceptedRequest;
--- a/lab/src/world/server.rs
+++ b/lab/src/world/server.rs
@@ -261,28 +261,28 @@
             }
             self.warm_up_work.pop_front();
         }
-        let sent: f64 = self.warm_up_work.iter().map(|sent| sent.work).sum();
+        let sent_work: f64 = self.warm_up_work.iter().map(|sent| sent.work).sum();
         let capacity = self.spec.cores as f64
             * self.spec.speed
             * self.slow_start_factor(now)
             * window.as_secs_f64();
         let mean_work = self.spec.mean_work.max(1e-9);
         let budget = capacity * self.spec.overload_factor / mean_work;
-        if sent / mean_work > with_chance(budget) {
+        if sent_work / mean_work > with_chance(budget) {
             self.health = Health::Overloaded;
         }
     }
 
     /// Whether over two thirds of what overloaded it came from gateways that knew of its start.
     pub(super) fn was_overloaded_knowingly(&self) -> bool {
-        let sent: f64 = self.warm_up_work.iter().map(|sent| sent.work).sum();
+        let sent_work: f64 = self.warm_up_work.iter().map(|sent| sent.work).sum();
         let sent_knowingly: f64 = self
             .warm_up_work
             .iter()
             .filter(|sent| sent.start_known)
             .map(|sent| sent.work)
             .sum();
-        sent_knowingly * 3.0 > sent * 2.0
+        sent_knowingly * 3.0 > sent_work * 2.0
     }
 
     /// An attempt's work is done or stopped: the next one in the queue begins.
