--- a/edge/src/lib.rs
+++ b/edge/src/lib.rs
@@ -13,6 +13,7 @@
 mod peers;
 mod pool;
 mod reactor;
+mod readiness;
 mod requests;
 mod resp;
 mod shutdown;
