--- a/lab/src/simulated/attempts.rs
+++ b/lab/src/simulated/attempts.rs
@@ -9,7 +9,7 @@
 use crate::error::LabError;
 use crate::events::{AttemptId, ClientOutcome, ClientRequestId, ServerId};
 use crate::world::server::{ListingState, LoadReport};
-use crate::world::ServerResponse;
+use crate::world::{AttemptArrival, ServerResponse};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wellcrank::port::{AttemptNumber, AttemptOutcome, AttemptResult, EndpointId, RequestId};
@@ -63,9 +63,9 @@
 /// A server's load by the names that it has on the wire.
 fn load_figures(report: LoadReport) -> BTreeMap<String, f64> {
     let figures = [
-        ("inflight", report.inflight as f64),
-        ("queue", report.queue as f64),
-        ("util", report.util),
+        ("inflight", report.in_flight as f64),
+        ("queue", report.queued as f64),
+        ("util", report.utilization),
     ];
     figures
         .map(|(name, value)| (name.to_string(), value))
@@ -241,11 +241,16 @@
             self.schedule(self.now + way, Event::ConnectionLost(key));
             return Ok(());
         }
-        let command = (key.attempt.request, new_connection);
+        let arrival = AttemptArrival {
+            gateway,
+            server,
+            request: key.attempt.request,
+            fresh_connection: new_connection,
+        };
         let mut actions = Vec::new();
-        let arrived_as =
-            self.world
-                .on_attempt_arrival(self.now, gateway, server, command, &mut actions);
+        let arrived_as = self
+            .world
+            .on_attempt_arrival(self.now, arrival, &mut actions);
         self.attempts.insert(arrived_as, key);
         if let Some(attempt) = self.in_flight(key) {
             attempt.arrived_as = Some(arrived_as);
--- a/lab/src/simulated/mod.rs
+++ b/lab/src/simulated/mod.rs
@@ -21,7 +21,7 @@
 use crate::experiment::{Experiment, Variant};
 use crate::metrics::Results;
 use crate::record::Recorded;
-use crate::world::World;
+use crate::world::{ResponseDelay, World};
 use run::SimulatedRun;
 use std::time::Duration;
 
@@ -52,7 +52,13 @@
         None => Box::new(InProcessEngine::default()),
     };
     let replay = options.replay.clone();
-    let world = World::new(&changed, seed, false, CHECK_TOLERANCE, replay);
+    let world = World::new(
+        &changed,
+        seed,
+        ResponseDelay::AddedByEngine,
+        CHECK_TOLERANCE,
+        replay,
+    );
     let mut run = SimulatedRun::new(world, engine, variant, seed, options.defect);
     run.play()?;
     Ok(run.into_results(&experiment.title, &variant.name, seed))
--- a/lab/src/simulated/requests.rs
+++ b/lab/src/simulated/requests.rs
@@ -62,8 +62,8 @@
             route: experiment.routes[operation.route].name.as_str().into(),
             units,
             deadline: CLOCK_ORIGIN + deadline,
-            first_gateway: account.first as u32,
-            gateway_count: account.spread as u32,
+            first_gateway: account.first_gateway as u32,
+            gateway_count: account.gateway_count as u32,
         }
     }
 
