--- a/lab/src/metrics.rs
+++ b/lab/src/metrics.rs
@@ -219,6 +219,30 @@
     pub gateway_mb: f64,
 }
 
+/// A figure that had another name in an earlier version.
+struct RenamedFigure {
+    old: &'static str,
+    new: &'static str,
+}
+
+const fn renamed(old: &'static str, new: &'static str) -> RenamedFigure {
+    RenamedFigure { old, new }
+}
+
+/// Old names of figures: commands and notes of earlier versions have them.
+const RENAMED_FIGURES: &[RenamedFigure] = &[
+    renamed("limited", "rejected"),
+    renamed("limited with room", "rejected within quota"),
+    renamed("beyond quotas", "over quota"),
+    renamed("errored", "failed"),
+    renamed("counter calls a try", "counter calls/attempt"),
+    renamed("connections a try", "connections/attempt"),
+    renamed("tries a proxied call", "attempts/success"),
+    renamed("proxied p50 ms", "served p50 ms"),
+    renamed("proxied p99 ms", "served p99 ms"),
+    renamed("first try p99 ms", "first attempt p99 ms"),
+];
+
 fn ratio(part: f64, whole: f64) -> f64 {
     if whole > 0.0 {
         part / whole
@@ -242,36 +266,35 @@
                 ratio(totals.value_in_time, totals.requested_value),
             ),
             figure("net", ratio(net_value, totals.requested_value)),
-            figure("limited", ratio(rejected, requests)),
+            figure("rejected", ratio(rejected, requests)),
             figure(
-                "limited with room",
+                "rejected within quota",
                 ratio(totals.rejected_within_quota as f64, rejected),
             ),
             figure(
-                "beyond quotas",
+                "over quota",
                 ratio(totals.over_quota_units, totals.forwarded_units),
             ),
-            figure("errored", ratio(totals.all_failures() as f64, requests)),
+            figure("failed", ratio(totals.all_failures() as f64, requests)),
             figure(
-                "counter calls a try",
+                "counter calls/attempt",
                 ratio(totals.counter_calls as f64, attempts),
             ),
             figure(
-                "connections a try",
+                "connections/attempt",
                 ratio(totals.new_connections as f64, attempts),
             ),
-            figure(
-                "tries a proxied call",
-                ratio(attempts, totals.succeeded as f64),
-            ),
-            figure("proxied p50 ms", self.succeeded_ms.p50),
-            figure("proxied p99 ms", self.succeeded_ms.p99),
-            figure("first try p99 ms", self.first_attempt_ms.p99),
+            figure("attempts/success", ratio(attempts, totals.succeeded as f64)),
+            figure("served p50 ms", self.succeeded_ms.p50),
+            figure("served p99 ms", self.succeeded_ms.p99),
+            figure("first attempt p99 ms", self.first_attempt_ms.p99),
         ]
     }
 
-    /// A figure by its name.
+    /// A figure by its name, or by the one that an earlier version gave it.
     pub fn figure(&self, name: &str) -> Option<f64> {
+        let renaming = RENAMED_FIGURES.iter().find(|renaming| renaming.old == name);
+        let name = renaming.map_or(name, |renaming| renaming.new);
         let mut figures = self.figures().into_iter();
         Some(figures.find(|figure| figure.name == name)?.value)
     }
--- a/lab/src/metrics/tests.rs
+++ b/lab/src/metrics/tests.rs
@@ -87,3 +87,29 @@
     recorder.record_lateness(Duration::from_millis(300));
     assert!(recorder.results().lateness.excessive);
 }
+
+#[test]
+fn figures_are_found_by_their_old_names_too() {
+    let results: Results = serde_json::from_str(STORED_BEFORE).expect("old results");
+    let old_names = [
+        "served",
+        "net",
+        "limited",
+        "limited with room",
+        "beyond quotas",
+        "errored",
+        "counter calls a try",
+        "connections a try",
+        "tries a proxied call",
+        "proxied p50 ms",
+        "proxied p99 ms",
+        "first try p99 ms",
+    ];
+    let figures = results.figures();
+    assert_eq!(figures.len(), old_names.len());
+    for (figure, old_name) in figures.iter().zip(old_names) {
+        assert_eq!(results.figure(old_name), Some(figure.value), "{old_name}");
+        assert_eq!(results.figure(figure.name), Some(figure.value));
+    }
+    assert_eq!(results.figure("no such figure"), None);
+}
