--- /dev/null
+++ b/edge/tests/node_scenario/stand_ins/counter.rs
@@ -0,0 +1,121 @@
+//! The shared counter.
+
+use super::loopback::{ListeningServer, LoopbackHost};
+use super::{disconnect, lock, resp, send};
+use std::io::BufReader;
+use std::net::TcpStream;
+use std::sync::{Arc, Mutex};
+use std::thread::sleep;
+use std::time::Duration;
+
+/// How often a silent counter looks whether it is to answer again.
+const SILENCE_POLL: Duration = Duration::from_millis(5);
+
+/// How the counter replies.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(crate) enum CounterMode {
+    /// It adds and tells the total.
+    #[default]
+    Answering,
+    /// It does not reply until the mode changes.
+    Silent,
+    /// It refuses to add.
+    Rejecting,
+    /// It adds to the next number and replies with something that is no number; then it answers again.
+    Malformed,
+}
+
+/// A counter that the node can be pointed at, at one or more addresses.
+#[derive(Clone, Default)]
+pub(crate) struct FakeCounter {
+    state: Arc<Mutex<CounterState>>,
+}
+
+#[derive(Default)]
+struct CounterState {
+    mode: CounterMode,
+    /// Names and their totals, in the order in which the names were first used.
+    totals: Vec<(String, f64)>,
+    connections: Vec<TcpStream>,
+}
+
+impl FakeCounter {
+    /// Listens at one more address; all addresses share the totals.
+    pub(crate) fn listen(&self, host: &LoopbackHost) -> ListeningServer {
+        let state = self.state.clone();
+        ListeningServer::start(host, move |connection| serve(&state, connection))
+    }
+
+    /// Changes how it replies from now on.
+    pub(crate) fn set_mode(&self, mode: CounterMode) {
+        lock(&self.state).mode = mode;
+    }
+
+    /// Breaks all its connections.
+    pub(crate) fn disconnect_all(&self) {
+        disconnect(&mut lock(&self.state).connections);
+    }
+
+    /// Hands over its open connections, and forgets them.
+    pub(crate) fn take_connections(&self) -> Vec<TcpStream> {
+        std::mem::take(&mut lock(&self.state).connections)
+    }
+
+    /// Whether a connection has come that has not been handed over or broken.
+    pub(crate) fn has_connections(&self) -> bool {
+        !lock(&self.state).connections.is_empty()
+    }
+
+    /// Whether the total of the newest name is zero.
+    pub(crate) fn newest_total_is_zero(&self) -> bool {
+        let state = lock(&self.state);
+        state.totals.last().is_some_and(|(_, total)| *total == 0.0)
+    }
+}
+
+fn serve(state: &Mutex<CounterState>, connection: TcpStream) {
+    let output = connection.try_clone().unwrap();
+    lock(state)
+        .connections
+        .push(connection.try_clone().unwrap());
+    let mut input = BufReader::new(connection);
+    while let Some(call) = resp::read_line(&mut input) {
+        while lock(state).mode == CounterMode::Silent {
+            sleep(SILENCE_POLL);
+        }
+        let reply = lock(state).reply(&call);
+        send(&output, &format!("{reply}\r\n"));
+    }
+}
+
+impl CounterState {
+    fn reply(&mut self, call: &str) -> String {
+        let words: Vec<&str> = call.split(' ').collect();
+        match words[..] {
+            ["ping"] => "pong".to_string(),
+            _ if self.mode == CounterMode::Rejecting => "busy".to_string(),
+            ["incr", name, amount, _ttl] => {
+                let total = self.add(name, amount.parse().expect("an amount"));
+                if self.mode == CounterMode::Malformed {
+                    self.mode = CounterMode::Answering;
+                    return "ok #".to_string();
+                }
+                format!("ok {total}")
+            }
+            _ => "error".to_string(),
+        }
+    }
+
+    fn add(&mut self, name: &str, amount: f64) -> f64 {
+        if !self.totals.iter().any(|(known, _)| known == name) {
+            self.totals.push((name.to_string(), 0.0));
+        }
+        let (_, total) = self
+            .totals
+            .iter_mut()
+            .find(|(known, _)| known == name)
+            .expect("added above");
+        *total += amount;
+        *total
+    }
+}
--- a/tests/named_settings/mod.rs
+++ b/tests/named_settings/mod.rs
@@ -12,12 +12,12 @@
         ["limits", field] => set_limit(settings, field, value),
         ["rules", field] => set_rule(settings, field, value),
         ["counter", field] => set_counter(settings, field, value),
-        ["plans", name, field] => {
-            let plan = settings.plans.entry(name.into()).or_default();
+        ["plans", plan_name, field] => {
+            let plan = settings.plans.entry(plan_name.into()).or_default();
             set_plan(plan, field, value);
         }
-        ["routes", name, field] => {
-            let route = settings.routes.entry(name.into()).or_default();
+        ["routes", route_name, field] => {
+            let route = settings.routes.entry(route_name.into()).or_default();
             set_route(route, field, value);
         }
         _ => panic!("no such setting: {name}"),
