--- a/edge/tests/node_scenario/stand_ins/clients.rs
+++ b/edge/tests/node_scenario/stand_ins/clients.rs
@@ -10,6 +10,8 @@
 
 /// The customer of every request.
 const CUSTOMER: &str = "00000000b4d65521";
+/// The size of a body in bytes, where a step tells none.
+const DEFAULT_BODY_SIZE: usize = 4;
 /// How long a client looks for what has come already.
 const ALREADY_THERE: Duration = Duration::from_millis(10);
 
@@ -28,9 +30,6 @@
     pub(crate) body_size: Option<usize>,
 }
 
-/// The size of a body in bytes, where a step tells none.
-const DEFAULT_BODY_SIZE: usize = 4;
-
 impl RequestArguments {
     fn command(&self) -> String {
         let id = format!("{:0>16}", self.request);
