--- a/edge/src/client.rs
+++ b/edge/src/client.rs
@@ -1,7 +1,8 @@
 //! One connection of a client: the commands that it has sent and that wait for their answers, in their order.
 
-use crate::must;
-use crate::reactor::{Notification, Reactor, Serial};
+use crate::invariants::invariant;
+use crate::notification::Notification;
+use crate::reactor::{Reactor, Serial};
 use crate::requests::{request_id, OpenRequest, OpenRequests, RequestCommand, ResponseSlot};
 use crate::resp;
 use crate::stream::BufferedStream;
@@ -256,7 +257,7 @@
         requests: &mut OpenRequests,
         is_full: bool,
     ) {
-        let serial = reactor.serial();
+        let serial = reactor.next_serial();
         let deadline = reactor.now + command.timeout;
         let request = Request {
             id: request_id(serial),
@@ -271,14 +272,14 @@
         self.has_asked = true;
         let pending = self.pending_commands.back_mut();
         pending.expect("pushed for this command").request = Some(serial);
-        reactor.held += command.size();
+        reactor.add_buffered_bytes(command.size());
         requests.insert(serial, OpenRequest::new(command, deadline, slot));
         let notification = if is_full || self.has_peer_closed() {
-            Notification::Refused(request.id)
+            Notification::RejectUnadmitted(request.id)
         } else {
-            Notification::Arrived(request)
+            Notification::Request(request)
         };
-        reactor.notifications.push_back(notification);
+        reactor.notify(notification);
     }
 
     /// Answers a command: queues the answer if all before it are answered, else keeps it until then.
@@ -289,7 +290,7 @@
         write: impl FnOnce(&mut Vec<u8>),
     ) {
         let index = number.wrapping_sub(self.first_number) as usize;
-        must!(
+        invariant!(
             reactor,
             index < self.pending_commands.len(),
             "an answer goes to a command that waits for it"
@@ -304,7 +305,7 @@
             .front_mut()
             .and_then(|command| command.answer.take())
         {
-            reactor.freed(answer.len());
+            reactor.release_buffered_bytes(answer.len());
             self.stream
                 .queue(reactor, |out| out.extend_from_slice(&answer));
             self.finish_first_command();
@@ -326,10 +327,10 @@
         let Some(command) = self.pending_commands.get_mut(index) else {
             return;
         };
-        must!(reactor, command.answer.is_none(), "one answer to a command");
+        invariant!(reactor, command.answer.is_none(), "one answer to a command");
         let mut answer = Vec::new();
         write(&mut answer);
-        reactor.held += answer.len();
+        reactor.add_buffered_bytes(answer.len());
         command.answer = Some(answer);
     }
 }
--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -3,8 +3,10 @@
 mod listener;
 
 use crate::client::{Client, GatewayStatus, MAX_IDLE};
+use crate::component::Component;
 use crate::lingering::Lingering;
-use crate::reactor::{Notification, Reactor, Serial, Side};
+use crate::notification::Notification;
+use crate::reactor::{Reactor, Serial};
 use crate::readiness::Readiness;
 use crate::requests::{OpenRequests, ResponseSlot};
 use crate::resp;
@@ -37,7 +39,7 @@
 /// them may bring yet.
 fn is_full(reactor: &Reactor, requests: &OpenRequests) -> bool {
     let max_open = reactor.settings.limits.max_open_requests as usize;
-    let bytes_in_prospect = reactor.held + requests.len() * resp::VALUE;
+    let bytes_in_prospect = reactor.buffered_bytes() + requests.len() * resp::VALUE;
     bytes_in_prospect > reactor.budget.bytes || (max_open > 0 && requests.len() >= max_open)
 }
 
@@ -97,8 +99,8 @@
         let most = reactor.budget.clients + SPARE_LINGERING;
         while self.len() >= most && self.lingering.evict_oldest(reactor) {}
         let key = self.connections.vacant_key();
-        let stream = BufferedStream::accepted(reactor, socket, Side::Client, key);
-        let client = Client::new(stream, reactor.serial(), reactor.now);
+        let stream = BufferedStream::accepted(reactor, socket, Component::Client, key);
+        let client = Client::new(stream, reactor.next_serial(), reactor.now);
         self.connections.insert(client);
     }
 
@@ -262,13 +264,13 @@
             return;
         };
         client.stop_reading();
-        reactor.tally.gone += open.len() as u64;
+        reactor.metrics.disconnected += open.len() as u64;
         let given_up = open
             .into_iter()
             .filter_map(|request| requests.mark_client_left(request));
-        reactor
-            .notifications
-            .extend(given_up.map(Notification::Expired));
+        for request in given_up {
+            reactor.notify(Notification::ExpireRequest(request));
+        }
         if client.is_quiescent() {
             self.end(reactor, key, requests);
         }
@@ -311,7 +313,7 @@
         let is_quiescent = client.is_quiescent();
         self.may_resume_accept |= is_quiescent;
         let ends = client.is_closing() && is_quiescent;
-        let may_end = reactor.closing() && client.is_idle(reactor);
+        let may_end = reactor.is_draining() && client.is_idle(reactor);
         if ends || (may_end && self.stays_idle(reactor, key, requests)) {
             self.end(reactor, key, requests);
         }
@@ -346,12 +348,12 @@
     ) -> Option<Client> {
         let mut client = self.connections.try_remove(key)?;
         for command in client.pending_commands.drain(..) {
-            reactor.freed(command.answer.map_or(0, |answer| answer.len()));
+            reactor.release_buffered_bytes(command.answer.map_or(0, |answer| answer.len()));
             let given_up = command
                 .request
                 .and_then(|request| requests.mark_client_left(request));
             if let Some(request) = given_up {
-                reactor.notifications.push_back(Notification::Gone(request));
+                reactor.notify(Notification::ClientDisconnect(request));
             }
         }
         self.may_resume_accept = true;
@@ -412,11 +414,11 @@
         for key in self.keys(|client| client.is_stuck(now, patience)) {
             self.close(reactor, key, requests);
         }
-        while reactor.held > reactor.budget.bytes {
+        while reactor.buffered_bytes() > reactor.budget.bytes {
             let Some(key) = self.largest_stalled_command(reactor) else {
                 break;
             };
-            slog::warn!(reactor.log, "memory is short: a half command is dropped"; "held" => reactor.held);
+            slog::warn!(reactor.log, "memory is short: a half command is dropped"; "held" => reactor.buffered_bytes());
             self.end(reactor, key, requests);
         }
         self.resumable = self.keys(Client::is_paused);
--- a/edge/src/clients/listener.rs
+++ b/edge/src/clients/listener.rs
@@ -1,6 +1,7 @@
 //! The socket on which clients connect, and what its errors mean.
 
-use crate::reactor::{Reactor, Side};
+use crate::component::Component;
+use crate::reactor::Reactor;
 use mio::net::{TcpListener, TcpStream};
 use mio::Interest;
 use socket2::{Domain, Socket, Type};
@@ -53,9 +54,11 @@
         socket.bind(&address.into())?;
         socket.listen(BACKLOG)?;
         let mut socket = TcpListener::from_std(socket.into());
-        reactor
-            .registry
-            .register(&mut socket, Side::Listener.token(0), Interest::READABLE)?;
+        reactor.registry.register(
+            &mut socket,
+            Component::Listener.token(0),
+            Interest::READABLE,
+        )?;
         Ok(Listener {
             socket,
             is_failing: false,
--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -2,8 +2,11 @@
 //! same one, so that its answers come in order. What comes after its time-out was told is matched off and
 //! dropped. Where the counter moves, each line has a successor, which is heard once the old one owes no answer.
 
-use crate::must;
-use crate::reactor::{Due, DueId, Notification, Reactor, Serial, Side};
+use crate::component::Component;
+use crate::deadlines::{Deadline, DeadlineId};
+use crate::invariants::invariant;
+use crate::notification::Notification;
+use crate::reactor::{Reactor, Serial};
 use crate::readiness::Readiness;
 use crate::stream::BufferedStream;
 use std::collections::VecDeque;
@@ -18,7 +21,8 @@
     /// None for a ping, and once the decisions were told that time is up.
     name: Option<CounterName>,
     at: Duration,
-    due: DueId,
+    /// None for a ping.
+    due: Option<DeadlineId>,
     /// How many bytes of this connection there are up to its last.
     end: usize,
 }
@@ -57,10 +61,8 @@
     }
 }
 
-fn counted(reactor: &mut Reactor, name: CounterName, counted: CounterReply) {
-    reactor
-        .notifications
-        .push_back(Notification::Counted(name, counted));
+fn counted(reactor: &mut Reactor, name: CounterName, reply: CounterReply) {
+    reactor.notify(Notification::CounterReply { name, reply });
 }
 
 impl Counter {
@@ -119,7 +121,7 @@
 
     fn connect(&mut self, reactor: &mut Reactor, place: usize) {
         let Some(at) = self.at else { return };
-        let stream = BufferedStream::connect(reactor, at, Side::Counter, place).ok();
+        let stream = BufferedStream::connect(reactor, at, Component::Counter, place).ok();
         self.lines[place] = Line {
             stream,
             heard: reactor.now,
@@ -152,10 +154,10 @@
         line.put += stream.queue(reactor, |out| {
             drop(write!(out, "incr {} {add} {keep}\r\n", name.0))
         });
-        let number = reactor.serial();
-        let due = reactor.at(
+        let number = reactor.next_serial();
+        let due = reactor.set_deadline(
             reactor.now + limit,
-            Due::Count {
+            Deadline::CounterCall {
                 line: place,
                 number,
             },
@@ -164,7 +166,7 @@
             number,
             name: Some(name),
             at: reactor.now,
-            due,
+            due: Some(due),
             end: line.put,
         });
     }
@@ -242,9 +244,11 @@
             let Some(call) = line.waiting.pop_front() else {
                 return false;
             };
-            reactor.unset(call.due);
+            if let Some(due) = call.due {
+                reactor.cancel_deadline(due);
+            }
             if let Some(name) = call.name {
-                must!(
+                invariant!(
                     reactor,
                     text != "error",
                     "the counter knows the calls that it gets"
@@ -276,7 +280,9 @@
         let mut line = std::mem::take(&mut self.lines[place]);
         let written = line.written();
         for call in line.waiting.drain(..) {
-            reactor.unset(call.due);
+            if let Some(due) = call.due {
+                reactor.cancel_deadline(due);
+            }
             let how = if call.end > written {
                 CounterReply::NotApplied
             } else {
@@ -299,12 +305,12 @@
                 continue;
             };
             line.put += stream.queue(reactor, |out| out.extend_from_slice(b"ping\r\n"));
-            let (number, due) = (reactor.serial(), (reactor.now, 0));
+            let number = reactor.next_serial();
             line.waiting.push_back(Waiting {
                 number,
                 name: None,
                 at: reactor.now,
-                due,
+                due: None,
                 end: line.put,
             });
         }
--- a/edge/src/discovery.rs
+++ b/edge/src/discovery.rs
@@ -2,7 +2,8 @@
 //! connection, and a new connection where the old one breaks or stays silent. When to ask again is
 //! [`wellcrank_fleet::discovery_retry`]'s to say.
 
-use crate::reactor::{Reactor, Side};
+use crate::component::Component;
+use crate::reactor::Reactor;
 use crate::readiness::Readiness;
 use crate::stream::BufferedStream;
 use nanorand::{Rng, WyRand};
@@ -252,7 +253,8 @@
         self.drop_connection(reactor);
         self.key += 1;
         (self.asked, self.fresh) = (reactor.now, true);
-        self.stream = BufferedStream::connect(reactor, self.at, Side::Discovery, self.key).ok();
+        self.stream =
+            BufferedStream::connect(reactor, self.at, Component::Discovery, self.key).ok();
         if self.stream.is_none() {
             return self.failed(reactor, DiscoveryFailure::Timeout, "no connection");
         }
--- a/edge/src/event_loop.rs
+++ b/edge/src/event_loop.rs
@@ -1,8 +1,9 @@
 //! The loop: one poll a turn. What comes in is put in line for the decisions; what they ask for is done at once, and
 //! written when the turn ends.
 
+use crate::deadlines::Deadline;
 use crate::gateway::Gateway;
-use crate::reactor::{Due, Notification};
+use crate::notification::Notification;
 use crate::readiness::Readiness;
 use mio::{Events, Poll};
 use std::cell::RefCell;
@@ -25,7 +26,7 @@
             if gateway.finished() {
                 return Ok(());
             }
-            gateway.reactor.next_wait()
+            gateway.reactor.poll_timeout()
         };
         match poll.poll(&mut events, wait) {
             Err(error) if error.kind() != io::ErrorKind::Interrupted => return Err(error),
@@ -33,21 +34,18 @@
         }
         {
             let gateway = &mut *gateway.borrow_mut();
-            gateway.reactor.now = gateway.reactor.clock.now();
-            gateway.reactor.polled = gateway.reactor.now;
-            let mut put_off = std::mem::take(&mut gateway.reactor.written_next);
-            gateway.reactor.written.append(&mut put_off);
+            gateway.reactor.begin_turn();
             for event in &events {
                 gateway.ready(event.token(), Readiness::from(event));
             }
-            while let Some(due) = gateway.reactor.next_due() {
+            while let Some(due) = gateway.reactor.take_expired_deadline() {
                 gateway.due(due);
             }
         }
         loop {
             hand_over(gateway, control);
             let gateway = &mut *gateway.borrow_mut();
-            if gateway.reactor.written.is_empty() && !gateway.resume() {
+            if !gateway.reactor.has_scheduled_flushes() && !gateway.resume() {
                 break;
             }
             gateway.flush();
@@ -60,34 +58,41 @@
     loop {
         let (news, now) = {
             let reactor = &mut gateway.borrow_mut().reactor;
-            let Some(news) = reactor.notifications.pop_front() else {
+            let Some(news) = reactor.take_notification() else {
                 return;
             };
-            reactor.now = reactor.clock.now();
             (news, reactor.now)
         };
         control.set_time(now);
         match news {
             // Its client may have left in the same turn: nothing is begun for it.
-            Notification::Arrived(arrival) => {
-                gateway.borrow_mut().reactor.tally.calls += 1;
+            Notification::Request(arrival) => {
+                gateway.borrow_mut().reactor.metrics.requests += 1;
                 let open = gateway.borrow().calls.is_wanted(&arrival.id);
                 match open {
                     true => control.on_request(arrival),
                     false => control.reject_unadmitted(&arrival.id),
                 }
             }
-            Notification::Refused(call) => {
-                gateway.borrow_mut().reactor.tally.calls += 1;
+            Notification::RejectUnadmitted(call) => {
+                gateway.borrow_mut().reactor.metrics.requests += 1;
                 control.reject_unadmitted(&call);
             }
-            Notification::Gone(call) => {
+            Notification::ClientDisconnect(call) => {
                 gateway.borrow_mut().left(&call);
                 control.on_client_disconnect(&call);
             }
-            Notification::Expired(call) => control.expire_request(&call),
-            Notification::Ended(call, number, mut end) => {
-                gateway.borrow_mut().reactor.tally.ended(end.outcome);
+            Notification::ExpireRequest(call) => control.expire_request(&call),
+            Notification::AttemptEnd {
+                request: call,
+                attempt: number,
+                result: mut end,
+            } => {
+                gateway
+                    .borrow_mut()
+                    .reactor
+                    .metrics
+                    .count_attempt(end.outcome);
                 end.request_closed |= !gateway.borrow().calls.is_unanswered(&call);
                 let closed = end.request_closed;
                 control.on_attempt_end(&call, number, end);
@@ -95,10 +100,12 @@
                     gateway.borrow_mut().forget(&call);
                 }
             }
-            Notification::Counted(name, counted) => control.on_counter_reply(name, counted),
-            Notification::EndpointUpdate(time, update) => control.on_endpoint_update(time, update),
-            Notification::Woken(token) => control.on_timer(token),
-            Notification::Reconfigured(settings) => control.reconfigure(settings),
+            Notification::CounterReply { name, reply } => control.on_counter_reply(name, reply),
+            Notification::EndpointUpdate { timing, update } => {
+                control.on_endpoint_update(timing, update)
+            }
+            Notification::Timer(token) => control.on_timer(token),
+            Notification::Reconfigure(settings) => control.reconfigure(settings),
         }
     }
 }
@@ -123,7 +130,7 @@
     fn reject(&mut self, call: &RequestId, retry_after: Duration) {
         let gateway = &mut *self.0.borrow_mut();
         let advised = gateway.reactor.settings.limits.sends_retry_after;
-        gateway.reactor.tally.limited += 1;
+        gateway.reactor.metrics.rejected += 1;
         gateway.answer(call, |out| {
             let advice = format!("-BUSY {}\r\n", retry_after.as_millis());
             out.extend_from_slice(if advised {
@@ -135,7 +142,7 @@
     }
     fn fail(&mut self, call: &RequestId) {
         let gateway = &mut *self.0.borrow_mut();
-        gateway.reactor.tally.errored += 1;
+        gateway.reactor.metrics.failed += 1;
         gateway.answer(call, |out| out.extend_from_slice(b"-ERR failed\r\n"));
     }
     fn add_to_counter(&mut self, name: CounterName, add: f64, keep: Duration) {
@@ -145,7 +152,10 @@
         counter.count(reactor, name, add, keep);
     }
     fn set_timer(&mut self, token: TimerToken, at: Duration) {
-        self.0.borrow_mut().reactor.at(at, Due::Wake(token));
+        self.0
+            .borrow_mut()
+            .reactor
+            .set_deadline(at, Deadline::ControllerTimer(token));
     }
     /// The decisions send no probes, and would not be told of an answer.
     fn probe(&mut self, _: &EndpointId) {}
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -2,11 +2,15 @@
 //! Tells each event of the poll and each due time to the side that it belongs to.
 
 use crate::clients::Clients;
+use crate::component::Component;
 use crate::counter::Counter;
+use crate::deadlines::Deadline;
 use crate::discovery::{self, Discovery};
+use crate::metrics::Gauges;
+use crate::notification::Notification;
 use crate::peers::Peers;
 use crate::pool::{NewAttempt, Pool};
-use crate::reactor::{Due, Notification, Reactor, Side};
+use crate::reactor::Reactor;
 use crate::readiness::Readiness;
 use crate::requests::OpenRequests;
 use crate::shutdown::GracefulShutdown;
@@ -51,13 +55,13 @@
             pool,
             ..
         } = self;
-        match Side::of(token) {
-            (Side::Listener, _) => clients.accept(reactor, calls),
-            (Side::Client, key) => clients.ready(reactor, key, readiness, calls),
-            (Side::Lingering, key) => clients.ending(reactor, key),
-            (Side::Upstream, key) => pool.ready(reactor, key, readiness, calls, clients),
-            (Side::Counter, key) => self.counter.ready(reactor, key, readiness),
-            (Side::Discovery, key) => {
+        match Component::from_token(token) {
+            (Component::Listener, _) => clients.accept(reactor, calls),
+            (Component::Client, key) => clients.ready(reactor, key, readiness, calls),
+            (Component::Lingering, key) => clients.ending(reactor, key),
+            (Component::Upstream, key) => pool.ready(reactor, key, readiness, calls, clients),
+            (Component::Counter, key) => self.counter.ready(reactor, key, readiness),
+            (Component::Discovery, key) => {
                 if let Some(news) = self.discovery.ready(reactor, key, readiness) {
                     let since_last = self
                         .list_heard
@@ -66,8 +70,8 @@
                     self.listed(news, since_last);
                 }
             }
-            (Side::Peers, _) => self.peers.ready(reactor),
-            (Side::Signal, _) => {
+            (Component::Peers, _) => self.peers.ready(reactor),
+            (Component::Signals, _) => {
                 for signal in self.signals.pending() {
                     if signal == SIGHUP {
                         reread(
@@ -104,8 +108,8 @@
                 "leaving" => are(EndpointState::Draining), "gone" => are(EndpointState::Removed));
             let told = lines.iter().map(|(line, _)| line.clone()).collect();
             self.pool.listed(&mut self.reactor, whole, lines);
-            self.reactor.look_at_clock();
-            let time = UpdateTiming {
+            self.reactor.check_wall_clock();
+            let timing = UpdateTiming {
                 unix_now: self.reactor.clock.unix_now(),
                 since_last_update: since_last,
             };
@@ -115,19 +119,18 @@
                 EndpointUpdate::Delta(told)
             };
             self.reactor
-                .notifications
-                .push_back(Notification::EndpointUpdate(time, update));
+                .notify(Notification::EndpointUpdate { timing, update });
         }
         self.clients.ready = true;
     }
 
-    pub fn due(&mut self, due: Due) {
+    pub fn due(&mut self, due: Deadline) {
         let reactor = &mut self.reactor;
         match due {
-            Due::Try { key, connection } => self.pool.due(reactor, key, connection),
-            Due::Count { line, number } => self.counter.due(reactor, line, number),
-            Due::Wake(token) => {
-                reactor.notifications.push_back(Notification::Woken(token));
+            Deadline::Attempt { key, connection } => self.pool.due(reactor, key, connection),
+            Deadline::CounterCall { line, number } => self.counter.due(reactor, line, number),
+            Deadline::ControllerTimer(token) => {
+                reactor.notify(Notification::Timer(token));
                 if token == TICK_TIMER {
                     self.sweep();
                 }
@@ -144,12 +147,12 @@
             pool,
             ..
         } = self;
-        if reactor.last_answers() {
+        if reactor.must_answer_now() {
             clients.last_answers(reactor, calls);
-            reactor
-                .notifications
-                .extend(calls.wanted().map(Notification::Expired));
-        } else if reactor.closing() {
+            for request in calls.wanted() {
+                reactor.notify(Notification::ExpireRequest(request));
+            }
+        } else if reactor.is_draining() {
             clients.end_idle(reactor, calls);
         }
         clients.sweep_idle(reactor, calls);
@@ -166,16 +169,16 @@
             clients.ready = true;
         }
         if self.seconds.is_multiple_of(60) {
-            reactor.tally.report(
-                &reactor.log,
-                calls.len(),
-                clients.len(),
-                pool.len(),
-                reactor.held,
-            );
+            let gauges = Gauges {
+                open_requests: calls.len(),
+                client_connections: clients.len(),
+                upstream_connections: pool.len(),
+                buffered_bytes: reactor.buffered_bytes(),
+            };
+            reactor.metrics.report(&reactor.log, &gauges);
         }
-        reactor.look_at_clock();
-        reactor.report_faults();
+        reactor.check_wall_clock();
+        reactor.violations.report(&reactor.log);
         clients.sweep(reactor, calls);
         pool.sweep(reactor);
         self.counter.sweep(reactor);
@@ -184,9 +187,9 @@
     /// Told to stop, and nobody is left to answer.
     pub fn finished(&mut self) -> bool {
         // What the counter has not answered by the end was written, and lapses with its name.
-        let counted = self.counter.quiet() || self.reactor.last_answers();
+        let counted = self.counter.quiet() || self.reactor.must_answer_now();
         let quiet = self.clients.len() == 0 && self.calls.len() == 0 && counted;
-        if !quiet || !self.reactor.closing() {
+        if !quiet || !self.reactor.is_draining() {
             return false;
         }
         // Who has connected since the last look is still answered.
@@ -203,11 +206,11 @@
             pool,
             ..
         } = self;
-        for token in std::mem::take(&mut reactor.written) {
-            match Side::of(token) {
-                (Side::Client, key) => clients.flush(reactor, key, calls),
-                (Side::Upstream, key) => pool.flush(reactor, key, calls),
-                (Side::Counter, key) => self.counter.flush(reactor, key),
+        for token in reactor.take_scheduled_flushes() {
+            match Component::from_token(token) {
+                (Component::Client, key) => clients.flush(reactor, key, calls),
+                (Component::Upstream, key) => pool.flush(reactor, key, calls),
+                (Component::Counter, key) => self.counter.flush(reactor, key),
                 (_, key) => self.discovery.flush(reactor, key),
             }
         }
@@ -270,14 +273,14 @@
 
     /// The client of an API call has gone.
     pub fn left(&mut self, call: &RequestId) {
-        self.reactor.tally.gone += 1;
+        self.reactor.metrics.disconnected += 1;
         self.forget(call);
     }
 
     /// The API call is over and the decisions know.
     pub fn forget(&mut self, call: &RequestId) {
         if let Some(open) = self.calls.remove(call) {
-            self.reactor.freed(open.command.size());
+            self.reactor.release_buffered_bytes(open.command.size());
         }
     }
 }
@@ -315,15 +318,11 @@
     if settings == *reactor.settings {
         return;
     }
-    reactor.settings = Rc::new(settings);
-    reactor.settings_generation += 1;
-    slog::info!(reactor.log, "settings changed"; "generation" => reactor.settings_generation);
+    reactor.replace_settings(Rc::new(settings));
     discovery.reconfigure(reactor);
     if let Some(shutdown) = &mut reactor.shutdown {
         shutdown.shorten(&reactor.settings);
     }
     // In its turn: what has arrived before keeps the terms that it was checked against.
-    reactor
-        .notifications
-        .push_back(Notification::Reconfigured(reactor.settings.clone()));
+    reactor.notify(Notification::Reconfigure(reactor.settings.clone()));
 }
--- a/edge/src/lib.rs
+++ b/edge/src/lib.rs
@@ -5,11 +5,16 @@
 mod client;
 mod clients;
 mod clock;
+mod component;
 mod counter;
+mod deadlines;
 mod discovery;
 mod event_loop;
 mod gateway;
+mod invariants;
 mod lingering;
+mod metrics;
+mod notification;
 mod peers;
 mod pool;
 mod reactor;
@@ -19,7 +24,6 @@
 mod shutdown;
 mod startup;
 mod stream;
-mod tally;
 
 use mio::{Interest, Poll};
 use serde::Deserialize;
@@ -132,7 +136,7 @@
         let mut signals = Signals::new([SIGTERM, SIGHUP])?;
         registry.register(
             &mut signals,
-            reactor::Side::Signal.token(0),
+            component::Component::Signals.token(0),
             Interest::READABLE,
         )?;
         Ok(signals)
--- a/edge/src/lingering.rs
+++ b/edge/src/lingering.rs
@@ -6,7 +6,8 @@
 //! Trade-off: a connection holds its descriptor for a while longer. It counts as the clients' own, and goes first where
 //! one is wanted.
 
-use crate::reactor::{Reactor, Side};
+use crate::component::Component;
+use crate::reactor::Reactor;
 use crate::stream::BufferedStream;
 use slab::Slab;
 use std::time::Duration;
@@ -43,7 +44,7 @@
     pub(crate) fn end_connection(&mut self, reactor: &mut Reactor, mut stream: BufferedStream) {
         let key = self.connections.vacant_key();
         if stream
-            .shut_down_sending(reactor, Side::Lingering, key)
+            .shut_down_sending(reactor, Component::Lingering, key)
             .is_err()
         {
             return stream.close(reactor);
--- a/edge/src/peers.rs
+++ b/edge/src/peers.rs
@@ -1,7 +1,8 @@
 //! Datagrams between gateways, where the settings allow them. The decisions send none today and are told of
 //! none: what comes is read and dropped, so that the socket's buffer does not stay full.
 
-use crate::reactor::{Reactor, Side};
+use crate::component::Component;
+use crate::reactor::Reactor;
 use mio::net::UdpSocket;
 use mio::Interest;
 use std::io;
@@ -27,7 +28,7 @@
         let mut socket = UdpSocket::bind(at)?;
         reactor
             .registry
-            .register(&mut socket, Side::Peers.token(0), Interest::READABLE)?;
+            .register(&mut socket, Component::Peers.token(0), Interest::READABLE)?;
         Ok(Peers {
             socket: Some(socket),
             each,
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -7,9 +7,10 @@
 mod upstream_connection;
 
 use crate::clients::Clients;
+use crate::component::Component;
 use crate::discovery::{Change, Lines};
-use crate::must;
-use crate::reactor::{Reactor, Serial, Side};
+use crate::invariants::invariant;
+use crate::reactor::{Reactor, Serial};
 use crate::readiness::Readiness;
 use crate::requests::OpenRequests;
 use crate::resp::{self, Reply};
@@ -60,7 +61,7 @@
 ) {
     if let Some(open) = requests.get_mut(request).filter(|open| !open.answered) {
         open.answered = true;
-        reactor.tally.proxied += 1;
+        reactor.metrics.served += 1;
         clients.answer(reactor, open.slot, |out| resp::put_bulk(out, value));
     }
 }
@@ -146,13 +147,13 @@
             .get_mut(endpoint)
             .ok_or(AttemptOutcome::ConnectFailed)?;
         let key = self.connections.vacant_key();
-        let stream = BufferedStream::connect(reactor, known.address, Side::Upstream, key)
+        let stream = BufferedStream::connect(reactor, known.address, Component::Upstream, key)
             .map_err(|error| outcome_on_open_error(&error))?;
         let connection = UpstreamConnection {
             stream,
             endpoint: endpoint.clone(),
             incarnation: known.incarnation,
-            serial: reactor.serial(),
+            serial: reactor.next_serial(),
             attempt: None,
             last_used: reactor.now,
         };
@@ -162,7 +163,7 @@
     /// Has a connection carry an attempt; its command is written when the turn ends and the connection is up.
     fn assign(&mut self, reactor: &mut Reactor, key: usize, new: &NewAttempt) {
         let connection = &mut self.connections[key];
-        must!(
+        invariant!(
             reactor,
             connection.attempt.is_none(),
             "one upstream attempt on a connection"
@@ -174,7 +175,7 @@
             reactor.now + reactor.connect_timeout()
         };
         let first_deadline = new.deadline.min(new.send_by).min(connected_by);
-        let timer = reactor.at(first_deadline, connection.timer(key));
+        let timer = reactor.set_deadline(first_deadline, connection.timer(key));
         connection.attempt = Some(Attempt {
             request: new.request.clone(),
             number: new.number,
@@ -264,7 +265,7 @@
         if attempt.state == AttemptState::ReadingResponse {
             return self.end_malformed(reactor, key);
         }
-        attempt.timer = reactor.at(deadline, timer);
+        attempt.timer = reactor.set_deadline(deadline, timer);
     }
 
     /// The poll tells of a connection.
@@ -408,9 +409,9 @@
         // The turn may have been long: the remaining time is reckoned by the clock, not by the turn, and what has
         // happened since is met first, once.
         let now = reactor.clock.now();
-        if now > reactor.polled + LONG_TURN && attempt.state != AttemptState::Deferred {
+        if now > reactor.polled_at + LONG_TURN && attempt.state != AttemptState::Deferred {
             attempt.state = AttemptState::Deferred;
-            reactor.written_next.push(Side::Upstream.token(key));
+            reactor.defer_flush(Component::Upstream.token(key));
             return false;
         }
         let is_usable = self
@@ -422,7 +423,7 @@
             .get_mut(&attempt.request)
             .filter(|open| open.is_wanted() && is_usable && is_in_time);
         let Some(open) = open else {
-            reactor.tally.lapsed += 1;
+            reactor.metrics.lapsed_attempts += 1;
             self.end_with(reactor, key, |_| AttemptOutcome::NotSent);
             return false;
         };
@@ -436,7 +437,7 @@
 
     /// What has come can't be read: an error of the endpoint's, after the command may have run.
     fn end_malformed(&mut self, reactor: &mut Reactor, key: usize) {
-        reactor.tally.spoilt += 1;
+        reactor.metrics.malformed_responses += 1;
         self.end_with(reactor, key, |_| AttemptOutcome::ServerError);
     }
 
@@ -463,7 +464,7 @@
     /// The attempt is no longer in flight.
     fn detach_attempt(&mut self, reactor: &mut Reactor, key: usize) -> Option<Attempt> {
         let attempt = self.connections[key].attempt.take()?;
-        reactor.unset(attempt.timer);
+        reactor.cancel_deadline(attempt.timer);
         self.in_flight
             .remove(&(attempt.request.clone(), attempt.number));
         Some(attempt)
@@ -471,7 +472,7 @@
 
     fn close(&mut self, reactor: &mut Reactor, key: usize) {
         let connection = self.connections.remove(key);
-        must!(
+        invariant!(
             reactor,
             connection.attempt.is_none(),
             "an attempt's end is reported before its connection closes"
--- a/edge/src/pool/attempt.rs
+++ b/edge/src/pool/attempt.rs
@@ -1,6 +1,8 @@
 //! One upstream attempt: how far it has come, until when it may go on, and how it ends in which state.
 
-use crate::reactor::{DueId, Notification, Reactor};
+use crate::deadlines::DeadlineId;
+use crate::notification::Notification;
+use crate::reactor::Reactor;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wellcrank::port::*;
@@ -66,7 +68,7 @@
     /// By when the whole command must have gone out.
     pub(super) send_by: Duration,
     /// The timer that is set for it.
-    pub(super) timer: DueId,
+    pub(super) timer: DeadlineId,
     pub(super) state: AttemptState,
 }
 
@@ -134,9 +136,11 @@
     number: AttemptNumber,
     result: AttemptResult,
 ) {
-    reactor
-        .notifications
-        .push_back(Notification::Ended(request, number, result));
+    reactor.notify(Notification::AttemptEnd {
+        request,
+        attempt: number,
+        result,
+    });
 }
 
 #[cfg(test)]
--- a/edge/src/pool/attempt/tests.rs
+++ b/edge/src/pool/attempt/tests.rs
@@ -1,5 +1,12 @@
 use super::AttemptState::{AwaitingResponse, Deferred, Queued, ReadingResponse, Writing};
 use super::*;
+use crate::deadlines::{Deadline, DeadlineQueue};
+use wellcrank::port::TICK_TIMER;
+
+/// The id of a deadline that no queue holds any more.
+fn unset_timer() -> DeadlineId {
+    DeadlineQueue::default().set(Duration::ZERO, 0, Deadline::ControllerTimer(TICK_TIMER))
+}
 
 #[test]
 fn a_write_moves_an_attempt_on_by_what_went_out_and_what_is_left() {
@@ -50,7 +57,7 @@
             started_at: Duration::ZERO,
             deadline: Duration::from_secs(2),
             send_by: Duration::from_secs(1),
-            timer: (Duration::ZERO, 0),
+            timer: unset_timer(),
             state,
         };
         assert_eq!(
--- a/edge/src/pool/response.rs
+++ b/edge/src/pool/response.rs
@@ -1,6 +1,6 @@
 //! What a whole response of an endpoint says: the outcome of its attempt, the units it took, the endpoint's load.
 
-use crate::must;
+use crate::invariants::invariant;
 use crate::reactor::Reactor;
 use crate::requests::max_request_units;
 use crate::resp::{self, Reply};
@@ -24,7 +24,7 @@
         }
         Reply::Busy { load } => (AttemptOutcome::Rejected, None, load),
         Reply::Failed { text, load } => {
-            must!(
+            invariant!(
                 reactor,
                 !text.starts_with("SYNTAX"),
                 "an endpoint knows the commands it is sent"
--- a/edge/src/pool/upstream_connection.rs
+++ b/edge/src/pool/upstream_connection.rs
@@ -1,7 +1,8 @@
 //! One connection to an endpoint, and for how long it is of use.
 
 use super::attempt::{Attempt, AttemptState};
-use crate::reactor::{Due, Reactor, Serial};
+use crate::deadlines::Deadline;
+use crate::reactor::{Reactor, Serial};
 use crate::stream::BufferedStream;
 use std::io::{self, ErrorKind};
 use std::time::Duration;
@@ -29,8 +30,8 @@
     }
 
     /// The timer of the attempt that it carries.
-    pub(super) fn timer(&self, key: usize) -> Due {
-        Due::Try {
+    pub(super) fn timer(&self, key: usize) -> Deadline {
+        Deadline::Attempt {
             key,
             connection: self.serial,
         }
@@ -47,11 +48,11 @@
             return;
         }
         attempt.state = AttemptState::ReadingResponse;
-        reactor.unset(attempt.timer);
+        reactor.cancel_deadline(attempt.timer);
         let rest_by = attempt
             .deadline
             .min(reactor.now + reactor.connect_timeout());
-        attempt.timer = reactor.at(rest_by, timer);
+        attempt.timer = reactor.set_deadline(rest_by, timer);
     }
 }
 
--- a/edge/src/reactor.rs
+++ b/edge/src/reactor.rs
@@ -1,221 +1,221 @@
-//! What all sides of the gateway share: the poll's registry, the due times in one ordered structure, what waits for
-//! the decisions, and counts of what must hold.
+//! What all components of the gateway share: the poll's registry, the deadlines, the notifications for the admission
+//! controller, the account of buffered bytes and the metrics.
 
 use crate::budget::Budget;
 use crate::clock::Clock;
+use crate::deadlines::{Deadline, DeadlineId, DeadlineQueue};
+use crate::invariants::{invariant, InvariantViolations};
+use crate::metrics::Metrics;
+use crate::notification::Notification;
 use crate::shutdown::GracefulShutdown;
-use crate::tally::Tally;
 use mio::{Registry, Token};
 use slog::Logger;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
-use wellcrank::port::*;
 use wellcrank::settings::Settings;
 
-/// Asserted in debug builds, counted in release builds.
-#[macro_export]
-macro_rules! must {
-    ($reactor:expr, $holds:expr, $what:literal) => {
-        if !$holds {
-            debug_assert!(false, $what);
-            $reactor.fault(concat!(file!(), ": ", $what));
-        }
-    };
-}
-
-/// Whom a token of the poll belongs to; the rest of it is a key in that side's slab.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Side {
-    Listener,
-    Signal,
-    Peers,
-    Client,
-    Lingering,
-    Upstream,
-    Counter,
-    Discovery,
-}
-
-const SIDES: [Side; 8] = [
-    Side::Listener,
-    Side::Signal,
-    Side::Peers,
-    Side::Client,
-    Side::Lingering,
-    Side::Upstream,
-    Side::Counter,
-    Side::Discovery,
-];
-
-impl Side {
-    pub fn token(self, key: usize) -> Token {
-        Token(key * SIDES.len() + self as usize)
-    }
-
-    pub fn of(token: Token) -> (Side, usize) {
-        (SIDES[token.0 % SIDES.len()], token.0 / SIDES.len())
-    }
-}
-
-/// A number that is given once: to an API call, a connection, a due time.
-pub type Serial = u64;
-
-/// Something for the decisions.
-pub enum Notification {
-    Arrived(Request),
-    /// Taken, and not to be decided: the gateway is full, or the client has ended its sending.
-    Refused(RequestId),
-    Gone(RequestId),
-    /// Its time is up sooner than it was told.
-    Expired(RequestId),
-    Ended(RequestId, AttemptNumber, AttemptResult),
-    Counted(CounterName, CounterReply),
-    EndpointUpdate(UpdateTiming, EndpointUpdate),
-    Woken(TimerToken),
-    Reconfigured(Rc<Settings>),
-}
-
-/// What falls due: a wake of the decisions, the end of an upstream try's time, that of a counter call.
-#[derive(Clone, Copy)]
-pub enum Due {
-    Wake(TimerToken),
-    Try { key: usize, connection: Serial },
-    Count { line: usize, number: Serial },
-}
-
-pub type DueId = (Duration, Serial);
-
-/// What all sides share.
-pub struct Reactor {
-    pub registry: Registry,
-    pub clock: Clock,
-    pub now: Duration,
-    pub settings: Rc<Settings>,
-    /// How often they have changed since the start.
-    pub settings_generation: u64,
-    pub budget: Budget,
-    pub notifications: VecDeque<Notification>,
-    /// Connections with something to write; and those that are flushed only after the poll has been asked once more.
-    pub written: Vec<Token>,
-    pub written_next: Vec<Token>,
-    /// When the poll told last.
-    pub polled: Duration,
-    pub scratch: Box<[u8]>,
-    /// Bytes in the buffers of connections and in open API calls.
-    pub held: usize,
-    /// Told to stop.
-    pub shutdown: Option<GracefulShutdown>,
-    pub tally: Tally,
-    pub log: Logger,
-    due: BTreeMap<DueId, Due>,
-    last: Serial,
-    faults: BTreeMap<&'static str, u64>,
+/// A number that is given once: to a request, a connection, a deadline.
+pub(crate) type Serial = u64;
+
+/// How long a connection may take to come up where the settings do not say: as long as the system waits before it asks
+/// for one again.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// The size in bytes of the buffer that all sockets are read into.
+const SCRATCH_SIZE: usize = 64 * 1024;
+
+/// What all components share.
+pub(crate) struct Reactor {
+    /// Where sockets are registered with the poll.
+    pub(crate) registry: Registry,
+    /// The system's clocks.
+    pub(crate) clock: Clock,
+    /// The time of what is being handled: read when the poll returns and before each notification.
+    pub(crate) now: Duration,
+    /// When the poll returned last.
+    pub(crate) polled_at: Duration,
+    /// The settings that hold now.
+    pub(crate) settings: Rc<Settings>,
+    /// How often the settings have changed since the start.
+    settings_generation: u64,
+    /// The shares of sockets and memory.
+    pub(crate) budget: Budget,
+    /// What any socket is read into, before it is appended to the buffer of its connection.
+    pub(crate) scratch: Box<[u8]>,
+    /// When and how the gateway stops, once it was told to.
+    pub(crate) shutdown: Option<GracefulShutdown>,
+    /// What was done since the last report.
+    pub(crate) metrics: Metrics,
+    /// The invariants that were violated since the last report.
+    pub(crate) violations: InvariantViolations,
+    /// Where log lines go.
+    pub(crate) log: Logger,
+    notifications: VecDeque<Notification>,
+    flush_queue: Vec<Token>,
+    deferred_flushes: Vec<Token>,
+    buffered_bytes: usize,
+    deadlines: DeadlineQueue,
+    last_serial: Serial,
 }
 
 impl Reactor {
-    pub fn new(registry: Registry, settings: Rc<Settings>, budget: Budget, log: Logger) -> Reactor {
+    /// A reactor whose clock starts now.
+    pub(crate) fn new(
+        registry: Registry,
+        settings: Rc<Settings>,
+        budget: Budget,
+        log: Logger,
+    ) -> Reactor {
         let clock = Clock::start();
         let now = clock.now();
         Reactor {
-            now,
             registry,
             clock,
+            now,
+            polled_at: now,
             settings,
             settings_generation: 0,
             budget,
-            notifications: VecDeque::new(),
-            written: Vec::new(),
-            written_next: Vec::new(),
-            polled: now,
-            scratch: vec![0; 64 * 1024].into(),
-            held: 0,
+            scratch: vec![0; SCRATCH_SIZE].into(),
             shutdown: None,
-            tally: Tally::default(),
+            metrics: Metrics::default(),
+            violations: InvariantViolations::default(),
             log,
-            due: BTreeMap::new(),
-            last: 0,
-            faults: BTreeMap::new(),
+            notifications: VecDeque::new(),
+            flush_queue: Vec::new(),
+            deferred_flushes: Vec::new(),
+            buffered_bytes: 0,
+            deadlines: DeadlineQueue::default(),
+            last_serial: 0,
         }
     }
 
-    pub fn serial(&mut self) -> Serial {
-        self.last += 1;
-        self.last
+    /// The poll has returned: reads the clock, and queues the flushes that were deferred until now.
+    pub(crate) fn begin_turn(&mut self) {
+        self.now = self.clock.now();
+        self.polled_at = self.now;
+        self.flush_queue.append(&mut self.deferred_flushes);
     }
 
-    pub fn at(&mut self, when: Duration, due: Due) -> DueId {
-        let id = (when, self.serial());
-        self.due.insert(id, due);
-        id
+    /// A serial number that was not given before.
+    pub(crate) fn next_serial(&mut self) -> Serial {
+        self.last_serial += 1;
+        self.last_serial
     }
 
-    pub fn unset(&mut self, id: DueId) {
-        self.due.remove(&id);
+    /// Queues something for the admission controller.
+    pub(crate) fn notify(&mut self, notification: Notification) {
+        self.notifications.push_back(notification);
     }
 
-    /// What falls due next, if it does by now.
-    pub fn next_due(&mut self) -> Option<Due> {
-        let first = self
-            .due
-            .first_entry()
-            .filter(|entry| entry.key().0 <= self.now)?;
-        Some(first.remove())
+    /// Takes the notification that was queued first, and reads the clock for it.
+    pub(crate) fn take_notification(&mut self) -> Option<Notification> {
+        let notification = self.notifications.pop_front()?;
+        self.now = self.clock.now();
+        Some(notification)
     }
 
-    /// Told to stop, and others have had the time to connect and to notice: connections are ended between API calls.
-    pub fn closing(&self) -> bool {
-        self.shutdown
-            .is_some_and(|shutdown| shutdown.closes <= self.now)
+    /// Has a connection flushed at the end of the turn.
+    pub(crate) fn schedule_flush(&mut self, token: Token) {
+        self.flush_queue.push(token);
     }
 
-    /// Told to stop, and all that was taken is answered now, as the gateway is killed soon: nothing more is taken.
-    pub fn last_answers(&self) -> bool {
-        self.shutdown
-            .is_some_and(|shutdown| shutdown.answers <= self.now)
+    /// Has a connection flushed at the end of the next turn, which begins at once.
+    pub(crate) fn defer_flush(&mut self, token: Token) {
+        self.deferred_flushes.push(token);
     }
 
-    /// How long a connection may take to come up; where the settings do not say, as long as the system waits before it
-    /// asks for one again.
-    pub fn connect_timeout(&self) -> Duration {
-        let stated = Some(self.settings.limits.connect_timeout);
-        stated
-            .filter(|span| !span.is_zero())
-            .unwrap_or(Duration::from_secs(1))
+    /// Whether a connection is to be flushed in this turn.
+    pub(crate) fn has_scheduled_flushes(&self) -> bool {
+        !self.flush_queue.is_empty()
     }
 
-    /// How long until something falls due.
-    pub fn next_wait(&self) -> Option<Duration> {
-        if !self.written_next.is_empty() {
+    /// Takes the connections that are to be flushed in this turn.
+    pub(crate) fn take_scheduled_flushes(&mut self) -> Vec<Token> {
+        std::mem::take(&mut self.flush_queue)
+    }
+
+    /// Sets a deadline.
+    pub(crate) fn set_deadline(&mut self, due_at: Duration, deadline: Deadline) -> DeadlineId {
+        let serial = self.next_serial();
+        self.deadlines.set(due_at, serial, deadline)
+    }
+
+    /// Cancels a deadline, if it has not fallen due yet.
+    pub(crate) fn cancel_deadline(&mut self, id: DeadlineId) {
+        self.deadlines.cancel(id);
+    }
+
+    /// Takes the earliest deadline, if it is due by now.
+    pub(crate) fn take_expired_deadline(&mut self) -> Option<Deadline> {
+        self.deadlines.take_expired(self.now)
+    }
+
+    /// How long the poll may wait for events; none: until one comes.
+    pub(crate) fn poll_timeout(&self) -> Option<Duration> {
+        if !self.deferred_flushes.is_empty() {
             return Some(Duration::ZERO);
         }
-        self.due
-            .keys()
-            .next()
-            .map(|next| next.0.saturating_sub(self.clock.now()))
+        let due_at = self.deadlines.earliest()?;
+        Some(due_at.saturating_sub(self.clock.now()))
+    }
+
+    /// Whether the gateway was told to stop and others have had the time to notice: connections are ended between two
+    /// requests.
+    pub(crate) fn is_draining(&self) -> bool {
+        self.shutdown
+            .is_some_and(|shutdown| shutdown.drain_from <= self.now)
+    }
+
+    /// Whether the gateway was told to stop and is killed soon: every open request is answered now, nothing more is
+    /// taken.
+    pub(crate) fn must_answer_now(&self) -> bool {
+        self.shutdown
+            .is_some_and(|shutdown| shutdown.answer_by <= self.now)
+    }
+
+    /// How long a connection may take to come up.
+    pub(crate) fn connect_timeout(&self) -> Duration {
+        let timeout = self.settings.limits.connect_timeout;
+        if timeout.is_zero() {
+            DEFAULT_CONNECT_TIMEOUT
+        } else {
+            timeout
+        }
     }
 
-    /// Notices where the wall clock was stepped.
-    pub fn look_at_clock(&mut self) {
-        if let Some(seconds) = self.clock.look() {
+    /// Other settings hold from now on.
+    pub(crate) fn replace_settings(&mut self, settings: Rc<Settings>) {
+        self.settings = settings;
+        self.settings_generation += 1;
+        slog::info!(self.log, "settings changed"; "generation" => self.settings_generation);
+    }
+
+    /// Logs it where the wall clock was stepped since the last check.
+    pub(crate) fn check_wall_clock(&mut self) {
+        if let Some(seconds) = self.clock.detect_step() {
             slog::warn!(self.log, "the wall clock was stepped: spans and windows go on as before"; "seconds" => seconds);
         }
     }
 
-    /// Bytes are held no longer. A wrong count must not come out as a memory that is full for ever.
-    pub fn freed(&mut self, bytes: usize) {
-        must!(self, bytes <= self.held, "no more is freed than is held");
-        self.held = self.held.saturating_sub(bytes);
+    /// Bytes in the buffers of connections and in open requests.
+    pub(crate) fn buffered_bytes(&self) -> usize {
+        self.buffered_bytes
     }
 
-    /// Something that must hold did not.
-    pub fn fault(&mut self, what: &'static str) {
-        *self.faults.entry(what).or_default() += 1;
+    /// Bytes are buffered from now on.
+    pub(crate) fn add_buffered_bytes(&mut self, bytes: usize) {
+        self.buffered_bytes += bytes;
     }
 
-    pub fn report_faults(&mut self) {
-        for (what, times) in std::mem::take(&mut self.faults) {
-            slog::error!(self.log, "must hold and did not"; "what" => what, "times" => times);
-        }
+    /// Bytes are buffered no longer. A wrong count must not come out as a memory that is full for ever.
+    pub(crate) fn release_buffered_bytes(&mut self, bytes: usize) {
+        invariant!(
+            self,
+            bytes <= self.buffered_bytes,
+            "no more bytes are released than are buffered"
+        );
+        self.buffered_bytes = self.buffered_bytes.saturating_sub(bytes);
     }
 }
--- a/edge/src/shutdown/tests.rs
+++ b/edge/src/shutdown/tests.rs
@@ -19,11 +19,11 @@
     };
     let (start, ms) = (Duration::from_secs(9), Duration::from_millis);
     assert_eq!(
-        GracefulShutdown::new(start, &settings(&[0.6, 0.4])).answers,
+        GracefulShutdown::new(start, &settings(&[0.6, 0.4])).answer_by,
         start + ms(1060)
     );
     assert_eq!(
-        GracefulShutdown::new(start, &settings(&[0.6, 20.0])).answers,
+        GracefulShutdown::new(start, &settings(&[0.6, 20.0])).answer_by,
         start + ms(3460)
     );
 }
@@ -45,9 +45,9 @@
     let (start, ms) = (Duration::from_secs(9), Duration::from_millis);
     let mut shutdown = GracefulShutdown::new(start, &settings(20.0));
     shutdown.shorten(&settings(0.5));
-    assert_eq!(shutdown.answers, start + ms(960));
+    assert_eq!(shutdown.answer_by, start + ms(960));
     shutdown.shorten(&settings(20.0));
-    assert_eq!(shutdown.answers, start + ms(960));
+    assert_eq!(shutdown.answer_by, start + ms(960));
 }
 
 #[test]
@@ -67,10 +67,19 @@
             let (start, ms) = (Duration::from_secs(9), Duration::from_millis);
             let shutdown = GracefulShutdown::new(start, &settings);
             // Others connect for 0.4 s, and every time limit is 50 ms longer.
-            assert!(shutdown.closes >= start + ms(450), "{connect} {timeout}");
-            assert!(shutdown.closes < shutdown.answers, "{connect} {timeout}");
+            assert!(
+                shutdown.drain_from >= start + ms(450),
+                "{connect} {timeout}"
+            );
+            assert!(
+                shutdown.drain_from < shutdown.answer_by,
+                "{connect} {timeout}"
+            );
             let killed = start + Duration::from_secs_f64(timeout.min(3.0)) + ms(700);
-            assert!(shutdown.answers + ms(240) <= killed, "{connect} {timeout}");
+            assert!(
+                shutdown.answer_by + ms(240) <= killed,
+                "{connect} {timeout}"
+            );
         }
     }
 }
--- a/edge/src/stream.rs
+++ b/edge/src/stream.rs
@@ -1,8 +1,9 @@
 //! One buffered TCP connection: reads until the socket is empty, queues what is to be written until the end of the turn
 //! of the event loop, and tells how much of it is pending.
 
-use crate::must;
-use crate::reactor::{Reactor, Side};
+use crate::component::Component;
+use crate::invariants::invariant;
+use crate::reactor::Reactor;
 use mio::net::TcpStream;
 use mio::unix::SourceFd;
 use mio::{Interest, Token};
@@ -47,12 +48,12 @@
     pub(crate) fn connect(
         reactor: &mut Reactor,
         address: SocketAddr,
-        side: Side,
+        component: Component,
         key: usize,
     ) -> io::Result<BufferedStream> {
         let mut attempts = 1;
         loop {
-            match BufferedStream::try_connect(reactor, address, side, key) {
+            match BufferedStream::try_connect(reactor, address, component, key) {
                 Err(error)
                     if error.kind() != ErrorKind::ConnectionRefused
                         && attempts < MAX_CONNECT_ATTEMPTS =>
@@ -67,11 +68,11 @@
     fn try_connect(
         reactor: &mut Reactor,
         address: SocketAddr,
-        side: Side,
+        component: Component,
         key: usize,
     ) -> io::Result<BufferedStream> {
         let socket = TcpStream::connect(address)?;
-        let mut stream = BufferedStream::new(socket, side, key, false);
+        let mut stream = BufferedStream::new(socket, component, key, false);
         stream.register(reactor)?;
         Ok(stream)
     }
@@ -81,21 +82,26 @@
     pub(crate) fn accepted(
         reactor: &mut Reactor,
         socket: TcpStream,
-        side: Side,
+        component: Component,
         key: usize,
     ) -> BufferedStream {
-        let mut stream = BufferedStream::new(socket, side, key, true);
+        let mut stream = BufferedStream::new(socket, component, key, true);
         let _ = stream.register(reactor);
         stream
     }
 
-    fn new(socket: TcpStream, side: Side, key: usize, is_connected: bool) -> BufferedStream {
+    fn new(
+        socket: TcpStream,
+        component: Component,
+        key: usize,
+        is_connected: bool,
+    ) -> BufferedStream {
         // Without it small answers would wait for the other side's acknowledgement.
         let _ = socket.set_nodelay(true);
         BufferedStream {
             descriptor: socket.as_raw_fd(),
             socket,
-            token: side.token(key),
+            token: component.token(key),
             is_registered: false,
             is_connected,
             read_would_block: false,
@@ -147,7 +153,7 @@
         let length_before = self.output.len();
         write(&mut self.output);
         let added = self.output.len() - length_before;
-        reactor.held += added;
+        reactor.add_buffered_bytes(added);
         self.schedule_flush(reactor);
         added
     }
@@ -156,18 +162,18 @@
     pub(crate) fn schedule_flush(&mut self, reactor: &mut Reactor) {
         if !self.is_flush_scheduled {
             self.is_flush_scheduled = true;
-            reactor.written.push(self.token);
+            reactor.schedule_flush(self.token);
         }
     }
 
     /// Drops what was queued, where none of it has gone out.
     pub(crate) fn clear_queue(&mut self, reactor: &mut Reactor) {
-        must!(
+        invariant!(
             reactor,
             self.written == 0,
             "only what has not begun to go out is taken back"
         );
-        reactor.freed(self.output.len());
+        reactor.release_buffered_bytes(self.output.len());
         self.output.clear();
     }
 
@@ -192,7 +198,7 @@
         let has_progressed = self.written > written_before;
         self.is_connected |= has_progressed;
         if self.pending_bytes() == 0 {
-            reactor.freed(self.output.len());
+            reactor.release_buffered_bytes(self.output.len());
             clear_buffer(&mut self.output);
             self.written = 0;
         }
@@ -232,12 +238,12 @@
         };
         self.input.reserve_exact(growth);
         self.input.extend_from_slice(&reactor.scratch[..count]);
-        reactor.held += count;
+        reactor.add_buffered_bytes(count);
     }
 
     /// Takes bytes off the front of the input.
     pub(crate) fn consume(&mut self, reactor: &mut Reactor, count: usize) {
-        reactor.freed(count);
+        reactor.release_buffered_bytes(count);
         if count == self.input.len() {
             clear_buffer(&mut self.input);
         } else {
@@ -260,16 +266,16 @@
     pub(crate) fn shut_down_sending(
         &mut self,
         reactor: &mut Reactor,
-        side: Side,
+        component: Component,
         key: usize,
     ) -> io::Result<()> {
-        must!(
+        invariant!(
             reactor,
             self.pending_bytes() == 0,
             "what was answered goes out before the end"
         );
         self.consume(reactor, self.input.len());
-        self.token = side.token(key);
+        self.token = component.token(key);
         reactor
             .registry
             .reregister(&mut self.source(), self.token, Interest::READABLE)?;
@@ -293,7 +299,7 @@
 
     /// Closes at once. What has come and was not read resets the connection.
     pub(crate) fn close(self, reactor: &mut Reactor) {
-        reactor.freed(self.input.len() + self.output.len());
+        reactor.release_buffered_bytes(self.input.len() + self.output.len());
         let _ = reactor.registry.deregister(&mut self.source());
     }
 }
