--- a/lab/src/rule_checker.rs
+++ b/lab/src/rule_checker.rs
@@ -566,3 +566,6 @@
         Repeat::NonIdempotent => !may_have_run,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/lab/src/stats/tests.rs
+++ b/lab/src/stats/tests.rs
@@ -14,32 +14,33 @@
     assert_eq!(Interval::of(&[1.0]).half_width, None);
 }
 
+fn run(variant: &str, seed: u64, value_in_time: f64) -> Results {
+    let mut run = Results {
+        variant: variant.into(),
+        seed,
+        engine: "simulated".into(),
+        ..Results::default()
+    };
+    run.totals.requested_value = 10.0;
+    run.totals.value_in_time = value_in_time;
+    run
+}
+
 #[test]
 fn pairs_go_by_seed_and_late_runs_are_left_out() {
-    let run = |variant: &str, seed, in_time| {
-        let mut it = Results {
-            variant: variant.into(),
-            seed,
-            engine: "simulated".into(),
-            ..Results::default()
-        };
-        (it.totals.requested_value, it.totals.value_in_time) = (10.0, in_time);
-        it
-    };
-    let mut results = vec![
+    let mut late_run = run("b", 3, 1.0);
+    late_run.lateness.excessive = true;
+    let results = [
         run("a", 1, 5.0),
         run("a", 2, 6.0),
         run("b", 2, 7.0),
         run("b", 1, 6.0),
+        run("a", 3, 9.0),
+        late_run,
     ];
-    results.extend([run("a", 3, 9.0), run("b", 3, 1.0)]);
-    results[5].lateness.excessive = true;
-    let found = &compare(&results)[0];
-    assert_eq!((found.late, found.rows[0].pairs), (1, 2));
-    assert!(
-        (found.rows[0].difference.mean - 0.1).abs() < 1e-12,
-        "{:?}",
-        found.rows[0]
-    );
-    assert!(found.rows[0].difference.half_width.unwrap() < 1e-9);
+    let comparison = &compare(&results)[0];
+    let served = &comparison.rows[0];
+    assert_eq!((comparison.late, served.pairs), (1, 2));
+    assert!((served.difference.mean - 0.1).abs() < 1e-12, "{served:?}");
+    assert!(served.difference.half_width.unwrap() < 1e-9);
 }
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -83,11 +83,11 @@
     }
 
     /// Schedules the further steps of a fault, spread over its time.
-    fn schedule_further_steps(&mut self, begun: FaultStep, lasts: f64, step_count: usize) {
+    fn schedule_further_steps(&mut self, fault_step: FaultStep, lasts: f64, step_count: usize) {
         let interval = seconds(lasts / step_count.max(1) as f64);
         for step in 1..step_count {
-            let due = begun.now + interval * step as u32;
-            self.schedule_fault_step(due, begun.fault, step);
+            let due = fault_step.now + interval * step as u32;
+            self.schedule_fault_step(due, fault_step.fault, step);
         }
     }
 
@@ -95,12 +95,16 @@
     pub(super) fn on_fault_step(
         &mut self,
         now: Duration,
-        fault: usize,
+        index: usize,
         step: usize,
         actions: &mut Vec<Action>,
     ) {
-        let at = FaultStep { now, fault, step };
-        let fault = self.experiment.troubles[fault].clone();
+        let fault_step = FaultStep {
+            now,
+            fault: index,
+            step,
+        };
+        let fault = self.experiment.troubles[index].clone();
         let until = now + seconds(fault.lasts);
         match fault.kind {
             Kind::CounterSilent => self.counters.set_primary_mode(CounterMode::Silent),
@@ -113,12 +117,12 @@
             Kind::CounterEmpty => self.counters.clear_primary(),
             Kind::CounterSplit => self.assign_second_counter(fault.share, actions),
             Kind::CounterSwap => self.assign_second_counter(1.0, actions),
-            Kind::ServersSlow => self.impair_servers(at, &fault, slow_down),
-            Kind::ServersFailing => self.impair_servers(at, &fault, fail_some),
-            Kind::RouteUnanswered => self.mute_route(at, &fault),
+            Kind::ServersSlow => self.impair_servers(fault_step, &fault, slow_down),
+            Kind::ServersFailing => self.impair_servers(fault_step, &fault, fail_some),
+            Kind::RouteUnanswered => self.mute_route(fault_step, &fault),
             Kind::ServersSilent => self.take_servers_down(&fault, Health::Silent, until, actions),
             Kind::ServersCrash => self.take_servers_down(&fault, Health::Down, until, actions),
-            Kind::ServersReplace => self.replace_server(at, &fault, actions),
+            Kind::ServersReplace => self.replace_server(fault_step, &fault, actions),
             Kind::AnswersSpoilt => {
                 self.faults.malformed_share = TimedValue {
                     until,
@@ -127,15 +131,15 @@
             }
             Kind::ListLate => self.endpoint_list.delay_until(until, fault.factor),
             Kind::ListSilent => self.endpoint_list.silence_until(until),
-            Kind::ListWrong => self.delist_servers(at, &fault),
+            Kind::ListWrong => self.delist_servers(fault_step, &fault),
             // These are known from the start of the run.
             Kind::Surge | Kind::DeadlineSurge | Kind::PlanBurst | Kind::Scan => (),
             Kind::Shift => self.shift_accounts(fault.share),
             Kind::Impatient => self.clients.patience = fault.factor.clamp(MIN_PATIENCE, 1.0),
             Kind::Heedless => self.clients.ignoring_share = fault.share,
             Kind::BadClients => actions.push(Action::AddMisbehavingClients(fault.factor as usize)),
-            Kind::GatewaysKill => self.kill_gateways(at, fault.share, until, actions),
-            Kind::GatewaysRestart => self.restart_gateway(at, &fault, actions),
+            Kind::GatewaysKill => self.kill_gateways(fault_step, fault.share, until, actions),
+            Kind::GatewaysRestart => self.restart_gateway(fault_step, &fault, actions),
             Kind::GatewaysMove => self.move_gateways(fault.share, actions),
             Kind::ZoneCut => self.network.cut_zone(fault.zone, until),
             Kind::ZoneLost => self.silence_zone(fault.zone, until, actions),
@@ -204,23 +208,32 @@
     }
 
     /// Impairs a share of the servers until the fault ends.
-    fn impair_servers(&mut self, at: FaultStep, fault: &Trouble, impair: fn(&mut Server, f64)) {
+    fn impair_servers(
+        &mut self,
+        fault_step: FaultStep,
+        fault: &Trouble,
+        impair: fn(&mut Server, f64),
+    ) {
         let servers = self.draw_servers(fault.share);
         for server in &servers {
             impair(self.server_mut(*server), fault.factor);
         }
-        self.faults.affected_servers.insert(at.fault, servers);
+        self.faults
+            .affected_servers
+            .insert(fault_step.fault, servers);
     }
 
     /// A share of the servers leaves one route unanswered until the fault ends.
-    fn mute_route(&mut self, at: FaultStep, fault: &Trouble) {
+    fn mute_route(&mut self, fault_step: FaultStep, fault: &Trouble) {
         let servers = self.draw_servers(fault.share);
         let name = fault.route.as_ref();
         let route = name.and_then(|name| self.experiment.route(name));
         for server in &servers {
             self.server_mut(*server).muted_routes.extend(route);
         }
-        self.faults.affected_servers.insert(at.fault, servers);
+        self.faults
+            .affected_servers
+            .insert(fault_step.fault, servers);
     }
 
     /// Ends what a fault did to its servers.
@@ -300,13 +313,20 @@
     }
 
     /// Servers are replaced one after another, each by a new one that warms up.
-    fn replace_server(&mut self, at: FaultStep, fault: &Trouble, actions: &mut Vec<Action>) {
-        if at.step == 0 {
+    fn replace_server(
+        &mut self,
+        fault_step: FaultStep,
+        fault: &Trouble,
+        actions: &mut Vec<Action>,
+    ) {
+        if fault_step.step == 0 {
             let servers = self.draw_servers(fault.share);
-            self.schedule_further_steps(at, fault.lasts, servers.len());
-            self.faults.affected_servers.insert(at.fault, servers);
+            self.schedule_further_steps(fault_step, fault.lasts, servers.len());
+            self.faults
+                .affected_servers
+                .insert(fault_step.fault, servers);
         }
-        let Some(old) = self.faults.affected_servers[&at.fault].get(at.step) else {
+        let Some(old) = self.faults.affected_servers[&fault_step.fault].get(fault_step.step) else {
             return;
         };
         let old = *old;
@@ -317,13 +337,13 @@
             .position(|kind| kind.name == machine_type)
             .unwrap_or(0);
         self.server_mut(old).listing = ListingState::Draining;
-        self.change_endpoint(at.now, old, ListingState::Draining);
+        self.change_endpoint(fault_step.now, old, ListingState::Draining);
         let replacement = self.add_server(zone, kind);
-        self.server_mut(replacement).start(at.now);
+        self.server_mut(replacement).start(fault_step.now);
         actions.push(Action::AddServer(replacement));
-        self.change_endpoint(at.now, replacement, ListingState::Active);
+        self.change_endpoint(fault_step.now, replacement, ListingState::Active);
         self.event_queue
-            .schedule(at.now + DRAIN_TIME, WorldEvent::ServerRetires(old));
+            .schedule(fault_step.now + DRAIN_TIME, WorldEvent::ServerRetires(old));
     }
 
     /// A draining server has finished what it had: its process ends and the endpoint list drops it.
@@ -341,12 +361,14 @@
     // ---- the endpoint list ----
 
     /// The list drops a share of the servers, though they are in service.
-    fn delist_servers(&mut self, at: FaultStep, fault: &Trouble) {
+    fn delist_servers(&mut self, fault_step: FaultStep, fault: &Trouble) {
         let servers = self.draw_servers(fault.share);
         for server in &servers {
-            self.change_endpoint(at.now, *server, ListingState::Removed);
+            self.change_endpoint(fault_step.now, *server, ListingState::Removed);
         }
-        self.faults.affected_servers.insert(at.fault, servers);
+        self.faults
+            .affected_servers
+            .insert(fault_step.fault, servers);
     }
 
     /// The list gives the servers that it had dropped as they are.
@@ -383,13 +405,13 @@
 
     fn kill_gateways(
         &mut self,
-        at: FaultStep,
+        fault_step: FaultStep,
         share: f64,
         until: Duration,
         actions: &mut Vec<Action>,
     ) {
         for gateway in self.draw_gateways(share) {
-            self.on_gateway_kill(at.now, gateway, actions);
+            self.on_gateway_kill(fault_step.now, gateway, actions);
             self.event_queue
                 .schedule(until, WorldEvent::GatewayStart(gateway));
         }
@@ -402,13 +424,21 @@
     }
 
     /// Gateways are told to stop one after another, and killed when all that they had must be answered.
-    fn restart_gateway(&mut self, at: FaultStep, fault: &Trouble, actions: &mut Vec<Action>) {
-        if at.step == 0 {
+    fn restart_gateway(
+        &mut self,
+        fault_step: FaultStep,
+        fault: &Trouble,
+        actions: &mut Vec<Action>,
+    ) {
+        if fault_step.step == 0 {
             let gateways = self.draw_gateways(fault.share);
-            self.schedule_further_steps(at, fault.lasts, gateways.len());
-            self.faults.affected_gateways.insert(at.fault, gateways);
+            self.schedule_further_steps(fault_step, fault.lasts, gateways.len());
+            self.faults
+                .affected_gateways
+                .insert(fault_step.fault, gateways);
         }
-        let Some(gateway) = self.faults.affected_gateways[&at.fault].get(at.step) else {
+        let Some(gateway) = self.faults.affected_gateways[&fault_step.fault].get(fault_step.step)
+        else {
             return;
         };
         let gateway = *gateway;
@@ -416,10 +446,10 @@
             return;
         }
         self.gateways
-            .set_state(at.now, gateway, GatewayState::Stopping);
+            .set_state(fault_step.now, gateway, GatewayState::Stopping);
         actions.push(Action::StopGateway(gateway));
         let longest_wait = self.experiment.longest_wait().min(MAX_STOP_WAIT_SECONDS);
-        let killed_at = at.now + seconds(longest_wait + STOP_MARGIN_SECONDS);
+        let killed_at = fault_step.now + seconds(longest_wait + STOP_MARGIN_SECONDS);
         self.event_queue
             .schedule(killed_at, WorldEvent::GatewayKill(gateway));
         let started_at = killed_at + RESTART_DELAY;
