--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -10,12 +10,12 @@
 use crate::discovery::{Change, Lines};
 use crate::must;
 use crate::reactor::{Reactor, Serial, Side};
+use crate::readiness::Readiness;
 use crate::requests::OpenRequests;
 use crate::resp::{self, Reply};
 use crate::stream::BufferedStream;
 use attempt::{advertised_timeout, report_end, result_without_response, Attempt, AttemptState};
 use endpoint_table::EndpointTable;
-use mio::event::Event;
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -272,7 +272,7 @@
         &mut self,
         reactor: &mut Reactor,
         key: usize,
-        event: &Event,
+        readiness: Readiness,
         requests: &mut OpenRequests,
         clients: &mut Clients,
     ) {
@@ -281,13 +281,13 @@
         };
         let wants_to_write =
             connection.has_unbegun_attempt() || connection.stream.pending_bytes() > 0;
-        if event.is_writable() && wants_to_write {
+        if readiness.is_writable() && wants_to_write {
             if connection.stream.check_connected().is_err() {
                 return self.fail_connection(reactor, key);
             }
             self.flush(reactor, key, requests);
         }
-        if event.is_readable() || event.is_read_closed() || event.is_error() {
+        if readiness.should_read() {
             self.read_response(reactor, key, requests, clients);
         }
     }
