--- a/lab/src/capacity.rs
+++ b/lab/src/capacity.rs
@@ -5,7 +5,7 @@
 use crate::error::LabError;
 use crate::experiment::{Experiment, PlanTerms, RouteTerms, Variant};
 use crate::metrics::Results;
-use crate::runs::{self, Ways};
+use crate::runs::{self, RunnerOptions};
 
 /// The rate with which the search begins, in requests a second.
 const FIRST_RATE: f64 = 500.0;
@@ -83,12 +83,12 @@
     /// Plays one rate; `on_step` hears of it.
     fn is_sustained(
         &self,
-        ways: &Ways,
+        ways: &RunnerOptions,
         rate: f64,
         on_step: &mut dyn FnMut(&Step),
     ) -> Result<bool, LabError> {
         for _ in 0..TRIES {
-            let results = runs::one(&self.experiment(rate), &Variant::default(), 1, ways)?;
+            let results = runs::play_one(&self.experiment(rate), &Variant::default(), 1, ways)?;
             let totals = &results.totals;
             let served = totals.succeeded as f64 >= totals.requests as f64 * SERVED_SHARE;
             let in_time = results.succeeded_ms.p99 <= self.p99_ms;
@@ -107,7 +107,11 @@
 
     /// Doubles the rate until it is not sustained, then halves the gap a few times. Returns the highest rate
     /// that was sustained.
-    pub fn search(&self, ways: &Ways, on_step: &mut dyn FnMut(&Step)) -> Result<f64, LabError> {
+    pub fn search(
+        &self,
+        ways: &RunnerOptions,
+        on_step: &mut dyn FnMut(&Step),
+    ) -> Result<f64, LabError> {
         let mut sustained = 0.0;
         let mut too_high = FIRST_RATE;
         while self.is_sustained(ways, too_high, on_step)? {
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -1,6 +1,7 @@
 //! The errors of the laboratory. Each names the place; its cause is its source, and [`ErrorChain`] prints both.
 
 use crate::decision_engine::DecisionEngineError;
+use crate::record::RecordingError;
 use std::error::Error;
 use std::fmt;
 use std::io;
@@ -30,6 +31,42 @@
     /// The decisions of a simulated run could not be had.
     #[error(transparent)]
     DecisionEngine(#[from] DecisionEngineError),
+    /// A recording can't be replayed.
+    #[error("{}", path.display())]
+    Recording {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        #[source]
+        source: RecordingError,
+    },
+    /// A recording names a route or plan that the experiment does not have.
+    #[error("{}: the experiment has no {kind} '{name}'", path.display())]
+    UnknownName {
+        /// The recording.
+        path: PathBuf,
+        /// What is named: a route or a plan.
+        kind: &'static str,
+        /// The name.
+        name: String,
+    },
+    /// A line of stored results can't be read.
+    #[error("{}:{line}", path.display())]
+    ResultsLine {
+        /// The file of results.
+        path: PathBuf,
+        /// The line's number, counted from 1.
+        line: usize,
+        /// What is wrong with it.
+        #[source]
+        source: serde_json::Error,
+    },
+    /// A file of results holds none.
+    #[error("{}: no results in it", path.display())]
+    NoResults {
+        /// The file.
+        path: PathBuf,
+    },
     /// A variant overrides a setting that the nodes' configuration does not have.
     #[error("told: the configuration has no '{0}' there")]
     UnknownSetting(String),
--- a/lab/src/loopback/clients.rs
+++ b/lab/src/loopback/clients.rs
@@ -5,7 +5,7 @@
 use super::{Place, Stage};
 use crate::events::{ClientOutcome, ClientRequestId};
 use crate::experiment::Repeat;
-use crate::record::Recorded;
+use crate::record::RecordedRequest;
 use mio::Token;
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
@@ -118,7 +118,7 @@
             if let Some(recorder) = &mut self.recorder {
                 let (plan, route) = (plan.name.clone(), route.name.clone());
                 let (at, account, units) = (it.scheduled_at, account.name, origin.units);
-                let noted = recorder.note(&Recorded {
+                let noted = recorder.append(&RecordedRequest {
                     at,
                     account,
                     plan,
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -13,11 +13,12 @@
 pub use tap::tap;
 
 use crate::clock::Clock;
+use crate::error::LabError;
 use crate::events::{AttemptId, ClientRequestId, CounterCallId, ServerId};
 use crate::experiment::{Experiment, Variant};
 use crate::metrics::{MisbehavingClients, Results, SecondMetrics};
 use crate::node_settings;
-use crate::record::{Recorded, Recorder};
+use crate::record::{RecordedRequest, Recorder};
 use crate::world::{Action, GatewayState, ResponseDelay, World};
 use mio::net::{TcpListener, UdpSocket};
 use mio::{Events, Interest, Poll, Registry, Token};
@@ -42,11 +43,11 @@
 const STILL_THERE: Duration = Duration::from_millis(1500);
 
 /// What a run is told each second: which one, what it brought, how many tries are out.
-pub type Watch<'a> = dyn FnMut(u64, &SecondMetrics) + 'a;
+pub type OnSecond<'a> = dyn FnMut(u64, &SecondMetrics) + 'a;
 
 /// An edge node's program, and what it is started with.
 #[derive(Clone, Debug, Default)]
-pub struct Program {
+pub struct GatewayProgram {
     pub path: PathBuf,
     pub arguments: Vec<String>,
     /// What its environment holds beside this process's own.
@@ -54,15 +55,15 @@
 }
 
 #[derive(Default)]
-pub struct Terms<'a> {
+pub struct RunOptions<'a> {
     /// The program that is played.
-    pub edge: Program,
-    pub replay: Vec<Recorded>,
+    pub gateway_program: GatewayProgram,
+    pub replay: Vec<RecordedRequest>,
     /// A file for what clients ask.
-    pub record: Option<PathBuf>,
+    pub record_to: Option<PathBuf>,
     /// A folder for the gateways' logs.
-    pub logs: Option<PathBuf>,
-    pub watch: Option<Box<Watch<'a>>>,
+    pub log_dir: Option<PathBuf>,
+    pub on_second: Option<Box<OnSecond<'a>>>,
 }
 
 /// Whom an event of the poll is for.
@@ -122,7 +123,7 @@
     places: Slab<Place>,
     gateways: Vec<Gateway>,
     folder: Folder,
-    program: Program,
+    program: GatewayProgram,
     told: toml::Table,
     logs: Option<PathBuf>,
     seeds: WyRand,
@@ -149,15 +150,15 @@
     experiment: &Experiment,
     variant: &Variant,
     seed: u64,
-    mut terms: Terms,
-) -> Result<Results, String> {
+    mut terms: RunOptions,
+) -> Result<Results, LabError> {
     let changed = experiment
         .with(variant)
         .map_err(|wrongs| format!("{wrongs:?}"))?;
     let said = |error: std::io::Error| error.to_string();
     let poll = Poll::new().map_err(said)?;
     let registry = poll.registry().try_clone().map_err(said)?;
-    let recorder = match &terms.record {
+    let recorder = match &terms.record_to {
         Some(path) => {
             let file =
                 File::create(path).map_err(|error| format!("{}: {error}", path.display()))?;
@@ -165,7 +166,7 @@
         }
         None => None,
     };
-    if let Some(logs) = &terms.logs {
+    if let Some(logs) = &terms.log_dir {
         std::fs::create_dir_all(logs).map_err(|error| format!("{}: {error}", logs.display()))?;
     }
     let world = World::new(
@@ -185,14 +186,14 @@
         gateways: Vec::new(),
         folder: Folder::new()?,
         program: match &variant.edge {
-            Some(path) => Program {
+            Some(path) => GatewayProgram {
                 path: path.into(),
-                ..Program::default()
+                ..GatewayProgram::default()
             },
-            None => terms.edge.clone(),
+            None => terms.gateway_program.clone(),
         },
         told: variant.told.clone(),
-        logs: terms.logs.clone(),
+        logs: terms.log_dir.clone(),
         seeds: WyRand::new_seed(seed ^ 0x5eed),
         written: Vec::new(),
         trying: BTreeMap::new(),
@@ -209,7 +210,7 @@
         stop: false,
     };
     stage.set_up(changed.fleet.gateways)?;
-    stage.run(terms.watch.as_deref_mut())?;
+    stage.run(terms.on_second.as_deref_mut())?;
     let mut results = stage
         .world
         .results("loopback", &experiment.title, &variant.name, seed);
@@ -361,7 +362,7 @@
         Ok(())
     }
 
-    fn run(&mut self, mut watch: Option<&mut Watch>) -> Result<(), String> {
+    fn run(&mut self, mut watch: Option<&mut OnSecond>) -> Result<(), String> {
         let mut events = Events::with_capacity(1024);
         let (mut second, mut next_look) = (0, Duration::ZERO);
         while !self.stop {
--- a/lab/src/loopback/process.rs
+++ b/lab/src/loopback/process.rs
@@ -1,6 +1,6 @@
 //! The gateways' processes: started with a file of their own, signalled, and never left behind.
 
-use super::Program;
+use super::GatewayProgram;
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
 
     pub fn start(
         &mut self,
-        program: &Program,
+        program: &GatewayProgram,
         file: &Path,
         log: Option<&Path>,
     ) -> Result<(), String> {
--- a/lab/src/loopback/tap.rs
+++ b/lab/src/loopback/tap.rs
@@ -2,7 +2,7 @@
 //! asked.
 
 use crate::clock::Clock;
-use crate::record::{Recorded, Recorder};
+use crate::record::{RecordedRequest, Recorder};
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
 use std::fs::File;
@@ -20,7 +20,7 @@
 type Shared = Arc<Mutex<Option<Recorder<File>>>>;
 
 /// What a client asks, if it is an API call and no retry that says so.
-fn asked(frame: &OwnedFrame, at: Duration) -> Option<Recorded> {
+fn asked(frame: &OwnedFrame, at: Duration) -> Option<RecordedRequest> {
     let OwnedFrame::Array(words) = frame else {
         return None;
     };
@@ -48,7 +48,7 @@
         .and_then(|it| it.1.parse().ok())
         .unwrap_or(1.0);
     let (route, plan) = (value("c")?.1.to_string(), value("t")?.1.to_string());
-    Some(Recorded {
+    Some(RecordedRequest {
         at,
         account,
         plan,
@@ -96,12 +96,12 @@
                     };
                     let mut shared = shared.lock().unwrap_or_else(|broken| broken.into_inner());
                     // The moment is taken under the lock, so that lines stand in the order of their time.
-                    let it = Recorded {
+                    let it = RecordedRequest {
                         at: clock.now(),
                         ..it
                     };
                     if let Some(recorder) = shared.as_mut() {
-                        let _ = recorder.note(&it);
+                        let _ = recorder.append(&it);
                     }
                 }
                 Ok(None) if waiting.len() <= LONGEST => return,
--- a/lab/src/runs.rs
+++ b/lab/src/runs.rs
@@ -1,186 +1,213 @@
-//! Plays an experiment's variants on its seeds, several at a time, and keeps the results as JSON lines.
+//! Plays an experiment's variants on its seeds, several runs at a time, and keeps the results as JSON lines.
 
 use crate::error::LabError;
 use crate::experiment::{Engine, Experiment, Variant};
 use crate::metrics::Results;
-use crate::record::{self, Recorded};
+use crate::record::{self, RecordedRequest};
 use crate::{loopback, simulated};
 use std::fs::{self, File};
 use std::io::{BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::Mutex;
+use std::sync::{Mutex, PoisonError};
 use std::thread;
 
-/// How runs are made.
+/// The file that holds the results in a folder of them.
+const RESULTS_FILE: &str = "results.jsonl";
+
+/// How runs are played.
 #[derive(Clone, Default)]
-pub struct Ways {
+pub struct RunnerOptions {
+    /// The engine in place of the experiment's.
     pub engine: Option<Engine>,
+    /// Seeds in place of the experiment's.
     pub seeds: Option<Vec<u64>>,
+    /// Runs that are played at a time; one at least.
     pub jobs: usize,
     /// The edge node that is played on loopback where a variant names none.
-    pub edge: loopback::Program,
-    pub logs: Option<PathBuf>,
-    /// A day on which the laboratory itself ran late is played again, so many times at most.
-    pub again: usize,
+    pub gateway_program: loopback::GatewayProgram,
+    /// A folder for the gateways' logs on loopback.
+    pub log_dir: Option<PathBuf>,
+    /// How often a run is played again on which the laboratory itself was late.
+    pub max_reruns: usize,
     /// The folder against which files that an experiment names are looked up.
-    pub beside: PathBuf,
+    pub base_dir: PathBuf,
 }
 
-/// Recorded traffic that an experiment replays, scaled as it says.
-pub fn replay(
+/// Reads the recorded traffic that an experiment replays, scaled as it says; empty where it replays none.
+pub fn load_replay(
     experiment: &Experiment,
     seed: u64,
-    beside: &Path,
-) -> Result<Vec<Recorded>, LabError> {
+    base_dir: &Path,
+) -> Result<Vec<RecordedRequest>, LabError> {
     let Some(file) = &experiment.load.replay else {
         return Ok(Vec::new());
     };
-    let path = beside.join(file);
-    let open = File::open(&path).map_err(|error| format!("{}: {error}", path.display()))?;
-    let all = record::read(open).map_err(|why| format!("{}: {why}", path.display()))?;
-    for it in &all {
-        for (what, name, known) in [
-            ("route", &it.route, experiment.route(&it.route)),
-            ("plan", &it.plan, experiment.plan(&it.plan)),
-        ] {
-            if known.is_none() {
-                return Err(LabError::Text(format!(
-                    "{}: the experiment has no {what} '{name}'",
-                    path.display()
-                )));
-            }
-        }
+    let path = base_dir.join(file);
+    let reader = File::open(&path).map_err(LabError::file(&path))?;
+    let requests = match record::read(reader) {
+        Ok(requests) => requests,
+        Err(source) => return Err(LabError::Recording { path, source }),
+    };
+    for request in &requests {
+        check_names(experiment, request, &path)?;
+    }
+    Ok(record::scale(&requests, experiment.load.scale, seed))
+}
+
+/// Refuses a recorded request whose route or plan the experiment does not have.
+fn check_names(
+    experiment: &Experiment,
+    request: &RecordedRequest,
+    path: &Path,
+) -> Result<(), LabError> {
+    let unknown = |kind: &'static str, name: &str| LabError::UnknownName {
+        path: path.to_path_buf(),
+        kind,
+        name: name.to_string(),
+    };
+    if experiment.route(&request.route).is_none() {
+        return Err(unknown("route", &request.route));
+    }
+    if experiment.plan(&request.plan).is_none() {
+        return Err(unknown("plan", &request.plan));
     }
-    Ok(record::scaled(&all, experiment.load.scale, seed))
+    Ok(())
 }
 
-/// One day.
-pub fn one(
+/// Plays one run.
+pub fn play_one(
     experiment: &Experiment,
     variant: &Variant,
     seed: u64,
-    ways: &Ways,
+    options: &RunnerOptions,
 ) -> Result<Results, LabError> {
     let changed = experiment
         .with(variant)
         .map_err(|wrongs| format!("{wrongs:?}"))?;
-    let replay = replay(&changed, seed, &ways.beside)?;
-    match ways.engine.unwrap_or(experiment.engine) {
-        Engine::Simulated => simulated::play(
-            experiment,
-            variant,
-            seed,
-            &simulated::RunOptions {
-                replay,
+    let replay = load_replay(&changed, seed, &options.base_dir)?;
+    match options.engine.unwrap_or(experiment.engine) {
+        Engine::Simulated => {
+            let simulated_options = simulated::RunOptions {
                 defect: None,
-            },
-        ),
-        Engine::Loopback => {
-            let logs = ways
-                .logs
-                .as_ref()
-                .map(|logs| logs.join(format!("{}-{seed}", variant.name)));
-            let play = || {
-                let (replay, logs) = (replay.clone(), logs.clone());
-                let terms = loopback::Terms {
-                    edge: ways.edge.clone(),
-                    replay,
-                    logs,
-                    ..Default::default()
-                };
-                Ok::<Results, LabError>(loopback::play(experiment, variant, seed, terms)?)
+                replay,
             };
-            let mut results = play()?;
-            for _ in 0..ways.again {
-                if !results.lateness.excessive {
-                    break;
-                }
-                results = play()?;
-            }
-            Ok(results)
+            simulated::play(experiment, variant, seed, &simulated_options)
         }
+        Engine::Loopback => play_on_loopback(experiment, variant, seed, options, &replay),
     }
 }
 
-/// All variants on all seeds, in the order of variant and seed whatever ends first. `told` hears of each end.
-pub fn all(
+/// Plays a run on loopback; again, if the laboratory itself was late on it.
+fn play_on_loopback(
     experiment: &Experiment,
-    ways: &Ways,
-    told: &(dyn Fn(&Result<Results, LabError>) + Sync),
+    variant: &Variant,
+    seed: u64,
+    options: &RunnerOptions,
+    replay: &[RecordedRequest],
+) -> Result<Results, LabError> {
+    let run_name = format!("{}-{seed}", variant.name);
+    let play = || {
+        let loopback_options = loopback::RunOptions {
+            gateway_program: options.gateway_program.clone(),
+            replay: replay.to_vec(),
+            log_dir: options.log_dir.as_ref().map(|dir| dir.join(&run_name)),
+            ..Default::default()
+        };
+        loopback::play(experiment, variant, seed, loopback_options)
+    };
+    let mut results = play()?;
+    for _ in 0..options.max_reruns {
+        if !results.lateness.excessive {
+            break;
+        }
+        results = play()?;
+    }
+    Ok(results)
+}
+
+/// Plays all variants on all seeds. The results come in the order of variant and seed, whichever run ends first;
+/// `on_result` hears of each as it ends. After a run that can't be played no further one is begun.
+pub fn play_all(
+    experiment: &Experiment,
+    options: &RunnerOptions,
+    on_result: &(dyn Fn(&Result<Results, LabError>) + Sync),
 ) -> Result<Vec<Results>, LabError> {
-    let seeds = ways
-        .seeds
-        .clone()
-        .unwrap_or_else(|| experiment.seeds.clone());
-    let days: Vec<(Variant, u64)> = experiment
+    let seeds = options.seeds.as_ref().unwrap_or(&experiment.seeds);
+    let runs: Vec<(Variant, u64)> = experiment
         .sides()
         .into_iter()
-        .flat_map(|side| seeds.iter().map(move |seed| (side.clone(), *seed)))
+        .flat_map(|variant| seeds.iter().map(move |seed| (variant.clone(), *seed)))
         .collect();
-    let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
+    let next_run = AtomicUsize::new(0);
+    let finished = Mutex::new(Vec::new());
+    let play_remaining = || {
+        while let Some((index, (variant, seed))) = take_next(&runs, &next_run) {
+            let result = play_one(experiment, variant, *seed, options);
+            on_result(&result);
+            if result.is_err() {
+                next_run.store(runs.len(), Ordering::SeqCst);
+            }
+            let mut finished = finished.lock().unwrap_or_else(PoisonError::into_inner);
+            finished.push((index, result));
+        }
+    };
     thread::scope(|scope| {
-        for _ in 0..ways.jobs.clamp(1, days.len().max(1)) {
-            scope.spawn(|| loop {
-                let place = next.fetch_add(1, Ordering::SeqCst);
-                let Some((variant, seed)) = days.get(place) else {
-                    return;
-                };
-                let result = one(experiment, variant, *seed, ways);
-                told(&result);
-                if result.is_err() {
-                    next.store(days.len(), Ordering::SeqCst);
-                }
-                done.lock()
-                    .unwrap_or_else(|broken| broken.into_inner())
-                    .push((place, result));
-            });
+        for _ in 0..options.jobs.clamp(1, runs.len().max(1)) {
+            scope.spawn(play_remaining);
         }
     });
-    let mut done = done
+    let mut results = finished
         .into_inner()
-        .unwrap_or_else(|broken| broken.into_inner());
-    done.sort_by_key(|(place, _)| *place);
-    done.into_iter().map(|(_, result)| result).collect()
+        .unwrap_or_else(PoisonError::into_inner);
+    results.sort_by_key(|(index, _)| *index);
+    results.into_iter().map(|(_, result)| result).collect()
+}
+
+/// The next item that no other thread has taken.
+fn take_next<'a, T>(items: &'a [T], next: &AtomicUsize) -> Option<(usize, &'a T)> {
+    let index = next.fetch_add(1, Ordering::SeqCst);
+    Some((index, items.get(index)?))
 }
 
 /// Writes results, one a line, to a file that is put in place whole.
-pub fn write(path: &Path, results: &[Results]) -> Result<(), LabError> {
-    let said = |error: std::io::Error| format!("{}: {error}", path.display());
+pub fn write_results(path: &Path, results: &[Results]) -> Result<(), LabError> {
     if let Some(folder) = path.parent() {
-        fs::create_dir_all(folder).map_err(said)?;
+        fs::create_dir_all(folder).map_err(LabError::file(folder))?;
     }
-    let half = path.with_extension("part");
-    let mut out = File::create(&half).map_err(said)?;
-    for it in results {
-        let line = serde_json::to_string(it).map_err(|error| error.to_string())?;
-        writeln!(out, "{line}").map_err(said)?;
+    let partial = path.with_extension("part");
+    write_lines(&partial, results).map_err(LabError::file(&partial))?;
+    fs::rename(&partial, path).map_err(LabError::file(path))
+}
+
+fn write_lines(path: &Path, results: &[Results]) -> std::io::Result<()> {
+    let mut file = File::create(path)?;
+    for result in results {
+        writeln!(file, "{}", serde_json::to_string(result)?)?;
     }
-    out.sync_all()
-        .and_then(|()| fs::rename(&half, path))
-        .map_err(said)?;
-    Ok(())
+    file.sync_all()
 }
 
 /// Reads results from a file, or from `results.jsonl` in a folder.
-pub fn read(path: &Path) -> Result<Vec<Results>, LabError> {
+pub fn read_results(path: &Path) -> Result<Vec<Results>, LabError> {
     let path = if path.is_dir() {
-        path.join("results.jsonl")
+        path.join(RESULTS_FILE)
     } else {
         path.to_path_buf()
     };
-    let file = File::open(&path).map_err(|error| format!("{}: {error}", path.display()))?;
-    let mut all = Vec::new();
-    for (place, line) in BufReader::new(file).lines().enumerate() {
-        let wrong = |why: String| format!("{}:{}: {why}", path.display(), place + 1);
-        let line = line.map_err(|error| wrong(error.to_string()))?;
-        all.push(serde_json::from_str(&line).map_err(|error| wrong(error.to_string()))?);
+    let file = File::open(&path).map_err(LabError::file(&path))?;
+    let mut results = Vec::new();
+    for (index, line) in BufReader::new(file).lines().enumerate() {
+        let text = line.map_err(LabError::file(&path))?;
+        let result = serde_json::from_str(&text).map_err(|source| LabError::ResultsLine {
+            path: path.clone(),
+            line: index + 1,
+            source,
+        })?;
+        results.push(result);
     }
-    if all.is_empty() {
-        return Err(LabError::Text(format!(
-            "{}: no results in it",
-            path.display()
-        )));
+    if results.is_empty() {
+        return Err(LabError::NoResults { path });
     }
-    Ok(all)
+    Ok(results)
 }
--- a/lab/src/simulated/attempts.rs
+++ b/lab/src/simulated/attempts.rs
@@ -370,7 +370,7 @@
         let RequestAttempt { request, number } = key.attempt;
         let ended = self
             .gateway(key.gateway)
-            .and_then(|gateway| gateway.attempts.remove(&key.attempt));
+            .and_then(|owner| owner.attempts.remove(&key.attempt));
         let Some(attempt) = ended else {
             return Ok(());
         };
--- a/lab/src/simulated/mod.rs
+++ b/lab/src/simulated/mod.rs
@@ -20,7 +20,7 @@
 use crate::error::LabError;
 use crate::experiment::{Experiment, Variant};
 use crate::metrics::Results;
-use crate::record::Recorded;
+use crate::record::RecordedRequest;
 use crate::world::{ResponseDelay, World};
 use run::SimulatedRun;
 use std::time::Duration;
@@ -33,8 +33,8 @@
 pub struct RunOptions {
     /// A defect that the program is given on purpose.
     pub defect: Option<InjectedDefect>,
-    /// Recorded traffic in place of the accounts; empty: none.
-    pub replay: Vec<Recorded>,
+    /// RecordedRequest traffic in place of the accounts; empty: none.
+    pub replay: Vec<RecordedRequest>,
 }
 
 /// Plays one run of an experiment, as a variant has it.
--- a/lab/src/validate.rs
+++ b/lab/src/validate.rs
@@ -4,7 +4,7 @@
 use crate::error::LabError;
 use crate::experiment::{Engine, Experiment};
 use crate::metrics::Results;
-use crate::runs::{self, Ways};
+use crate::runs::{self, RunnerOptions};
 use crate::stats;
 use serde::{Deserialize, Serialize};
 
@@ -74,7 +74,7 @@
 /// Plays every variant of an experiment against its first in both engines. `on_run` hears of each run's end.
 pub fn trials(
     experiment: &Experiment,
-    ways: &Ways,
+    ways: &RunnerOptions,
     seeds: SeedCounts,
     figure: &str,
     on_run: &(dyn Fn(&Result<Results, LabError>) + Sync),
@@ -82,8 +82,8 @@
     let model_seeds = seeds.model.max(MIN_MODEL_SEEDS);
     let model_ways = ways_of(ways, Engine::Simulated, model_seeds);
     let loopback_ways = ways_of(ways, Engine::Loopback, seeds.loopback);
-    let model = runs::all(experiment, &model_ways, on_run)?;
-    let loopback = runs::all(experiment, &loopback_ways, on_run)?;
+    let model = runs::play_all(experiment, &model_ways, on_run)?;
+    let loopback = runs::play_all(experiment, &loopback_ways, on_run)?;
     let variants = experiment.sides();
     let base = &variants[0].name;
     let mut trials = Vec::new();
@@ -107,8 +107,8 @@
 }
 
 /// How an engine plays the first seeds.
-fn ways_of(ways: &Ways, engine: Engine, seed_count: usize) -> Ways {
-    Ways {
+fn ways_of(ways: &RunnerOptions, engine: Engine, seed_count: usize) -> RunnerOptions {
+    RunnerOptions {
         engine: Some(engine),
         seeds: Some((1..=seed_count.max(1) as u64).collect()),
         ..ways.clone()
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -27,7 +27,7 @@
 use crate::events::{AttemptId, ClientRequestId, CounterCallId, OperationId, ServerId};
 use crate::experiment::Experiment;
 use crate::metrics::{MetricsRecorder, Results, ServerLoad};
-use crate::record::Recorded;
+use crate::record::RecordedRequest;
 use crate::rule_checker::RuleChecker;
 use clients::{Account, Clients, Operation};
 use counter::{CallOutcome, CounterResponse, CounterService};
@@ -182,7 +182,7 @@
         seed: u64,
         response_delay: ResponseDelay,
         slack: Duration,
-        recorded: Vec<Recorded>,
+        recorded: Vec<RecordedRequest>,
     ) -> World {
         let length = seconds(experiment.seconds);
         let gateway_count = experiment.fleet.gateways;
--- a/lab/src/world/requests.rs
+++ b/lab/src/world/requests.rs
@@ -4,7 +4,7 @@
 use super::gateways::GatewayState;
 use super::{seconds, Action, World};
 use crate::events::{ClientOutcome, ClientRequestId, OperationId};
-use crate::record::Recorded;
+use crate::record::RecordedRequest;
 use crate::rule_checker::AcceptedRequest;
 use nanorand::Rng;
 use std::collections::BTreeMap;
@@ -26,16 +26,16 @@
     pub(super) forwarded: bool,
 }
 
-/// Recorded requests that are played in place of drawn arrivals.
+/// RecordedRequest requests that are played in place of drawn arrivals.
 pub(super) struct Replay {
-    requests: Vec<Recorded>,
+    requests: Vec<RecordedRequest>,
     /// Index of the account of each recorded one.
     accounts: BTreeMap<u64, usize>,
 }
 
 impl Replay {
     /// The requests of a recording; none: arrivals are drawn.
-    pub(super) fn new(requests: Vec<Recorded>) -> Replay {
+    pub(super) fn new(requests: Vec<RecordedRequest>) -> Replay {
         Replay {
             requests,
             accounts: BTreeMap::new(),
--- a/tool/src/lab.rs
+++ b/tool/src/lab.rs
@@ -12,9 +12,9 @@
 use wellcrank_lab::clock::Clock;
 use wellcrank_lab::error::{ErrorChain, LabError};
 use wellcrank_lab::experiment::{Engine, Experiment, Variant};
-use wellcrank_lab::loopback::Program;
+use wellcrank_lab::loopback::GatewayProgram;
 use wellcrank_lab::metrics::{Figure, Results, SecondMetrics};
-use wellcrank_lab::runs::{self, Ways};
+use wellcrank_lab::runs::{self, RunnerOptions};
 use wellcrank_lab::{capacity, loopback, report, stats, validate};
 
 #[derive(Subcommand)]
@@ -212,7 +212,7 @@
 }
 
 /// The edge node that is played: a program of its own, or the one built into this command.
-fn edge(named: Option<PathBuf>) -> Result<Program, Short> {
+fn edge(named: Option<PathBuf>) -> Result<GatewayProgram, Short> {
     if let Some(named) = named {
         if !named.is_file() {
             return Err(Short::Input(format!(
@@ -220,16 +220,16 @@
                 named.display()
             )));
         }
-        return Ok(Program {
+        return Ok(GatewayProgram {
             path: named,
-            ..Program::default()
+            ..GatewayProgram::default()
         });
     }
     let path = std::env::current_exe().map_err(|error| Short::Input(error.to_string()))?;
-    Ok(Program {
+    Ok(GatewayProgram {
         path,
         arguments: vec!["edge".into()],
-        ..Program::default()
+        ..GatewayProgram::default()
     })
 }
 
@@ -323,12 +323,12 @@
         );
     };
     let beside = it.file.as_deref().map(beside).unwrap_or_default();
-    let terms = loopback::Terms {
-        edge: edge(it.edge)?,
-        replay: runs::replay(&experiment, it.seed, &beside)?,
-        record: it.record,
-        logs: it.logs,
-        watch: Some(Box::new(watch)),
+    let terms = loopback::RunOptions {
+        gateway_program: edge(it.edge)?,
+        replay: runs::load_replay(&experiment, it.seed, &beside)?,
+        record_to: it.record,
+        log_dir: it.logs,
+        on_second: Some(Box::new(watch)),
     };
     let results = loopback::play(&experiment, &variant, it.seed, terms)?;
     summary(&results);
@@ -366,20 +366,20 @@
 fn play(it: Run, log: &Logger) -> Result<(), Short> {
     let experiment = read(&it.file)?;
     let engine = it.engine.map_or(experiment.engine, Engine::from);
-    let ways = Ways {
+    let ways = RunnerOptions {
         engine: Some(engine),
         seeds: (!it.seeds.is_empty()).then_some(it.seeds),
         jobs: jobs(it.jobs, engine),
-        edge: edge(it.edge)?,
-        logs: it.logs,
-        again: it.again,
-        beside: beside(&it.file),
+        gateway_program: edge(it.edge)?,
+        log_dir: it.logs,
+        max_reruns: it.again,
+        base_dir: beside(&it.file),
     };
     let count =
         experiment.sides().len() * ways.seeds.as_ref().map_or(experiment.seeds.len(), Vec::len);
     let bar = bar(count);
     let told = |_: &Result<Results, LabError>| bar.inc(1);
-    let results = runs::all(&experiment, &ways, &told)?;
+    let results = runs::play_all(&experiment, &ways, &told)?;
     bar.finish_and_clear();
     println!(
         "{} ({})",
@@ -395,7 +395,7 @@
         many => table(many),
     }
     if let Some(out) = it.out {
-        runs::write(&out.join("results.jsonl"), &results)?;
+        runs::write_results(&out.join("results.jsonl"), &results)?;
         let page = out.join("report.html");
         write_page(&page, &experiment.title, &experiment.about, &results)?;
         slog::info!(log, "written"; "folder" => %out.display());
@@ -449,7 +449,7 @@
 fn gathered(paths: &[PathBuf]) -> Result<Vec<Results>, Short> {
     let mut all = Vec::new();
     for path in paths {
-        all.extend(runs::read(path)?);
+        all.extend(runs::read_results(path)?);
     }
     Ok(all)
 }
@@ -496,7 +496,7 @@
     for file in files {
         match Experiment::load(&file.to_string_lossy()) {
             Ok(it) => {
-                let replay = runs::replay(&it, 1, &beside(file));
+                let replay = runs::load_replay(&it, 1, &beside(file));
                 match replay {
                     Ok(_) => println!(
                         "{}: {} variants, {} seeds",
@@ -542,12 +542,12 @@
                 file.display()
             )));
         }
-        let ways = Ways {
+        let ways = RunnerOptions {
             jobs: jobs(it.jobs, Engine::Loopback),
-            edge: edge.clone(),
-            again: 2,
-            beside: beside(file),
-            ..Ways::default()
+            gateway_program: edge.clone(),
+            max_reruns: 2,
+            base_dir: beside(file),
+            ..RunnerOptions::default()
         };
         let bar = bar(experiment.sides().len() * (it.model_seeds + it.seeds));
         let told = |_: &Result<Results, LabError>| bar.inc(1);
@@ -601,10 +601,10 @@
 }
 
 fn load(it: &Bears) -> Result<(), Short> {
-    let ways = Ways {
-        edge: edge(it.edge.clone())?,
+    let ways = RunnerOptions {
+        gateway_program: edge(it.edge.clone())?,
         jobs: 1,
-        ..Ways::default()
+        ..RunnerOptions::default()
     };
     println!(
         "{:>9} {:>8} {:>9} {:>9} {:>9} {:>10} {:>8}",
@@ -615,7 +615,7 @@
         counter: !it.no_counter,
         seconds: it.seconds,
     };
-    let rest = runs::one(&test.experiment(0.0), &Variant::default(), 1, &ways)?;
+    let rest = runs::play_one(&test.experiment(0.0), &Variant::default(), 1, &ways)?;
     let mut told = |step: &capacity::Step| {
         let results = &step.results;
         let each = results.gateway_cpu_seconds
@@ -667,7 +667,7 @@
             return Err(Short::Input(format!("{path}: {what}")));
         }
         let start = Clock::start();
-        let results = runs::one(&day, &Variant::default(), 1, &Ways::default())?;
+        let results = runs::play_one(&day, &Variant::default(), 1, &RunnerOptions::default())?;
         let took = start.now().as_secs_f64();
         let asked: u64 = results.by_second.iter().map(|second| second.requests).sum();
         println!(
--- a/tool/tests/soak.rs
+++ b/tool/tests/soak.rs
@@ -14,8 +14,9 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
 use std::time::Duration;
+use wellcrank_lab::error::{ErrorChain, LabError};
 use wellcrank_lab::experiment::{Experiment, Variant};
-use wellcrank_lab::loopback::{self, Program};
+use wellcrank_lab::loopback::{self, GatewayProgram};
 use wellcrank_lab::metrics::Results;
 
 /// Seeds of a run in CI, and how many days are played at a time.
@@ -82,7 +83,7 @@
 client_timeout = 0.5
 ";
 
-/// Ways in which calls fail for a moment.
+/// RunnerOptions in which calls fail for a moment.
 const FAILURES: [(&str, i32); 14] = [
     ("accept", libc::ECONNABORTED),
     ("accept", libc::EPROTO),
@@ -169,10 +170,10 @@
     }
 }
 
-fn play(seed: u64) -> Result<Results, String> {
+fn play(seed: u64) -> Result<Results, LabError> {
     let Day { experiment, step } = day(seed);
     let faults = Faults::new(&format!("soak-{seed}"));
-    let edge = Program {
+    let edge = GatewayProgram {
         path: env!("CARGO_BIN_EXE_wellcrank").into(),
         arguments: vec!["edge".into()],
         environment: faults.environment(),
@@ -182,9 +183,9 @@
     let over = AtomicBool::new(false);
     std::thread::scope(|scope| {
         scope.spawn(|| trouble(&faults, seed, step, &over));
-        let terms = loopback::Terms {
-            edge,
-            logs,
+        let terms = loopback::RunOptions {
+            gateway_program: edge,
+            log_dir: logs,
             ..Default::default()
         };
         let played = loopback::play(&experiment, &Variant::default(), seed, terms);
@@ -196,7 +197,7 @@
 /// What the day broke, if anything. A day on which the stand-ins themselves were late by what the referee allows says
 /// nothing of the program, and is played again; on a machine that is never in time it counts as it is.
 fn complaint(seed: u64) -> Option<String> {
-    let late = |played: &Result<Results, String>| {
+    let late = |played: &Result<Results, LabError>| {
         played
             .as_ref()
             .is_ok_and(|it| !it.sound() && it.lateness.worst_ms > LATE_MS)
@@ -210,7 +211,7 @@
         played = play(seed);
     }
     match played {
-        Err(why) => Some(format!("seed {seed}: not played: {why}")),
+        Err(error) => Some(format!("seed {seed}: not played: {}", ErrorChain(&error))),
         Ok(results) if results.sound() && results.misbehaving_clients.unanswered == 0 => None,
         Ok(results) => {
             let broken: Vec<String> = results
