--- a/lab/src/capacity.rs
+++ b/lab/src/capacity.rs
@@ -3,7 +3,7 @@
 //! request was meant to be sent.
 
 use crate::error::LabError;
-use crate::experiment::{Experiment, PlanTerms, RouteTerms, Variant};
+use crate::experiment::{Experiment, PlanConfig, RouteConfig, Variant};
 use crate::metrics::Results;
 use crate::runs::{self, RunnerOptions};
 
@@ -47,32 +47,32 @@
             self.seconds
         );
         let mut experiment =
-            Experiment::read("capacity", &text).unwrap_or_else(|complaint| panic!("{complaint}"));
+            Experiment::parse("capacity", &text).unwrap_or_else(|complaint| panic!("{complaint}"));
         let fleet = &mut experiment.fleet;
         fleet.gateways = 1;
         fleet.servers = 32;
         fleet.handshake_ms = 0.0;
-        fleet.connections = 10_000;
+        fleet.max_connections = 10_000;
         fleet.sockets = 4096;
         let load = &mut experiment.load;
-        load.calls = rate;
-        load.spread = 1;
+        load.request_rate = rate;
+        load.gateways_per_account = 1;
         load.greedy_share = 0.0;
-        load.units_top = 1;
-        load.retries = 0;
+        load.max_units = 1;
+        load.max_retries = 0;
         let counter = &mut experiment.counter;
         counter.present = self.counter;
-        counter.bears = 1e6;
+        counter.capacity = 1e6;
         counter.latency_ms = 0.0;
-        experiment.network.near_ms = 0.0;
-        let plan = PlanTerms {
+        experiment.network.in_zone_delay_ms = 0.0;
+        let plan = PlanConfig {
             rate: 20.0,
             burst: 100.0,
-            cap: 50.0,
+            concurrency_cap: 50.0,
             ..experiment.plans[0].clone()
         };
         experiment.plans = vec![plan];
-        let route = RouteTerms {
+        let route = RouteConfig {
             work_ms: 0.0,
             ..experiment.routes[0].clone()
         };
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -1,6 +1,7 @@
 //! The errors of the laboratory. Each names the place; its cause is its source, and [`ErrorChain`] prints both.
 
 use crate::decision_engine::DecisionEngineError;
+use crate::experiment::{ExperimentError, InvalidVariant};
 use crate::record::RecordingError;
 use std::error::Error;
 use std::fmt;
@@ -79,6 +80,12 @@
         #[source]
         source: Box<dyn Error + Send + Sync>,
     },
+    /// An experiment can't be had from its file.
+    #[error(transparent)]
+    Experiment(#[from] ExperimentError),
+    /// A variant leads to an experiment that can't be played.
+    #[error(transparent)]
+    Variant(#[from] InvalidVariant),
     /// A failure that is known by its text only.
     #[error("{0}")]
     Text(String),
--- a/lab/src/loopback/clients.rs
+++ b/lab/src/loopback/clients.rs
@@ -4,7 +4,7 @@
 use super::wire::{bulk, Wire};
 use super::{Place, Stage};
 use crate::events::{ClientOutcome, ClientRequestId};
-use crate::experiment::Repeat;
+use crate::experiment::Idempotency;
 use crate::record::RecordedRequest;
 use mio::Token;
 use redis_protocol::resp2::decode::decode;
@@ -130,7 +130,7 @@
         }
         let wait = it.deadline.saturating_sub(self.now).as_millis().max(1);
         let mut list = format!("c={},t={},d={wait}", route.name, plan.name);
-        if route.repeat == Repeat::Tokened {
+        if route.idempotency == Idempotency::Keyed {
             list.push_str(&format!(",k={:016x}", origin.key));
         }
         if origin.retries > 0 {
@@ -140,7 +140,7 @@
             ",units={},spread={},first={}",
             origin.units, account.gateway_count, account.first_gateway
         ));
-        let verb = if route.repeat == Repeat::Idempotent {
+        let verb = if route.idempotency == Idempotency::Idempotent {
             "SVC.QUERY"
         } else {
             "SVC.SUBMIT"
@@ -152,7 +152,9 @@
             bulk(id),
             bulk(list),
         ];
-        words.extend((route.repeat != Repeat::Idempotent).then(|| bulk("a track to render")));
+        words.extend(
+            (route.idempotency != Idempotency::Idempotent).then(|| bulk("a track to render")),
+        );
         let frame = OwnedFrame::Array(words);
         let free = loop {
             match self.gateways[gateway].idle.pop() {
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -152,9 +152,7 @@
     seed: u64,
     mut terms: RunOptions,
 ) -> Result<Results, LabError> {
-    let changed = experiment
-        .with(variant)
-        .map_err(|wrongs| format!("{wrongs:?}"))?;
+    let changed = experiment.with_variant(variant)?;
     let said = |error: std::io::Error| error.to_string();
     let poll = Poll::new().map_err(said)?;
     let registry = poll.registry().try_clone().map_err(said)?;
@@ -185,14 +183,14 @@
         places: Slab::new(),
         gateways: Vec::new(),
         folder: Folder::new()?,
-        program: match &variant.edge {
+        program: match &variant.gateway_program {
             Some(path) => GatewayProgram {
                 path: path.into(),
                 ..GatewayProgram::default()
             },
             None => terms.gateway_program.clone(),
         },
-        told: variant.told.clone(),
+        told: variant.settings_overrides.clone(),
         logs: terms.log_dir.clone(),
         seeds: WyRand::new_seed(seed ^ 0x5eed),
         written: Vec::new(),
@@ -267,7 +265,7 @@
             }
             self.open_platform(gateway)?;
         }
-        if self.world.experiment.network.peers {
+        if self.world.experiment.network.peer_datagrams {
             self.open_peers()?;
         }
         for gateway in 0..gateways {
@@ -330,7 +328,7 @@
         if self.world.experiment.counter.present {
             file["counter"] = serde_json::json!(self.address(it.counter));
         }
-        if self.world.experiment.network.peers {
+        if self.world.experiment.network.peer_datagrams {
             let mut peers: Vec<SocketAddr> = it.peers.iter().map(|(_, at)| *at).collect();
             peers.insert(gateway, it.peer_listen);
             file["peer_listen"] = serde_json::json!(it.peer_listen);
--- a/lab/src/loopback/servers.rs
+++ b/lab/src/loopback/servers.rs
@@ -274,7 +274,7 @@
 
     /// Connections that have stood idle for the time that a server keeps them are closed by it.
     pub(super) fn close_idle(&mut self) -> Result<(), String> {
-        let keep = Duration::from_secs_f64(self.world.experiment.fleet.idle_close);
+        let keep = Duration::from_secs_f64(self.world.experiment.fleet.idle_timeout);
         let old = |place: &Place| match place {
             Place::Upstream(it) => it.turns.open().next().is_none() && it.used + keep <= self.now,
             _ => false,
--- a/lab/src/node_settings.rs
+++ b/lab/src/node_settings.rs
@@ -2,7 +2,7 @@
 //! with what a variant puts in place of the truth laid over them, and the endpoint list.
 
 use crate::error::LabError;
-use crate::experiment::{Experiment, Group, PlanTerms, Repeat, RouteTerms};
+use crate::experiment::{DeduplicationScope, Experiment, Idempotency, PlanConfig, RouteConfig};
 use serde_json::{json, Value};
 
 /// Resolution of a gateway's timers, in nanoseconds.
@@ -38,12 +38,12 @@
         "contracts": plans,
         "family_info": {
             "counter_price": 0.0, "counter_timeout_ns": nanos(experiment.counter.timeout_ms / 1e3),
-            "shared_counter": experiment.counter.present, "units_top": f64::from(experiment.load.units_top),
+            "shared_counter": experiment.counter.present, "units_top": f64::from(experiment.load.max_units),
         },
         "rules": {
             "answer_slack_ns": ANSWER_SLACK_NS, "ask_within_ns": nanos(REFETCH_WITHIN_SECONDS),
-            "cold_from": fleet.cold_from, "cold_ns": nanos(fleet.cold),
-            "fall_multiple": fleet.fall_multiple, "overload_for_ns": nanos(fleet.overload_for),
+            "cold_from": fleet.slow_start_capacity, "cold_ns": nanos(fleet.slow_start),
+            "fall_multiple": fleet.overload_factor, "overload_for_ns": nanos(fleet.overload_for),
             "stop_sending_within_ns": nanos(fleet.drain_grace),
         },
     });
@@ -52,28 +52,28 @@
     Ok(settings)
 }
 
-fn route_settings(route: &RouteTerms) -> Value {
+fn route_settings(route: &RouteConfig) -> Value {
     json!({
-        "name": route.name, "credit": route.billed_value, "late_worth": route.late_worth, "streaming": false,
+        "name": route.name, "credit": route.billed_value, "late_worth": route.late_value_ratio, "streaming": false,
         "target_ns": nanos(route.latency_target), "deadline_ns": nanos(route.client_timeout),
-        "memory_span_ns": nanos(route.memory),
-        "repeat": match route.repeat {
-            Repeat::Idempotent => "repeatable",
-            Repeat::Tokened => "by_key",
-            Repeat::NonIdempotent => "once",
+        "memory_span_ns": nanos(route.deduplication_window),
+        "repeat": match route.idempotency {
+            Idempotency::Idempotent => "repeatable",
+            Idempotency::Keyed => "by_key",
+            Idempotency::NonIdempotent => "once",
         },
-        "group": match route.group {
-            Group::All => "all",
-            Group::Cell => "cell",
-            Group::Zone => "zone",
+        "group": match route.deduplication_scope {
+            DeduplicationScope::All => "all",
+            DeduplicationScope::Cell => "cell",
+            DeduplicationScope::Zone => "zone",
         },
     })
 }
 
-fn plan_settings(plan: &PlanTerms) -> Value {
+fn plan_settings(plan: &PlanConfig) -> Value {
     json!({
-        "name": plan.name, "refill": plan.rate, "store_size": plan.burst, "parallel": plan.cap,
-        "value_factor": plan.price, "excess_cost": plan.over_cost, "extra_worth": 0.0,
+        "name": plan.name, "refill": plan.rate, "store_size": plan.burst, "parallel": plan.concurrency_cap,
+        "value_factor": plan.price, "excess_cost": plan.over_quota_cost, "extra_worth": 0.0,
         "never_over_rate": plan.ceiling_rate, "cap_depth": plan.ceiling_burst,
         "hard_slack": plan.ceiling_slack,
     })
@@ -81,13 +81,15 @@
 
 fn limit_settings(experiment: &Experiment) -> Value {
     let fleet = &experiment.fleet;
-    let max_retry_after = experiment.longest_wait().max(MIN_MAX_RETRY_AFTER_SECONDS);
+    let max_retry_after = experiment
+        .max_client_timeout()
+        .max(MIN_MAX_RETRY_AFTER_SECONDS);
     json!({
         "cancelling": true, "connect_timeout_ns": nanos(fleet.connect_timeout),
-        "idle_close_ns": nanos(fleet.idle_close), "max_attempts": fleet.max_tries,
+        "idle_close_ns": nanos(fleet.idle_timeout), "max_attempts": fleet.max_attempts,
         "max_open": MAX_OPEN_REQUESTS, "max_retry_after_ns": nanos(max_retry_after),
-        "may_duplicate": false, "may_probe": fleet.probes, "multiplex": 1,
-        "peers": experiment.network.peers, "retry_after": true,
+        "may_duplicate": false, "may_probe": fleet.load_probes, "multiplex": 1,
+        "peers": experiment.network.peer_datagrams, "retry_after": true,
     })
 }
 
--- a/lab/src/node_settings/tests.rs
+++ b/lab/src/node_settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn experiment() -> Experiment {
-    Experiment::read("test", "title = \"t\"\nseconds = 2.0").expect("an experiment")
+    Experiment::parse("test", "title = \"t\"\nseconds = 2.0").expect("an experiment")
 }
 
 fn overrides(text: &str) -> toml::Table {
--- a/lab/src/rule_checker.rs
+++ b/lab/src/rule_checker.rs
@@ -7,7 +7,7 @@
 use crate::events::{
     AttemptEnd, AttemptId, ClientOutcome, ClientRequestId, Rule, RuleViolation, ServerId,
 };
-use crate::experiment::{Experiment, Group, Repeat, RouteTerms};
+use crate::experiment::{DeduplicationScope, Experiment, Idempotency, RouteConfig};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -351,10 +351,10 @@
     ) -> Option<Finding> {
         let earlier = observed.attempts.iter().find(|it| it.may_have_run())?;
         let route = &self.experiment.routes[observed.request.route];
-        let safe = match route.repeat {
-            Repeat::Idempotent => true,
-            Repeat::Tokened => self.is_deduplicated(now, route, earlier, server),
-            Repeat::NonIdempotent => false,
+        let safe = match route.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed => self.is_deduplicated(now, route, earlier, server),
+            Idempotency::NonIdempotent => false,
         };
         if safe {
             return None;
@@ -374,18 +374,18 @@
     fn is_deduplicated(
         &self,
         now: Duration,
-        route: &RouteTerms,
+        route: &RouteConfig,
         earlier: &ObservedAttempt,
         server: ServerId,
     ) -> bool {
-        let window = Duration::from_secs_f64(route.memory);
+        let window = Duration::from_secs_f64(route.deduplication_window);
         let in_window = earlier.arrived_at + window + self.slack >= now;
         let earlier_location = self.location(earlier.server);
         let present_location = self.location(server);
-        let in_scope = match route.group {
-            Group::All => true,
-            Group::Cell => earlier_location.cell == present_location.cell,
-            Group::Zone => earlier_location.zone == present_location.zone,
+        let in_scope = match route.deduplication_scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Cell => earlier_location.cell == present_location.cell,
+            DeduplicationScope::Zone => earlier_location.zone == present_location.zone,
         };
         in_window && in_scope
     }
@@ -406,7 +406,7 @@
             return;
         }
         let tolerance = 1.0 + plan.ceiling_slack;
-        let largest_request = f64::from(self.experiment.load.units_top);
+        let largest_request = f64::from(self.experiment.load.max_units);
         let depth = (plan.ceiling_burst * tolerance).max(plan.ceiling_burst + largest_request);
         let rate = plan.ceiling_rate * tolerance;
         let bucket = self.ceilings.entry(account).or_insert(CeilingBucket {
@@ -536,7 +536,7 @@
 /// What is wrong with an answer itself.
 fn find_wrong_answer(
     observed: &ObservedRequest,
-    route: &RouteTerms,
+    route: &RouteConfig,
     outcome: ClientOutcome,
 ) -> Option<Finding> {
     match outcome {
@@ -558,12 +558,12 @@
 
 /// Whether the client may send its request again: what it sends is a new request, with the same idempotency
 /// key.
-fn is_safe_to_resend(observed: &ObservedRequest, route: &RouteTerms) -> bool {
+fn is_safe_to_resend(observed: &ObservedRequest, route: &RouteConfig) -> bool {
     let may_have_run = observed.attempts.iter().any(ObservedAttempt::may_have_run);
-    match route.repeat {
-        Repeat::Idempotent => true,
-        Repeat::Tokened => !may_have_run || route.group == Group::All,
-        Repeat::NonIdempotent => !may_have_run,
+    match route.idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::Keyed => !may_have_run || route.deduplication_scope == DeduplicationScope::All,
+        Idempotency::NonIdempotent => !may_have_run,
     }
 }
 
--- a/lab/src/rule_checker/tests.rs
+++ b/lab/src/rule_checker/tests.rs
@@ -47,7 +47,7 @@
 
 /// A checker that knows servers 0 and 1 in one cell and server 2 in another, and account 0.
 fn checker() -> RuleChecker {
-    let experiment = Experiment::read("test", EXPERIMENT).expect("an experiment");
+    let experiment = Experiment::parse("test", EXPERIMENT).expect("an experiment");
     let mut checker = RuleChecker::new(&experiment, SLACK);
     for (server, cell) in [(0, 0), (1, 0), (2, 1)] {
         checker.add_server(ServerId(server), cell, 0);
--- a/lab/src/runs.rs
+++ b/lab/src/runs.rs
@@ -52,7 +52,7 @@
     for request in &requests {
         check_names(experiment, request, &path)?;
     }
-    Ok(record::scale(&requests, experiment.load.scale, seed))
+    Ok(record::scale(&requests, experiment.load.replay_scale, seed))
 }
 
 /// Refuses a recorded request whose route or plan the experiment does not have.
@@ -66,10 +66,10 @@
         kind,
         name: name.to_string(),
     };
-    if experiment.route(&request.route).is_none() {
+    if experiment.route_index(&request.route).is_none() {
         return Err(unknown("route", &request.route));
     }
-    if experiment.plan(&request.plan).is_none() {
+    if experiment.plan_index(&request.plan).is_none() {
         return Err(unknown("plan", &request.plan));
     }
     Ok(())
@@ -82,9 +82,7 @@
     seed: u64,
     options: &RunnerOptions,
 ) -> Result<Results, LabError> {
-    let changed = experiment
-        .with(variant)
-        .map_err(|wrongs| format!("{wrongs:?}"))?;
+    let changed = experiment.with_variant(variant)?;
     let replay = load_replay(&changed, seed, &options.base_dir)?;
     match options.engine.unwrap_or(experiment.engine) {
         Engine::Simulated => {
@@ -135,7 +133,7 @@
 ) -> Result<Vec<Results>, LabError> {
     let seeds = options.seeds.as_ref().unwrap_or(&experiment.seeds);
     let runs: Vec<(Variant, u64)> = experiment
-        .sides()
+        .variants_or_default()
         .into_iter()
         .flat_map(|variant| seeds.iter().map(move |seed| (variant.clone(), *seed)))
         .collect();
--- a/lab/src/simulated/attempts.rs
+++ b/lab/src/simulated/attempts.rs
@@ -155,7 +155,8 @@
         self.gateways[gateway]
             .attempts
             .insert(key.attempt, in_flight);
-        if answered || time_out_at <= self.now || number >= self.world.experiment.fleet.max_tries {
+        if answered || time_out_at <= self.now || number >= self.world.experiment.fleet.max_attempts
+        {
             return self.end_attempt(key, AttemptCompletion::closing(AttemptOutcome::NotSent));
         }
         if target.is_none() || !self.gateways[gateway].is_ready(server) {
--- a/lab/src/simulated/mod.rs
+++ b/lab/src/simulated/mod.rs
@@ -44,10 +44,8 @@
     seed: u64,
     options: &RunOptions,
 ) -> Result<Results, LabError> {
-    let changed = experiment
-        .with(variant)
-        .map_err(|wrongs| format!("{wrongs:?}"))?;
-    let engine: Box<dyn DecisionEngine> = match &variant.simulator {
+    let changed = experiment.with_variant(variant)?;
+    let engine: Box<dyn DecisionEngine> = match &variant.simulator_program {
         Some(program) => Box::new(ExternalEngine::start(program)?),
         None => Box::new(InProcessEngine::default()),
     };
--- a/lab/src/simulated/run.rs
+++ b/lab/src/simulated/run.rs
@@ -73,7 +73,7 @@
             server_ids: BTreeMap::new(),
             counter_calls: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            settings_overrides: variant.told.clone(),
+            settings_overrides: variant.settings_overrides.clone(),
             controller_seeds: WyRand::new_seed(seed ^ 0x5eed),
             defect,
             final_answers: 0,
@@ -262,7 +262,7 @@
 
     /// Controllers hear of no other gateway yet: a datagram is counted by the world, and goes no further.
     fn send_to_peers(&mut self, sender: usize, peer: Option<u32>, body: &[u8]) {
-        if body.len() > MAX_DATAGRAM || !self.world.experiment.network.peers {
+        if body.len() > MAX_DATAGRAM || !self.world.experiment.network.peer_datagrams {
             return;
         }
         for receiver in 0..self.gateways.len() {
@@ -424,7 +424,7 @@
     /// Closes connections that were idle for so long that the server is about to close them.
     fn close_stale_connections(&mut self) {
         let fleet = &self.world.experiment.fleet;
-        let max_idle = (fleet.idle_close - fleet.connect_timeout).max(0.0);
+        let max_idle = (fleet.idle_timeout - fleet.connect_timeout).max(0.0);
         let max_idle = Duration::from_secs_f64(max_idle);
         for gateway in &mut self.gateways {
             for server in gateway.connections.close_stale(self.now, max_idle) {
--- a/lab/src/validate.rs
+++ b/lab/src/validate.rs
@@ -84,7 +84,7 @@
     let loopback_ways = ways_of(ways, Engine::Loopback, seeds.loopback);
     let model = runs::play_all(experiment, &model_ways, on_run)?;
     let loopback = runs::play_all(experiment, &loopback_ways, on_run)?;
-    let variants = experiment.sides();
+    let variants = experiment.variants_or_default();
     let base = &variants[0].name;
     let mut trials = Vec::new();
     for variant in &variants[1..] {
--- a/lab/src/world/attempts.rs
+++ b/lab/src/world/attempts.rs
@@ -125,7 +125,7 @@
         second.forwarded_units += units;
         if !fits {
             second.over_quota_units += units;
-            second.over_quota_cost += value * plan.over_cost;
+            second.over_quota_cost += value * plan.over_quota_cost;
         }
         fits
     }
@@ -147,7 +147,7 @@
         arrival: AttemptArrival,
         actions: &mut Vec<Action>,
     ) {
-        if self.server(arrival.server).connections > self.experiment.fleet.connections {
+        if self.server(arrival.server).connections > self.experiment.fleet.max_connections {
             self.schedule_response(now, id, ServerResponse::Busy);
             return;
         }
@@ -179,12 +179,12 @@
     fn is_repeat(&mut self, now: Duration, arrival: AttemptArrival) -> bool {
         let operation = self.operation_of(arrival.request);
         let route = &self.experiment.routes[operation.route];
-        if route.memory <= 0.0 {
+        if route.deduplication_window <= 0.0 {
             return false;
         }
         let key = operation.key;
-        let group = route.group;
-        let window = seconds(route.memory);
+        let group = route.deduplication_scope;
+        let window = seconds(route.deduplication_window);
         let server = &self.servers[arrival.server.0 as usize];
         self.deduplication
             .is_repeat(now, server, group, key, window)
@@ -226,7 +226,7 @@
             return;
         }
         let runs = self.server_mut(server).cancel_queued(id);
-        if !runs || self.experiment.fleet.stops_work {
+        if !runs || self.experiment.fleet.cancels_work {
             self.finish_task(now, server, id);
         }
     }
@@ -255,7 +255,7 @@
         if self.attempt(id).server_incarnation != self.server(server).incarnation {
             return;
         }
-        let interval = seconds(self.experiment.fleet.report_every);
+        let interval = seconds(self.experiment.fleet.load_report_interval);
         let load = if interval.is_zero() {
             None
         } else {
@@ -289,7 +289,7 @@
         let account = operation.account as usize;
         self.clients.accounts[account].quota.settle(now, more_units);
         ServerResponse::Success {
-            units: self.experiment.load.settles.then_some(units),
+            units: self.experiment.load.settles_units.then_some(units),
             load,
         }
     }
@@ -329,8 +329,8 @@
 
     /// A probe of a server's load, where probes are allowed and it can answer.
     pub(crate) fn on_load_probe(&mut self, now: Duration, server: ServerId) -> Option<LoadReport> {
-        let interval = seconds(self.experiment.fleet.report_every);
-        if !self.experiment.fleet.probes || self.server(server).health != Health::Up {
+        let interval = seconds(self.experiment.fleet.load_report_interval);
+        if !self.experiment.fleet.load_probes || self.server(server).health != Health::Up {
             return None;
         }
         Some(self.server_mut(server).load_report(now, interval))
--- a/lab/src/world/clients.rs
+++ b/lab/src/world/clients.rs
@@ -2,7 +2,7 @@
 //! nobody's answer.
 
 use super::token_bucket::TokenBucket;
-use crate::experiment::{Experiment, PlanTerms};
+use crate::experiment::{Experiment, PlanConfig};
 use nanorand::{Rng, WyRand};
 use std::ops::Range;
 use std::time::Duration;
@@ -44,12 +44,12 @@
         let name = rng.generate::<u64>() >> UNUSED_NAME_BITS;
         let first_gateway = rng.generate_range(0..gateways);
         let busiest_offset = rng.generate_range(0..16usize);
-        let honors_retry_after = rng.generate::<f64>() < experiment.load.heeds;
+        let honors_retry_after = rng.generate::<f64>() < experiment.load.retry_after_compliance;
         Account {
             name,
             plan,
             first_gateway,
-            gateway_count: experiment.load.spread.min(gateways),
+            gateway_count: experiment.load.gateways_per_account.min(gateways),
             busiest_offset,
             honors_retry_after,
             quota: TokenBucket::full(terms.rate, terms.burst),
@@ -185,12 +185,12 @@
 }
 
 /// Requests a second of each account under a plan.
-fn draw_account_rates(experiment: &Experiment, plan: &PlanTerms, rng: &mut WyRand) -> Vec<f64> {
+fn draw_account_rates(experiment: &Experiment, plan: &PlanConfig, rng: &mut WyRand) -> Vec<f64> {
     let load = &experiment.load;
     let all_shares: f64 = experiment.plans.iter().map(|each| each.share).sum();
-    let plan_rate = load.calls * plan.share / all_shares.max(1e-9);
+    let plan_rate = load.request_rate * plan.share / all_shares.max(1e-9);
     let usual_rate = if plan.rate > 0.0 {
-        plan.rate * load.use_usual / mean_units(load.units_top)
+        plan.rate * load.typical_utilization / mean_units(load.max_units)
     } else {
         REQUESTS_WITHOUT_RATE
     };
@@ -211,7 +211,7 @@
         for usual_rate in draw_account_rates(experiment, plan, rng) {
             let greedy = plan.rate > 0.0 && rng.generate::<f64>() < load.greedy_share;
             let rate = if greedy {
-                plan.rate * load.greedy_factor / mean_units(load.units_top)
+                plan.rate * load.greedy_factor / mean_units(load.max_units)
             } else {
                 usual_rate
             };
@@ -239,10 +239,10 @@
             peak_factor: 1.0,
             arrival_rng: WyRand::new_seed(seed ^ 0xa1),
             work_rng: WyRand::new_seed(seed ^ 0x3b),
-            shift_seconds: load.shift_every,
+            shift_seconds: load.shift_interval,
             gateway_count: experiment.fleet.gateways,
-            max_units: load.units_top,
-            settles_units: load.settles,
+            max_units: load.max_units,
+            settles_units: load.settles_units,
         }
     }
 
--- a/lab/src/world/counter.rs
+++ b/lab/src/world/counter.rs
@@ -2,7 +2,7 @@
 //! each with counts of its own.
 
 use crate::events::CounterCallId;
-use crate::experiment::CounterTerms;
+use crate::experiment::CounterConfig;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -96,7 +96,7 @@
     }
 
     /// A call has come: it waits for its turn in its shard.
-    fn enqueue(&mut self, now: Duration, call: &CounterCall, terms: &CounterTerms) -> CallOutcome {
+    fn enqueue(&mut self, now: Duration, call: &CounterCall, terms: &CounterConfig) -> CallOutcome {
         let slowdown = match self.mode {
             CounterMode::Silent => return CallOutcome::NoAnswer,
             CounterMode::Busy => return CallOutcome::Immediate(CounterResponse::Busy),
@@ -104,10 +104,10 @@
             CounterMode::Slow(factor) => factor,
             CounterMode::Answering => 1.0,
         };
-        let seconds_per_call = terms.parts as f64 / terms.bears * slowdown;
+        let seconds_per_call = terms.shards as f64 / terms.capacity * slowdown;
         let shard = self.shard(call.name);
         let waiting_calls = shard.free_at.saturating_sub(now).as_secs_f64() / seconds_per_call;
-        if waiting_calls >= terms.queue as f64 {
+        if waiting_calls >= terms.queue_capacity as f64 {
             return CallOutcome::Immediate(CounterResponse::Busy);
         }
         shard.free_at = shard.free_at.max(now) + Duration::from_secs_f64(seconds_per_call);
@@ -143,7 +143,7 @@
 
 /// The counters, the calls that wait in them, and which gateway uses which.
 pub(super) struct CounterService {
-    terms: CounterTerms,
+    terms: CounterConfig,
     counters: [Counter; 2],
     /// The counter of each gateway.
     assigned: Vec<usize>,
@@ -153,10 +153,10 @@
 
 impl CounterService {
     /// Empty counters; all gateways use the first.
-    pub(super) fn new(terms: &CounterTerms, gateway_count: usize) -> CounterService {
+    pub(super) fn new(terms: &CounterConfig, gateway_count: usize) -> CounterService {
         CounterService {
             terms: terms.clone(),
-            counters: [Counter::new(terms.parts), Counter::new(terms.parts)],
+            counters: [Counter::new(terms.shards), Counter::new(terms.shards)],
             assigned: vec![PRIMARY; gateway_count],
             waiting: BTreeMap::new(),
             last_id: 0,
@@ -213,7 +213,7 @@
 
     /// A second counter starts empty.
     pub(super) fn start_secondary(&mut self) {
-        self.counters[SECONDARY] = Counter::new(self.terms.parts);
+        self.counters[SECONDARY] = Counter::new(self.terms.shards);
     }
 
     /// A gateway uses the second counter from now on.
--- a/lab/src/world/counter/tests.rs
+++ b/lab/src/world/counter/tests.rs
@@ -5,12 +5,12 @@
 }
 
 fn service(gateway_count: usize) -> CounterService {
-    let terms = CounterTerms {
-        parts: 1,
-        bears: 10.0,
+    let terms = CounterConfig {
+        shards: 1,
+        capacity: 10.0,
         latency_ms: 1.0,
-        queue: 2,
-        ..CounterTerms::default()
+        queue_capacity: 2,
+        ..CounterConfig::default()
     };
     CounterService::new(&terms, gateway_count)
 }
--- a/lab/src/world/deduplication.rs
+++ b/lab/src/world/deduplication.rs
@@ -1,7 +1,7 @@
 //! Idempotency keys that servers know: a repeat within the deduplication window and scope is not executed again.
 
 use super::server::Server;
-use crate::experiment::Group;
+use crate::experiment::DeduplicationScope;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
 }
 
 /// The number of a server's scope; 0 is the scope of all servers.
-fn scope_of(server: &Server, group: Group) -> u64 {
+fn scope_of(server: &Server, group: DeduplicationScope) -> u64 {
     match group {
-        Group::All => 0,
-        Group::Cell => 1 + server.cell,
-        Group::Zone => 1 + server.zone as u64,
+        DeduplicationScope::All => 0,
+        DeduplicationScope::Cell => 1 + server.cell,
+        DeduplicationScope::Zone => 1 + server.zone as u64,
     }
 }
 
@@ -33,7 +33,7 @@
         &mut self,
         now: Duration,
         server: &Server,
-        group: Group,
+        group: DeduplicationScope,
         key: u64,
         window: Duration,
     ) -> bool {
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -8,7 +8,7 @@
 use super::span::{seconds, TimedValue};
 use super::{Action, World};
 use crate::events::ServerId;
-use crate::experiment::{Trouble, TroubleKind as Kind};
+use crate::experiment::{Fault, FaultKind as Kind};
 use nanorand::Rng;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -51,14 +51,14 @@
 impl World {
     /// Schedules all faults of the experiment, and prepares what has to be known before the run.
     pub(super) fn schedule_faults(&mut self) {
-        for (index, fault) in self.experiment.troubles.clone().iter().enumerate() {
-            let start = seconds(fault.at);
-            let end = seconds(fault.at + fault.lasts);
+        for (index, fault) in self.experiment.faults.clone().iter().enumerate() {
+            let start = seconds(fault.starts_at);
+            let end = seconds(fault.starts_at + fault.duration);
             match fault.kind {
                 Kind::Surge | Kind::DeadlineSurge | Kind::PlanBurst => {
                     let plan = fault.plan.as_ref();
                     self.clients.expect_surge(Surge {
-                        plan: plan.and_then(|name| self.experiment.plan(name)),
+                        plan: plan.and_then(|name| self.experiment.plan_index(name)),
                         span: start..end,
                         factor: fault.factor,
                         grows: fault.kind == Kind::DeadlineSurge,
@@ -71,7 +71,7 @@
                 _ => (),
             }
             self.schedule_fault_step(start, index, 0);
-            if fault.lasts > 0.0 {
+            if fault.duration > 0.0 {
                 self.event_queue.schedule(end, WorldEvent::FaultEnd(index));
             }
         }
@@ -104,8 +104,8 @@
             fault: index,
             step,
         };
-        let fault = self.experiment.troubles[index].clone();
-        let until = now + seconds(fault.lasts);
+        let fault = self.experiment.faults[index].clone();
+        let until = now + seconds(fault.duration);
         match fault.kind {
             Kind::CounterSilent => self.counters.set_primary_mode(CounterMode::Silent),
             Kind::CounterBusy => self.counters.set_primary_mode(CounterMode::Busy),
@@ -123,7 +123,7 @@
             Kind::ServersSilent => self.take_servers_down(&fault, Health::Silent, until, actions),
             Kind::ServersCrash => self.take_servers_down(&fault, Health::Down, until, actions),
             Kind::ServersReplace => self.replace_server(fault_step, &fault, actions),
-            Kind::AnswersSpoilt => {
+            Kind::MalformedResponses => {
                 self.faults.malformed_share = TimedValue {
                     until,
                     value: fault.share,
@@ -137,7 +137,9 @@
             Kind::Shift => self.shift_accounts(fault.share),
             Kind::Impatient => self.clients.patience = fault.factor.clamp(MIN_PATIENCE, 1.0),
             Kind::Heedless => self.clients.ignoring_share = fault.share,
-            Kind::BadClients => actions.push(Action::AddMisbehavingClients(fault.factor as usize)),
+            Kind::MisbehavingClients => {
+                actions.push(Action::AddMisbehavingClients(fault.factor as usize))
+            }
             Kind::GatewaysKill => self.kill_gateways(fault_step, fault.share, until, actions),
             Kind::GatewaysRestart => self.restart_gateway(fault_step, &fault, actions),
             Kind::GatewaysMove => self.move_gateways(fault.share, actions),
@@ -149,11 +151,11 @@
 
     /// A fault ends; those that are not named here end by themselves.
     pub(super) fn on_fault_end(&mut self, now: Duration, index: usize, actions: &mut Vec<Action>) {
-        let fault = self.experiment.troubles[index].clone();
+        let fault = self.experiment.faults[index].clone();
         match fault.kind {
             Kind::CounterSilent | Kind::CounterBusy | Kind::CounterReset | Kind::CounterSlow => {
                 self.counters.set_primary_mode(CounterMode::Answering);
-                if fault.empty {
+                if fault.loses_counts {
                     self.counters.clear_primary();
                 }
             }
@@ -211,7 +213,7 @@
     fn impair_servers(
         &mut self,
         fault_step: FaultStep,
-        fault: &Trouble,
+        fault: &Fault,
         impair: fn(&mut Server, f64),
     ) {
         let servers = self.draw_servers(fault.share);
@@ -224,10 +226,10 @@
     }
 
     /// A share of the servers leaves one route unanswered until the fault ends.
-    fn mute_route(&mut self, fault_step: FaultStep, fault: &Trouble) {
+    fn mute_route(&mut self, fault_step: FaultStep, fault: &Fault) {
         let servers = self.draw_servers(fault.share);
         let name = fault.route.as_ref();
-        let route = name.and_then(|name| self.experiment.route(name));
+        let route = name.and_then(|name| self.experiment.route_index(name));
         for server in &servers {
             self.server_mut(*server).muted_routes.extend(route);
         }
@@ -247,7 +249,7 @@
     /// A share of the servers is silent or down until then.
     fn take_servers_down(
         &mut self,
-        fault: &Trouble,
+        fault: &Fault,
         health: Health,
         until: Duration,
         actions: &mut Vec<Action>,
@@ -313,15 +315,10 @@
     }
 
     /// Servers are replaced one after another, each by a new one that warms up.
-    fn replace_server(
-        &mut self,
-        fault_step: FaultStep,
-        fault: &Trouble,
-        actions: &mut Vec<Action>,
-    ) {
+    fn replace_server(&mut self, fault_step: FaultStep, fault: &Fault, actions: &mut Vec<Action>) {
         if fault_step.step == 0 {
             let servers = self.draw_servers(fault.share);
-            self.schedule_further_steps(fault_step, fault.lasts, servers.len());
+            self.schedule_further_steps(fault_step, fault.duration, servers.len());
             self.faults
                 .affected_servers
                 .insert(fault_step.fault, servers);
@@ -332,7 +329,7 @@
         let old = *old;
         let zone = self.server(old).zone;
         let machine_type = self.server(old).machine_type.as_str();
-        let mut kinds = self.experiment.fleet.kinds.iter();
+        let mut kinds = self.experiment.fleet.machine_types.iter();
         let kind = kinds
             .position(|kind| kind.name == machine_type)
             .unwrap_or(0);
@@ -361,7 +358,7 @@
     // ---- the endpoint list ----
 
     /// The list drops a share of the servers, though they are in service.
-    fn delist_servers(&mut self, fault_step: FaultStep, fault: &Trouble) {
+    fn delist_servers(&mut self, fault_step: FaultStep, fault: &Fault) {
         let servers = self.draw_servers(fault.share);
         for server in &servers {
             self.change_endpoint(fault_step.now, *server, ListingState::Removed);
@@ -424,15 +421,10 @@
     }
 
     /// Gateways are told to stop one after another, and killed when all that they had must be answered.
-    fn restart_gateway(
-        &mut self,
-        fault_step: FaultStep,
-        fault: &Trouble,
-        actions: &mut Vec<Action>,
-    ) {
+    fn restart_gateway(&mut self, fault_step: FaultStep, fault: &Fault, actions: &mut Vec<Action>) {
         if fault_step.step == 0 {
             let gateways = self.draw_gateways(fault.share);
-            self.schedule_further_steps(fault_step, fault.lasts, gateways.len());
+            self.schedule_further_steps(fault_step, fault.duration, gateways.len());
             self.faults
                 .affected_gateways
                 .insert(fault_step.fault, gateways);
@@ -448,7 +440,10 @@
         self.gateways
             .set_state(fault_step.now, gateway, GatewayState::Stopping);
         actions.push(Action::StopGateway(gateway));
-        let longest_wait = self.experiment.longest_wait().min(MAX_STOP_WAIT_SECONDS);
+        let longest_wait = self
+            .experiment
+            .max_client_timeout()
+            .min(MAX_STOP_WAIT_SECONDS);
         let killed_at = fault_step.now + seconds(longest_wait + STOP_MARGIN_SECONDS);
         self.event_queue
             .schedule(killed_at, WorldEvent::GatewayKill(gateway));
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -119,7 +119,7 @@
             attempts: Vec::new(),
             servers: Vec::new(),
             deduplication: DeduplicationTable::default(),
-            endpoint_list: EndpointList::new(gateway_count, experiment.discovery.late),
+            endpoint_list: EndpointList::new(gateway_count, experiment.discovery.max_delay),
             counters: CounterService::new(&experiment.counter, gateway_count),
             gateways: Gateways::new(gateway_count),
             network: Network::new(experiment),
@@ -143,7 +143,7 @@
         let fleet = &self.experiment.fleet;
         let server_count = fleet.servers;
         let zone_count = fleet.zones;
-        let shares: Vec<f64> = fleet.kinds.iter().map(|kind| kind.share).collect();
+        let shares: Vec<f64> = fleet.machine_types.iter().map(|kind| kind.share).collect();
         let all_shares: f64 = shares.iter().sum();
         for index in 0..server_count {
             let position = (index as f64 + 0.5) / server_count as f64 * all_shares;
@@ -164,7 +164,7 @@
     /// Adds a server that is not listed yet.
     fn add_server(&mut self, zone: usize, kind: usize) -> ServerId {
         let fleet = &self.experiment.fleet;
-        let kind = &fleet.kinds[kind];
+        let kind = &fleet.machine_types[kind];
         let index = self.servers.len();
         let cell = index as u64 % fleet.cells;
         let spec = ServerSpec {
@@ -174,10 +174,10 @@
             machine_type: kind.name.clone(),
             cores: kind.cores,
             speed: kind.speed,
-            max_queue: fleet.queue,
-            initial_power: fleet.cold_from,
-            warm_up_seconds: fleet.cold,
-            overload_factor: fleet.fall_multiple,
+            max_queue: fleet.queue_capacity,
+            initial_power: fleet.slow_start_capacity,
+            warm_up_seconds: fleet.slow_start,
+            overload_factor: fleet.overload_factor,
             overload_window: seconds(fleet.overload_for),
             mean_work: self.experiment.mean_work(),
         };
@@ -201,7 +201,7 @@
 
     /// When all is over, the last answers included.
     pub(crate) fn end_time(&self) -> Duration {
-        self.length + seconds(self.experiment.longest_wait()) + self.slack + END_MARGIN
+        self.length + seconds(self.experiment.max_client_timeout()) + self.slack + END_MARGIN
     }
 
     /// For how long clients send requests.
@@ -246,7 +246,11 @@
             if self.next_second <= self.length.as_secs() {
                 self.record_server_load();
             }
-            let windows = self.experiment.routes.iter().map(|route| route.memory);
+            let windows = self
+                .experiment
+                .routes
+                .iter()
+                .map(|route| route.deduplication_window);
             let longest_window = seconds(windows.fold(0.0, f64::max));
             self.deduplication.forget_expired(now, longest_window);
             let ended = Duration::from_secs(self.next_second);
--- a/lab/src/world/network.rs
+++ b/lab/src/world/network.rs
@@ -40,16 +40,16 @@
     pub(super) fn new(experiment: &Experiment) -> Network {
         let network = &experiment.network;
         let full = ReceiveBudget {
-            datagrams: network.peer_rate,
+            datagrams: network.datagram_rate,
             filled_at: Duration::ZERO,
         };
         Network {
             zone_count: experiment.fleet.zones,
-            in_zone_delay: milliseconds(network.near_ms),
-            cross_zone_delay: milliseconds(network.far_ms),
-            datagram_loss: network.lost,
-            max_datagram_delay_ms: network.peer_late_ms,
-            receive_rate: network.peer_rate,
+            in_zone_delay: milliseconds(network.in_zone_delay_ms),
+            cross_zone_delay: milliseconds(network.cross_zone_delay_ms),
+            datagram_loss: network.datagram_loss,
+            max_datagram_delay_ms: network.datagram_max_delay_ms,
+            receive_rate: network.datagram_rate,
             extra_loss: TimedValue::default(),
             receive_budgets: vec![full; experiment.fleet.gateways],
             cuts: Vec::new(),
--- a/lab/src/world/network/tests.rs
+++ b/lab/src/world/network/tests.rs
@@ -4,7 +4,7 @@
     let text = format!(
         "title = \"t\"\nseconds = 2.0\n[fleet]\nzones = 3\ngateways = 6\n[network]\nlost = 0.0\n{changes}"
     );
-    Network::new(&Experiment::read("test", &text).expect("an experiment"))
+    Network::new(&Experiment::parse("test", &text).expect("an experiment"))
 }
 
 #[test]
--- a/lab/src/world/requests.rs
+++ b/lab/src/world/requests.rs
@@ -100,14 +100,14 @@
         actions: &mut Vec<Action>,
     ) {
         let recorded = self.replay.requests[index].clone();
-        let Some(route) = self.experiment.route(&recorded.route) else {
+        let Some(route) = self.experiment.route_index(&recorded.route) else {
             return;
         };
-        let Some(plan) = self.experiment.plan(&recorded.plan) else {
+        let Some(plan) = self.experiment.plan_index(&recorded.plan) else {
             return;
         };
         let account = self.replayed_account(recorded.account, plan);
-        let max_units = f64::from(self.experiment.load.units_top);
+        let max_units = f64::from(self.experiment.load.max_units);
         let units = recorded.units.clamp(1.0, max_units);
         let operation = self
             .clients
@@ -176,7 +176,7 @@
 
     /// The gateway that a request of an account goes to; none where the front leads it to one that is down.
     fn route_request(&mut self, now: Duration, account: usize) -> Option<usize> {
-        let failure_notice = seconds(self.experiment.load.front_notices);
+        let failure_notice = seconds(self.experiment.load.front_detection_delay);
         let order = self.clients.draw_gateway_order(account, now);
         let gateway = order
             .into_iter()
@@ -239,14 +239,14 @@
     ) {
         let load = &self.experiment.load;
         let wanted = &mut self.clients.operations[operation.0 as usize];
-        if wanted.retries >= load.retries || wanted.done {
+        if wanted.retries >= load.max_retries || wanted.done {
             return;
         }
         wanted.retries += 1;
         let account = &self.clients.accounts[wanted.account as usize];
         let honors_retry_after =
             account.honors_retry_after && self.rng.generate::<f64>() >= self.clients.ignoring_share;
-        let own_wait = seconds(load.retry_wait).mul_f64(0.5 + self.rng.generate::<f64>());
+        let own_wait = seconds(load.retry_delay).mul_f64(0.5 + self.rng.generate::<f64>());
         let wait = match retry_after {
             Some(retry_after) if honors_retry_after => retry_after,
             _ => own_wait,
@@ -323,7 +323,7 @@
         let value_share = if latency <= seconds(route.latency_target) {
             1.0
         } else {
-            route.late_worth
+            route.late_value_ratio
         };
         if finished.within_quota && !finished.done {
             let value = self.operation_value(index);
@@ -337,7 +337,7 @@
         let rejected = &self.clients.operations[operation.0 as usize];
         let units = rejected.units;
         let account = &mut self.clients.accounts[rejected.account as usize];
-        let limit = self.experiment.plans[account.plan].cap;
+        let limit = self.experiment.plans[account.plan].concurrency_cap;
         let has_room = account.has_room(now, units, limit);
         let has_half_room = account.has_half_room(now, units, limit);
         let second = self.metrics.second_at(now);
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -23,7 +23,7 @@
 use scenario_runner::Scenario;
 use std::convert::Infallible;
 use wellcrank_lab::events::Rule;
-use wellcrank_lab::experiment::{Experiment, Trouble, Variant};
+use wellcrank_lab::experiment::{Experiment, Fault, Variant};
 use wellcrank_lab::metrics::Results;
 use wellcrank_lab::simulated::{self, InjectedDefect};
 
@@ -67,7 +67,7 @@
 impl Stage {
     fn experiment(&mut self) -> &mut Experiment {
         self.experiment.get_or_insert_with(|| {
-            Experiment::read("usual", "title = \"usual\"\nseconds = 10.0").expect("a usual day")
+            Experiment::parse("usual", "title = \"usual\"\nseconds = 10.0").expect("a usual day")
         })
     }
 
@@ -93,10 +93,10 @@
             }
             ["set", path, ref value @ ..] => {
                 let change = Variant {
-                    change: at(path, &value.join(" ")),
+                    changes: at(path, &value.join(" ")),
                     ..Variant::default()
                 };
-                *self.experiment() = self.experiment().with(&change).expect("it fits");
+                *self.experiment() = self.experiment().with_variant(&change).expect("it fits");
             }
             ["trouble", kind, ref terms @ ..] => {
                 let field = |pair: &[&str]| match pair[1].parse::<f64>() {
@@ -107,11 +107,11 @@
                 };
                 let fields: Vec<String> = terms.chunks(2).map(field).collect();
                 let text = format!("kind = {kind:?}\n{}", fields.join("\n"));
-                let trouble: Trouble = toml::from_str(&text).expect("a trouble");
-                self.experiment().troubles.push(trouble);
-                assert_eq!(self.experiment().wrongs(), []);
+                let trouble: Fault = toml::from_str(&text).expect("a trouble");
+                self.experiment().faults.push(trouble);
+                assert_eq!(self.experiment().problems(), []);
             }
-            ["told", path, value] => self.variant.told = at(path, value),
+            ["told", path, value] => self.variant.settings_overrides = at(path, value),
             ["play", seed, ref altered @ ..] => {
                 let results = self.play(seed, altered.first().copied());
                 self.played = Some((line.to_string(), results));
@@ -167,7 +167,7 @@
                     .strip_prefix("read ")
                     .unwrap_or_default()
                     .replace("\\n", "\n");
-                let complaint = Experiment::read("file", &text).expect_err("it is wrong");
+                let complaint = Experiment::parse("file", &text).expect_err("it is wrong");
                 self.complaint = complaint.to_string();
             }
             ["complains", ..] => {
--- a/tool/src/lab.rs
+++ b/tool/src/lab.rs
@@ -207,8 +207,7 @@
 }
 
 fn read(path: &Path) -> Result<Experiment, Short> {
-    Experiment::load(&path.to_string_lossy())
-        .map_err(|complaint| Short::Input(complaint.to_string()))
+    Experiment::load(&path.to_string_lossy()).map_err(|error| LabError::from(error).into())
 }
 
 /// The edge node that is played: a program of its own, or the one built into this command.
@@ -284,18 +283,20 @@
         None => {
             let text =
                 "title = \"A usual day\"\nabout = \"What `wellcrank lab up` plays.\"\nseconds = 3600.0";
-            Experiment::read("the usual day", text)
-                .map_err(|complaint| Short::Input(complaint.to_string()))?
+            Experiment::parse("the usual day", text).map_err(LabError::from)?
         }
     };
-    let variant = experiment.sides().remove(0);
+    let variant = experiment.variants_or_default().remove(0);
     experiment.fleet.gateways = it.gateways.unwrap_or(experiment.fleet.gateways);
     experiment.fleet.servers = it.servers.unwrap_or(experiment.fleet.servers);
-    experiment.load.calls = it.calls.unwrap_or(experiment.load.calls);
-    experiment.load.spread = experiment.load.spread.min(experiment.fleet.gateways);
+    experiment.load.request_rate = it.calls.unwrap_or(experiment.load.request_rate);
+    experiment.load.gateways_per_account = experiment
+        .load
+        .gateways_per_account
+        .min(experiment.fleet.gateways);
     experiment.seconds = it.seconds.unwrap_or(experiment.seconds);
-    if let Some((path, what)) = experiment.wrongs().first() {
-        return Err(Short::Input(format!("{path}: {what}")));
+    if let Some(problem) = experiment.problems().first() {
+        return Err(Short::Input(problem.to_string()));
     }
     let fleet = &experiment.fleet;
     slog::info!(log, "starting"; "gateways" => fleet.gateways, "app servers, simulated" => fleet.servers,
@@ -375,8 +376,8 @@
         max_reruns: it.again,
         base_dir: beside(&it.file),
     };
-    let count =
-        experiment.sides().len() * ways.seeds.as_ref().map_or(experiment.seeds.len(), Vec::len);
+    let count = experiment.variants_or_default().len()
+        * ways.seeds.as_ref().map_or(experiment.seeds.len(), Vec::len);
     let bar = bar(count);
     let told = |_: &Result<Results, LabError>| bar.inc(1);
     let results = runs::play_all(&experiment, &ways, &told)?;
@@ -501,13 +502,13 @@
                     Ok(_) => println!(
                         "{}: {} variants, {} seeds",
                         file.display(),
-                        it.sides().len(),
+                        it.variants_or_default().len(),
                         it.seeds.len()
                     ),
                     Err(why) => wrong.push(ErrorChain(&why).to_string()),
                 }
             }
-            Err(complaint) => wrong.push(complaint.to_string()),
+            Err(error) => wrong.push(ErrorChain(&error).to_string()),
         }
     }
     match wrong.is_empty() {
@@ -536,7 +537,7 @@
     let edge = edge(it.edge.clone())?;
     for file in &it.files {
         let experiment = read(file)?;
-        if experiment.sides().len() < 2 {
+        if experiment.variants_or_default().len() < 2 {
             return Err(Short::Input(format!(
                 "{}: expected two variants or more",
                 file.display()
@@ -549,7 +550,7 @@
             base_dir: beside(file),
             ..RunnerOptions::default()
         };
-        let bar = bar(experiment.sides().len() * (it.model_seeds + it.seeds));
+        let bar = bar(experiment.variants_or_default().len() * (it.model_seeds + it.seeds));
         let told = |_: &Result<Results, LabError>| bar.inc(1);
         all.extend(validate::trials(
             &experiment,
@@ -656,15 +657,14 @@
     );
     for gateways in &it.gateways {
         let text = format!("title = \"Growing\"\nseconds = {:?}", it.seconds);
-        let mut day =
-            Experiment::read("growing", &text).map_err(|wrong| Short::Input(wrong.to_string()))?;
+        let mut day = Experiment::parse("growing", &text).map_err(LabError::from)?;
         day.fleet.gateways = *gateways;
         day.fleet.servers = (gateways * 2 / 3).max(1);
-        day.load.calls = it.calls * *gateways as f64 * 0.5;
-        day.load.spread = (gateways / 10).clamp(1, 30);
-        day.counter.bears = (gateways * 10).max(500) as f64;
-        if let Some((path, what)) = day.wrongs().first() {
-            return Err(Short::Input(format!("{path}: {what}")));
+        day.load.request_rate = it.calls * *gateways as f64 * 0.5;
+        day.load.gateways_per_account = (gateways / 10).clamp(1, 30);
+        day.counter.capacity = (gateways * 10).max(500) as f64;
+        if let Some(problem) = day.problems().first() {
+            return Err(Short::Input(problem.to_string()));
         }
         let start = Clock::start();
         let results = runs::play_one(&day, &Variant::default(), 1, &RunnerOptions::default())?;
--- a/tool/tests/soak.rs
+++ b/tool/tests/soak.rs
@@ -146,7 +146,7 @@
         ));
     }
     let experiment =
-        Experiment::read("soak", &text).unwrap_or_else(|wrong| panic!("{wrong}\n{text}"));
+        Experiment::parse("soak", &text).unwrap_or_else(|wrong| panic!("{wrong}\n{text}"));
     Day { experiment, step }
 }
 
