--- a/edge/src/discovery/tests.rs
+++ b/edge/src/discovery/tests.rs
@@ -1,4 +1,7 @@
-use super::*;
+use super::codec::{decode_response, DecodedResponse};
+use super::follower::MIN_RESPONSE_LIMIT;
+use super::http::ResponseError;
+use wellcrank::port::EndpointState;
 
 /// A whole list of so many servers, every third of them leaving, indented.
 pub fn indented(servers: usize) -> String {
@@ -26,8 +29,8 @@
 }
 
 /// What a gateway with little memory takes.
-fn read(bytes: &[u8]) -> Result<Option<(ListUpdate, usize)>, String> {
-    answer(bytes, false, LIST)
+fn read(bytes: &[u8]) -> Result<Option<DecodedResponse>, ResponseError> {
+    decode_response(bytes, false, MIN_RESPONSE_LIMIT)
 }
 
 fn plain(body: &str) -> String {
@@ -60,10 +63,17 @@
                 .expect("nothing is wrong")
                 .is_none());
         }
-        let (news, took) = read(whole.as_bytes())
+        let response = read(whole.as_bytes())
             .expect("nothing is wrong")
             .expect("all is there");
-        assert_eq!((news.rev, news.all, took), (7, false, whole.len()));
+        assert_eq!(
+            (
+                response.message.revision,
+                response.message.is_snapshot,
+                response.size
+            ),
+            (7, false, whole.len())
+        );
     }
     for wrong in [
         "HTTP/1.1 200 OK\r\n\r\n",
@@ -77,7 +87,10 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n",
         "+OK\r\n\r\n",
     ] {
-        assert!(answer(wrong.as_bytes(), true, LIST).is_err(), "{wrong}");
+        assert!(
+            decode_response(wrong.as_bytes(), true, MIN_RESPONSE_LIMIT).is_err(),
+            "{wrong}"
+        );
     }
 }
 
@@ -90,21 +103,28 @@
         chunked(&body, 7),
         chunked(&body, 400_000),
     ] {
-        let (news, took) = read(whole.as_bytes())
+        let response = read(whole.as_bytes())
             .expect("nothing is wrong")
             .expect("all is there");
-        let change = news.change();
+        let size = response.size;
+        let update = response.message.parse();
         assert_eq!(
-            (change.rev, change.whole, change.lines.len(), took),
+            (
+                update.revision,
+                update.is_snapshot,
+                update.endpoints.len(),
+                size
+            ),
             (41, true, 1024, whole.len())
         );
-        assert!(change.wrong.is_empty() && change.lines.iter().all(|(_, at)| at.is_some()));
-        let leaving = change
-            .lines
-            .iter()
-            .filter(|(line, _)| line.state == EndpointState::Draining)
-            .count();
-        assert_eq!(leaving, 342);
+        assert!(
+            update.unreadable_entries.is_empty()
+                && update
+                    .endpoints
+                    .iter()
+                    .all(|listed| listed.address.is_some())
+        );
+        assert_eq!(update.count(EndpointState::Draining), 342);
     }
 }
 
@@ -118,14 +138,20 @@
         {"uid":"e","endpoint":"127.0.0.1:5","state":"active","boot_ms":-1},
         7,
         {"uid":"f","state":"left"}]}"#;
-    let (news, _) = read(plain(body).as_bytes())
+    let response = read(plain(body).as_bytes())
         .expect("a list")
         .expect("whole");
-    let change = news.change();
-    let read: Vec<(&str, EndpointState, bool)> = change
-        .lines
+    let update = response.message.parse();
+    let read: Vec<(&str, EndpointState, bool)> = update
+        .endpoints
         .iter()
-        .map(|(line, at)| (&*line.id.0, line.state, at.is_some()))
+        .map(|listed| {
+            (
+                &*listed.endpoint.id.0,
+                listed.endpoint.state,
+                listed.address.is_some(),
+            )
+        })
         .collect();
     assert_eq!(
         read,
@@ -135,7 +161,11 @@
             ("f", EndpointState::Removed, false)
         ]
     );
-    let kept: Vec<&str> = change.kept.iter().map(|server| &*server.0).collect();
+    let kept: Vec<&str> = update
+        .unreadable_endpoints
+        .iter()
+        .map(|server| &*server.0)
+        .collect();
     assert_eq!(kept, ["b", "e"]);
     let begins = [
         "entry 1 (b): unknown variant `paused`",
@@ -144,16 +174,15 @@
         "entry 4 (e)",
         "entry 5 (no uid)",
     ];
-    assert_eq!(change.wrong.len(), begins.len());
-    assert!(
-        change
-            .wrong
-            .iter()
-            .zip(begins)
-            .all(|(wrong, begin)| wrong.starts_with(begin)),
-        "{:?}",
-        change.wrong
-    );
+    let reasons: Vec<String> = update
+        .unreadable_entries
+        .iter()
+        .map(ToString::to_string)
+        .collect();
+    assert_eq!(reasons.len(), begins.len());
+    for (reason, begin) in reasons.iter().zip(begins) {
+        assert!(reason.starts_with(begin), "{reason}");
+    }
 }
 
 #[test]
@@ -164,16 +193,23 @@
             .expect("nothing is wrong")
             .is_none());
     }
-    let (news, took) = answer(whole.as_bytes(), true, LIST)
+    let response = decode_response(whole.as_bytes(), true, MIN_RESPONSE_LIMIT)
         .expect("nothing is wrong")
         .expect("all is there");
-    assert_eq!((news.rev, news.all, took), (7, true, whole.len()));
+    assert_eq!(
+        (
+            response.message.revision,
+            response.message.is_snapshot,
+            response.size
+        ),
+        (7, true, whole.len())
+    );
     // An end is none where a length was told that has not come.
     for cut in [
         "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{}",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{",
     ] {
-        assert!(answer(cut.as_bytes(), true, LIST)
+        assert!(decode_response(cut.as_bytes(), true, MIN_RESPONSE_LIMIT)
             .expect("nothing is wrong")
             .is_none());
     }
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -5,7 +5,7 @@
 use crate::component::Component;
 use crate::counter::Counter;
 use crate::deadlines::Deadline;
-use crate::discovery::{self, Discovery};
+use crate::discovery::{DiscoveryFollower, EndpointListMessage, ParsedUpdate};
 use crate::metrics::Gauges;
 use crate::notification::Notification;
 use crate::peers::Peers;
@@ -34,7 +34,7 @@
     pub clients: Clients,
     pub pool: Pool,
     pub counter: Counter,
-    pub discovery: Discovery,
+    pub discovery: DiscoveryFollower,
     pub peers: Peers,
     pub signals: Signals,
     pub started: Duration,
@@ -91,39 +91,54 @@
     }
 
     /// A list or a change, from discovery or from the gateway's own configuration; how long ago discovery told before.
-    pub fn listed(&mut self, news: discovery::ListUpdate, since_last: Option<Duration>) {
-        let mut change = news.change();
-        let log = &self.reactor.log;
-        if let Some(first) = change.wrong.first() {
-            slog::warn!(log, "the list has entries that can't be read"; "rev" => change.rev,
-                "entries" => change.wrong.len(), "first" => first);
-        }
-        self.pool.complete(&mut change);
-        let discovery::Change {
-            rev, whole, lines, ..
-        } = change;
-        if whole || !lines.is_empty() {
-            let are = |phase| lines.iter().filter(|(line, _)| line.state == phase).count();
-            slog::info!(log, "list"; "rev" => rev, "whole" => whole, "ready" => are(EndpointState::Ready),
-                "leaving" => are(EndpointState::Draining), "gone" => are(EndpointState::Removed));
-            let told = lines.iter().map(|(line, _)| line.clone()).collect();
-            self.pool.listed(&mut self.reactor, whole, lines);
-            self.reactor.check_wall_clock();
-            let timing = UpdateTiming {
-                unix_now: self.reactor.clock.unix_now(),
-                since_last_update: since_last,
-            };
-            let update = if whole {
-                EndpointUpdate::Snapshot(told)
-            } else {
-                EndpointUpdate::Delta(told)
-            };
-            self.reactor
-                .notify(Notification::EndpointUpdate { timing, update });
+    pub fn listed(&mut self, news: EndpointListMessage, since_last: Option<Duration>) {
+        let mut update = news.parse();
+        self.log_unreadable_entries(&update);
+        self.pool.complete(&mut update);
+        if update.is_snapshot || !update.endpoints.is_empty() {
+            self.apply_update(update, since_last);
         }
         self.clients.ready = true;
     }
 
+    fn log_unreadable_entries(&self, update: &ParsedUpdate) {
+        if let Some(first) = update.unreadable_entries.first() {
+            slog::warn!(self.reactor.log, "endpoint list has unreadable entries";
+                "rev" => update.revision, "entries" => update.unreadable_entries.len(),
+                "first" => %first);
+        }
+    }
+
+    /// Hands a complete update to the pool and to the admission controller.
+    fn apply_update(&mut self, update: ParsedUpdate, since_last: Option<Duration>) {
+        slog::info!(self.reactor.log, "endpoint list updated";
+            "rev" => update.revision, "snapshot" => update.is_snapshot,
+            "ready" => update.count(EndpointState::Ready),
+            "draining" => update.count(EndpointState::Draining),
+            "removed" => update.count(EndpointState::Removed));
+        let endpoints = update
+            .endpoints
+            .iter()
+            .map(|listed| listed.endpoint.clone())
+            .collect();
+        let notified = if update.is_snapshot {
+            EndpointUpdate::Snapshot(endpoints)
+        } else {
+            EndpointUpdate::Delta(endpoints)
+        };
+        self.pool
+            .listed(&mut self.reactor, update.is_snapshot, update.endpoints);
+        self.reactor.check_wall_clock();
+        let timing = UpdateTiming {
+            unix_now: self.reactor.clock.unix_now(),
+            since_last_update: since_last,
+        };
+        self.reactor.notify(Notification::EndpointUpdate {
+            timing,
+            update: notified,
+        });
+    }
+
     pub fn due(&mut self, due: Deadline) {
         let reactor = &mut self.reactor;
         match due {
@@ -156,7 +171,7 @@
             clients.end_idle(reactor, calls);
         }
         clients.sweep_idle(reactor, calls);
-        self.discovery.sweep(reactor);
+        self.discovery.on_tick(reactor);
         if reactor.now < self.next_second {
             return;
         }
@@ -290,7 +305,7 @@
 fn reread(
     reactor: &mut Reactor,
     counter: &mut Counter,
-    discovery: &mut Discovery,
+    discovery: &mut DiscoveryFollower,
     started: &StartupOnly,
 ) {
     match crate::told() {
@@ -314,7 +329,7 @@
 }
 
 /// The settings of the file; where they are as before, nothing changes.
-fn reconfigure(reactor: &mut Reactor, discovery: &mut Discovery, settings: Settings) {
+fn reconfigure(reactor: &mut Reactor, discovery: &mut DiscoveryFollower, settings: Settings) {
     if settings == *reactor.settings {
         return;
     }
--- a/edge/src/lib.rs
+++ b/edge/src/lib.rs
@@ -53,7 +53,7 @@
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
     pub counter: Option<SocketAddr>,
-    known: Option<discovery::ListUpdate>,
+    known: Option<discovery::EndpointListMessage>,
     settings: Value,
 }
 
@@ -163,9 +163,10 @@
         .known
         .as_ref()
         .filter(|known| !known.is_empty())
-        .map(discovery::ListUpdate::rev);
+        .map(|known| known.revision);
     let now = reactor.now;
-    let discovery = discovery::Discovery::new(told.discovery, known, seed ^ 0x5eed_d15c, &reactor);
+    let discovery =
+        discovery::DiscoveryFollower::new(told.discovery, known, seed ^ 0x5eed_d15c, &reactor);
     let gateway = Rc::new(RefCell::new(gateway::Gateway {
         reactor,
         calls: requests::OpenRequests::default(),
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -8,7 +8,7 @@
 
 use crate::clients::Clients;
 use crate::component::Component;
-use crate::discovery::{Change, Lines};
+use crate::discovery::{ListedEndpoint, ParsedUpdate};
 use crate::invariants::invariant;
 use crate::reactor::{Reactor, Serial};
 use crate::readiness::Readiness;
@@ -84,13 +84,18 @@
     }
 
     /// Makes an update of the endpoint list one that the controller and the pool can follow.
-    pub(crate) fn complete(&self, change: &mut Change) {
-        self.endpoints.complete(change);
+    pub(crate) fn complete(&self, update: &mut ParsedUpdate) {
+        self.endpoints.complete(update);
     }
 
     /// Discovery has told: addresses are known, and what has not begun at an endpoint that drains or is gone is not
     /// begun any more.
-    pub(crate) fn listed(&mut self, reactor: &mut Reactor, is_snapshot: bool, entries: Lines) {
+    pub(crate) fn listed(
+        &mut self,
+        reactor: &mut Reactor,
+        is_snapshot: bool,
+        entries: Vec<ListedEndpoint>,
+    ) {
         let mut closing = self.endpoints.apply_update(is_snapshot, entries);
         let unbegun = self.connections.iter().filter(|(_, connection)| {
             connection.has_unbegun_attempt() && !self.endpoints.is_ready(&connection.endpoint)
--- a/edge/src/pool/endpoint_table.rs
+++ b/edge/src/pool/endpoint_table.rs
@@ -1,7 +1,7 @@
 //! The endpoints that discovery has named: their addresses, whether they may get further attempts, and which
 //! connections to each are idle.
 
-use crate::discovery::{Change, Lines};
+use crate::discovery::{ListedEndpoint, ParsedUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use wellcrank::port::*;
@@ -28,18 +28,18 @@
 impl EndpointTable {
     /// An endpoint without an address that can be read keeps the one it has; one that never had one is left out. Where
     /// entries of a whole list can't be read, their endpoints stay as they are, so the list becomes a delta.
-    pub(super) fn complete(&self, change: &mut Change) {
-        change
-            .lines
-            .retain(|(entry, address)| address.is_some() || self.known.contains_key(&entry.id));
-        if !change.whole || change.kept.is_empty() {
+    pub(super) fn complete(&self, update: &mut ParsedUpdate) {
+        update.endpoints.retain(|listed| {
+            listed.address.is_some() || self.known.contains_key(&listed.endpoint.id)
+        });
+        if !update.is_snapshot || update.unreadable_endpoints.is_empty() {
             return;
         }
-        let named: BTreeSet<&EndpointId> = change
-            .lines
+        let named: BTreeSet<&EndpointId> = update
+            .endpoints
             .iter()
-            .map(|(entry, _)| &entry.id)
-            .chain(&change.kept)
+            .map(|listed| &listed.endpoint.id)
+            .chain(&update.unreadable_endpoints)
             .collect();
         let missing: Vec<EndpointId> = self
             .known
@@ -47,21 +47,28 @@
             .filter(|id| !named.contains(id))
             .cloned()
             .collect();
-        change.whole = false;
-        change
-            .lines
-            .extend(missing.into_iter().map(|id| (Endpoint::removed(id), None)));
+        update.is_snapshot = false;
+        update
+            .endpoints
+            .extend(missing.into_iter().map(|id| ListedEndpoint {
+                endpoint: Endpoint::removed(id),
+                address: None,
+            }));
     }
 
     /// Takes an update over. Returns the idle connections that are of no further use: those to former incarnations,
     /// and those to endpoints that are to get no further attempts.
-    pub(super) fn apply_update(&mut self, is_snapshot: bool, entries: Lines) -> Vec<usize> {
+    pub(super) fn apply_update(
+        &mut self,
+        is_snapshot: bool,
+        entries: Vec<ListedEndpoint>,
+    ) -> Vec<usize> {
         let mut unusable = Vec::new();
         if is_snapshot {
             self.mark_unnamed(&entries);
         }
-        for (entry, address) in entries {
-            self.apply_entry(entry, address, &mut unusable);
+        for listed in entries {
+            self.apply_entry(listed.endpoint, listed.address, &mut unusable);
         }
         // Thousands of endpoints are not looked through for a change of one.
         let leaving = self.unready.iter().map(|id| &self.known[id]);
@@ -70,8 +77,9 @@
     }
 
     /// What a whole list does not name is to get no further attempts.
-    fn mark_unnamed(&mut self, entries: &Lines) {
-        let named: BTreeSet<&EndpointId> = entries.iter().map(|(entry, _)| &entry.id).collect();
+    fn mark_unnamed(&mut self, entries: &[ListedEndpoint]) {
+        let named: BTreeSet<&EndpointId> =
+            entries.iter().map(|listed| &listed.endpoint.id).collect();
         for (id, known) in &mut self.known {
             known.ready &= named.contains(id);
         }
--- a/edge/src/tests.rs
+++ b/edge/src/tests.rs
@@ -13,9 +13,13 @@
         discovery::tests::indented(1024),
     );
     let told: Told = serde_json::from_str(&text).expect("a configuration");
-    let known = told.known.expect("a list").change();
+    let known = told.known.expect("a list").parse();
     assert_eq!(
-        (told.peers.len(), known.lines.len(), known.wrong.len()),
+        (
+            told.peers.len(),
+            known.endpoints.len(),
+            known.unreadable_entries.len()
+        ),
         (1024, 1024, 0)
     );
 }
