--- a/src/control.rs
+++ b/src/control.rs
@@ -395,13 +395,7 @@
         let send_by = guard.send_by;
         // Random numbers that were drawn for an attempt that is not sent are drawn again for the next.
         let mut rng = self.rng.clone();
-        let endpoint = self.balancer.pick(
-            &self.context,
-            &mut rng,
-            &guard,
-            open.last_endpoint.as_ref(),
-            &open.request.route,
-        )?;
+        let endpoint = self.balancer.pick(&self.context, &mut rng, open, &guard)?;
         if !self.passes_ceiling(id) {
             return None;
         }
--- a/src/control/endpoint_picker.rs
+++ b/src/control/endpoint_picker.rs
@@ -1,7 +1,6 @@
 //! Which endpoint an attempt goes to: power of two choices among the eligible ones that fail least.
 
 use super::endpoints::{EndpointRecord, EndpointTable};
-use super::failure_rate::FailureRates;
 use super::machine_types::MachineTypeLatencies;
 use super::retries::EffectGuard;
 use super::slow_start::SlowStartView;
@@ -26,14 +25,20 @@
 /// The least weight of an endpoint, whatever discovery says.
 const MIN_WEIGHT: f64 = 0.1;
 
-/// What the choice of an endpoint follows from.
+/// The choice of an endpoint for one attempt, and what it follows from.
 pub(super) struct EndpointPicker<'a> {
+    /// The route of the request.
+    pub(super) route: &'a RouteName,
+    /// Where the attempt has no second effect.
+    pub(super) guard: &'a EffectGuard<'a>,
+    /// Where the request's last attempt went; it is taken only where no other endpoint is eligible.
+    pub(super) last: Option<&'a EndpointId>,
     /// The endpoint list.
     pub(super) endpoints: &'a EndpointTable,
     /// What may be sent to endpoints in slow start.
     pub(super) slow_start: SlowStartView<'a>,
-    /// The failure rates of the routes at all endpoints.
-    pub(super) failures: &'a FailureRates,
+    /// The share of the route's attempts that fails at all endpoints together.
+    pub(super) route_failure_rate: f64,
     /// The latency ratios of machine types.
     pub(super) machine_types: &'a MachineTypeLatencies,
     /// This gateway's limit on attempts that are out.
@@ -41,42 +46,31 @@
 }
 
 impl EndpointPicker<'_> {
-    /// Picks an endpoint for an attempt of a route. The last endpoint of the request is taken only where no other is
-    /// eligible.
-    pub(super) fn pick(
-        &self,
-        rng: &mut WyRand,
-        guard: &EffectGuard,
-        last: Option<&EndpointId>,
-        route: &RouteName,
-    ) -> Option<EndpointId> {
+    /// Picks the endpoint, if there is an eligible one.
+    pub(super) fn pick(&self, rng: &mut WyRand) -> Option<EndpointId> {
         let mut candidates =
-            self.candidates(rng, |id| Some(id) != last && self.is_eligible(id, guard));
-        let route_rate = self.failures.overall_rate(route, self.slow_start.now);
-        candidates.sort_by_cached_key(|id| self.failure_rank(id, route, route_rate));
+            self.candidates(rng, |id| Some(id) != self.last && self.is_eligible(id));
+        candidates.sort_by_cached_key(|id| self.failure_rank(id));
         match candidates[..] {
-            [] => last.filter(|id| self.is_eligible(id, guard)).cloned(),
+            [] => self.last.filter(|id| self.is_eligible(id)).cloned(),
             [only] => Some(only.clone()),
-            [one, other, ..] => {
-                let picked = self.pick_by_cost(rng, one, other, route, route_rate);
-                Some(picked.clone())
-            }
+            [one, other, ..] => Some(self.pick_by_cost(rng, one, other).clone()),
         }
     }
 
     /// Whether an attempt may go to an endpoint at all: the rules on drains, effects and slow starts.
-    fn is_eligible(&self, id: &EndpointId, guard: &EffectGuard) -> bool {
+    fn is_eligible(&self, id: &EndpointId) -> bool {
         self.endpoints.get(id).is_some_and(|endpoint| {
             endpoint.entry.state == EndpointState::Ready
-                && guard.allows(endpoint, self.slow_start.now)
+                && self.guard.allows(endpoint, self.slow_start.now)
                 && self.has_capacity(endpoint)
         })
     }
 
     /// An endpoint's failure rate in whole steps against that of the route, lowest first.
-    fn failure_rank(&self, id: &EndpointId, route: &RouteName, route_rate: f64) -> u32 {
-        let rate = self.failure_rate(id, route, route_rate);
-        (rate / (route_rate + TOLERATED_FAILURE_RATE) * FAILURE_STEPS) as u32
+    fn failure_rank(&self, id: &EndpointId) -> u32 {
+        let tolerated = self.route_failure_rate + TOLERATED_FAILURE_RATE;
+        (self.failure_rate(id) / tolerated * FAILURE_STEPS) as u32
     }
 
     /// Whether an endpoint has capacity for one more attempt of this gateway: by an even part of the concurrency limit,
@@ -136,15 +130,13 @@
         rng: &mut WyRand,
         one: &'b EndpointId,
         other: &'b EndpointId,
-        route: &RouteName,
-        route_rate: f64,
     ) -> &'b EndpointId {
         let (Some(first), Some(second)) = (self.endpoints.get(one), self.endpoints.get(other))
         else {
             return one;
         };
-        let first_cost = self.cost(first, self.failure_rate(one, route, route_rate));
-        let second_cost = self.cost(second, self.failure_rate(other, route, route_rate));
+        let first_cost = self.cost(first, self.failure_rate(one));
+        let second_cost = self.cost(second, self.failure_rate(other));
         let both_idle = first.in_flight + second.in_flight == 0;
         let chance = if both_idle {
             rng.generate::<f64>()
@@ -158,11 +150,13 @@
         }
     }
 
-    /// The share of a route's attempts that is likely to fail at an endpoint.
-    fn failure_rate(&self, id: &EndpointId, route: &RouteName, route_rate: f64) -> f64 {
-        let now = self.slow_start.now;
-        self.endpoints.get(id).map_or(route_rate, |endpoint| {
-            endpoint.failures.endpoint_rate(route, now, route_rate)
+    /// The share of the route's attempts that is likely to fail at an endpoint.
+    fn failure_rate(&self, id: &EndpointId) -> f64 {
+        let overall = self.route_failure_rate;
+        self.endpoints.get(id).map_or(overall, |endpoint| {
+            endpoint
+                .failures
+                .endpoint_rate(self.route, self.slow_start.now, overall)
         })
     }
 
--- a/src/control/endpoint_picker/tests.rs
+++ b/src/control/endpoint_picker/tests.rs
@@ -28,7 +28,12 @@
 /// How often each endpoint is picked for 200 attempts, with a limit of six attempts in all.
 fn picks(table: &EndpointTable, last: Option<&str>) -> BTreeMap<String, u32> {
     let open = open_request(Route::default());
+    let guard = EffectGuard::of(&open, Duration::ZERO);
+    let last_endpoint = last.map(EndpointId::from);
     let picker = EndpointPicker {
+        route: &open.request.route,
+        guard: &guard,
+        last: last_endpoint.as_ref(),
         endpoints: table,
         slow_start: SlowStartView {
             settings: &Settings::default(),
@@ -37,17 +42,14 @@
             answers_per_endpoint: 0.0,
             latencies: &BaselineLatencies::default(),
         },
-        failures: &FailureRates::default(),
+        route_failure_rate: 0.0,
         machine_types: &MachineTypeLatencies::default(),
         concurrency_limit: 6.0,
     };
-    let guard = EffectGuard::of(&open, Duration::ZERO);
-    let last_endpoint = last.map(EndpointId::from);
     let mut rng = WyRand::new_seed(1);
     let mut counts = BTreeMap::new();
     for _ in 0..200 {
-        let picked = picker.pick(&mut rng, &guard, last_endpoint.as_ref(), &"route".into());
-        if let Some(id) = picked {
+        if let Some(id) = picker.pick(&mut rng) {
             *counts.entry(id.0.to_string()).or_default() += 1;
         }
     }
--- a/src/control/load_balancer.rs
+++ b/src/control/load_balancer.rs
@@ -8,7 +8,7 @@
 use super::failure_rate::{failure_weight, FailureRates};
 use super::latency::BaselineLatencies;
 use super::machine_types::MachineTypeLatencies;
-use super::requests::SentAttempt;
+use super::requests::{OpenRequest, SentAttempt};
 use super::retries::EffectGuard;
 use super::slow_start::SlowStartView;
 use super::throughput::{AnswerRate, AttemptRate};
@@ -104,18 +104,21 @@
         &self,
         context: &Context,
         rng: &mut WyRand,
+        open: &OpenRequest,
         guard: &EffectGuard,
-        last: Option<&EndpointId>,
-        route: &RouteName,
     ) -> Option<EndpointId> {
+        let route = &open.request.route;
         let picker = EndpointPicker {
+            route,
+            guard,
+            last: open.last_endpoint.as_ref(),
             endpoints: &self.endpoints,
             slow_start: self.slow_start(context),
-            failures: &self.failures,
+            route_failure_rate: self.failures.overall_rate(route, context.now),
             machine_types: &self.machine_types,
             concurrency_limit: self.limiter.limit(),
         };
-        picker.pick(rng, guard, last, route)
+        picker.pick(rng)
     }
 
     fn slow_start<'a>(&'a self, context: &'a Context) -> SlowStartView<'a> {
