--- a/src/control.rs
+++ b/src/control.rs
@@ -56,9 +56,7 @@
 };
 use crate::settings::{DiscoveryMode, Settings};
 use context::Context;
-use customer_quotas::{
-    value_of, CustomerQuotas, GrantedLease, LeaseDenial, LeaseOutcome, Resumption,
-};
+use customer_quotas::{CustomerQuotas, GrantedLease, LeaseDenial, LeaseOutcome, Resumption};
 use leases::LeasePurpose;
 use load_balancer::LoadBalancer;
 use load_shedding::LoadShedder;
@@ -305,7 +303,7 @@
         let Some(open) = self.requests.get(id) else {
             return false;
         };
-        let value = value_of(&self.context.settings, &open.request);
+        let value = self.context.settings.value_of(&open.request);
         let baseline = self.balancer.baseline_latency(&open.request.route);
         let priority = load_shedding::priority(value, baseline);
         let limiter = self.balancer.limiter();
--- a/src/control/customer_quotas.rs
+++ b/src/control/customer_quotas.rs
@@ -1,5 +1,5 @@
-//! What each customer may do, kept on the shared counter: concurrency leases and the rate
-//! quota. A decision that needs the counter's reply comes back by [`CustomerQuotas::on_counter_reply`].
+//! What each customer may do, kept on the shared counter: concurrency leases and the rate quota. A decision that needs the
+//! counter's reply comes back by [`CustomerQuotas::on_counter_reply`].
 
 use super::context::Context;
 use super::counter_client::{CallPurpose, CounterCall, CounterClient, LeaseRenewal};
@@ -67,12 +67,6 @@
     (plan.concurrency_limit > 0.0).then_some(plan.concurrency_limit)
 }
 
-/// What a request is worth: the value of its route, times the price of its plan, times its units.
-pub(super) fn value_of(settings: &Settings, request: &Request) -> f64 {
-    let price = settings.plan(&request.plan).price;
-    settings.route(&request.route).value * price * request.units
-}
-
 /// The number of a customer's lease period at a moment.
 fn lease_period_at(customer: &CustomerId, at: Duration) -> u64 {
     interval_at(customer, LEASE_PERIOD, at).number
@@ -118,7 +112,7 @@
         let has_small_quota = even_split < request.units;
         self.counter
             .pacer
-            .record_request(has_small_quota, value_of(settings, request));
+            .record_request(has_small_quota, settings.value_of(request));
         customer.quota.rejected_until() > context.now
     }
 
@@ -145,10 +139,10 @@
         let now = context.now;
         let customer_id = &request.customer;
         let terms = RateTerms::of(plan);
-        let value = value_of(&context.settings, request);
+        let value = context.settings.value_of(request);
         let reserve_ratio = self.counter.pacer.reserve_ratio(value, 1.0);
-        let is_spared = self.is_lease_call_spared(now, customer_id, &terms, limit);
-        let may_call = !is_spared && self.counter.may_call(now, reserve_ratio);
+        let skips_counter = self.should_skip_counter(now, customer_id, &terms, limit);
+        let may_call = !skips_counter && self.counter.may_call(now, reserve_ratio);
         let acquisition = LeaseAcquisition {
             request: request.id.clone(),
             purpose,
@@ -158,7 +152,7 @@
             units: request.units,
             window: terms.window,
             seconds_per_unit: baseline_latency.unwrap_or(0.0) / request.units.max(1.0),
-            is_spared,
+            skips_counter,
         };
         if !may_call {
             let reply = CounterReply::NotApplied;
@@ -179,17 +173,17 @@
     /// Whether a lease is left uncounted to save calls: where calls are scarce and quotas small, until the units seen in
     /// this window could fill the cap. Two calls for each lease would leave none to ask for the units. Trade-off:
     /// attempts of other gateways are seen late.
-    fn is_lease_call_spared(
+    fn should_skip_counter(
         &mut self,
         now: Duration,
         customer: &CustomerId,
         terms: &RateTerms,
         limit: f64,
     ) -> bool {
-        let may_be_spared = terms.rate > 0.0
+        let may_skip = terms.rate > 0.0
             && self.counter.pacer.quotas_are_small()
             && !self.counter.is_circuit_open(now);
-        if !may_be_spared {
+        if !may_skip {
             return false;
         }
         let window = interval_at(customer, terms.window_length(), now).number;
@@ -362,7 +356,7 @@
             .map_or(0.0, |known| known.demand);
         let requests_per_block =
             (demand * terms.window * SCARCE_BLOCK_WINDOWS / request.units).max(1.0);
-        let value = value_of(&context.settings, request);
+        let value = context.settings.value_of(request);
         let reserve_ratio = self.counter.pacer.reserve_ratio(value, requests_per_block);
         let has_spare_calls = self.counter.has_spare_calls(context.now);
         if !self.counter.may_call(context.now, reserve_ratio) {
--- a/src/control/leases.rs
+++ b/src/control/leases.rs
@@ -59,8 +59,8 @@
     pub(super) window: f64,
     /// How long a unit of demand is out, in seconds: the route's baseline latency for each unit.
     pub(super) seconds_per_unit: f64,
-    /// The counter is spared the call while the units that were seen can't fill the cap.
-    pub(super) is_spared: bool,
+    /// The counter is not asked, to save a call, as the units that were seen can't fill the cap.
+    pub(super) skips_counter: bool,
 }
 
 impl LeaseAcquisition {
@@ -104,8 +104,8 @@
     }
 
     /// The reply to an acquisition, or [`CounterReply::NotApplied`] where the counter was not asked. Without a total
-    /// the gateway's own attempts stay within `local_limit`, else an outage would admit all; where the counter was
-    /// spared, within the cap. Trade-off: an uneven customer is refused at its busy gateway.
+    /// the gateway's own attempts stay within `local_limit`, else an outage would admit all; where the call was saved,
+    /// within the cap. Trade-off: a customer that uses its gateways unevenly is rejected at the busy one.
     pub(super) fn on_acquire_reply(
         &mut self,
         acquisition: &LeaseAcquisition,
@@ -127,7 +127,7 @@
                 }
             }
             CounterReply::NotApplied | CounterReply::Unknown => {
-                let limit = if acquisition.is_spared {
+                let limit = if acquisition.skips_counter {
                     acquisition.limit
                 } else {
                     local_limit
--- a/src/control/leases/tests.rs
+++ b/src/control/leases/tests.rs
@@ -12,7 +12,7 @@
         units: 1.0,
         window: 1.0,
         seconds_per_unit: 0.5,
-        is_spared: false,
+        skips_counter: false,
     }
 }
 
@@ -58,7 +58,7 @@
 fn lease_is_decided_by_the_total_or_else_by_the_local_limit() {
     let denied = |ahead, was_counted| LeaseDecision::Denied { ahead, was_counted };
     let granted = LeaseDecision::Granted { renew_into: None };
-    for (reply, is_spared, open_leases, expected) in [
+    for (reply, skips_counter, open_leases, expected) in [
         (Total(10.0), false, 3, granted),
         (Total(12.0), false, 0, denied(2.0, true)),
         (Applied, false, 3, granted),
@@ -69,10 +69,13 @@
         (NotApplied, true, 10, denied(1.0, false)),
     ] {
         let mut last = acquisition(100);
-        last.is_spared = is_spared;
+        last.skips_counter = skips_counter;
         // The local limit is 3.
         let decision = customer_with(open_leases).on_acquire_reply(&last, reply, 5, 3.0);
-        assert_eq!(decision, expected, "{reply:?} {is_spared} {open_leases}");
+        assert_eq!(
+            decision, expected,
+            "{reply:?} {skips_counter} {open_leases}"
+        );
     }
 }
 
--- a/src/control/quota.rs
+++ b/src/control/quota.rs
@@ -146,7 +146,7 @@
 /// How calls on the counter stand when a reply about a block comes.
 #[derive(Clone, Copy)]
 pub(super) struct CallBudget {
-    /// Calls can be spared: what overshot goes back.
+    /// Calls are plenty enough to give units back.
     pub(super) has_spare_calls: bool,
     /// Most customers' even split is less than a request.
     pub(super) quotas_are_small: bool,
--- a/src/control/retries.rs
+++ b/src/control/retries.rs
@@ -99,19 +99,28 @@
 impl EffectGuard<'_> {
     /// The guard of a request's next attempt. `timer_slack` is what a step may take beyond its time.
     pub(super) fn of(open: &OpenRequest, timer_slack: Duration) -> EffectGuard<'_> {
-        let (send_by, repeats) = match (&open.first_execution, open.route.idempotency) {
-            (None, _) | (Some(_), Idempotency::Idempotent) => (Duration::MAX, None),
-            (Some(first), Idempotency::Keyed) => {
+        let unrestricted = EffectGuard {
+            send_by: Duration::MAX,
+            repeats: None,
+            scope: open.route.deduplication_scope,
+        };
+        let Some(first) = &open.first_execution else {
+            return unrestricted;
+        };
+        match open.route.idempotency {
+            Idempotency::Idempotent => unrestricted,
+            Idempotency::Keyed => {
                 let remembered_until = first.at + open.route.deduplication_window;
-                let send_by = remembered_until.saturating_sub(timer_slack + MAX_STALL);
-                (send_by, Some(first))
+                EffectGuard {
+                    send_by: remembered_until.saturating_sub(timer_slack + MAX_STALL),
+                    repeats: Some(first),
+                    ..unrestricted
+                }
             }
-            (Some(_), Idempotency::NonIdempotent) => (Duration::ZERO, None),
-        };
-        EffectGuard {
-            send_by,
-            repeats,
-            scope: open.route.deduplication_scope,
+            Idempotency::NonIdempotent => EffectGuard {
+                send_by: Duration::ZERO,
+                ..unrestricted
+            },
         }
     }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! A deployment's settings as the decisions read them. Adapters decode them from their own formats; what is missing
 //! has a default that asks nothing: no limit, no rule, no quota.
 
-use crate::port::{PlanName, RouteName};
+use crate::port::{PlanName, Request, RouteName};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -188,6 +188,12 @@
         self.routes.get(name).unwrap_or(&UNKNOWN_ROUTE)
     }
 
+    /// What a request is worth: the value of its route, times the price of its plan, times its units.
+    pub fn value_of(&self, request: &Request) -> f64 {
+        let price = self.plan(&request.plan).price;
+        self.route(&request.route).value * price * request.units
+    }
+
     /// How many gateways share the quotas, the endpoints and the counter: this one at the least.
     pub fn gateway_count(&self) -> f64 {
         f64::from(self.gateways.max(1))
