--- a/src/control.rs
+++ b/src/control.rs
@@ -16,7 +16,7 @@
 //! | `counter_client` | calls on the counter, with `rate_pacer`, `circuit_breaker` and `counter_names` |
 //! | `load_balancer` | what is known of endpoints: `endpoints`, `failure_rate`, `latency`, `machine_types`, `throughput` |
 //! | `endpoint_picker` | which endpoint an attempt goes to; `slow_start` what one may be sent that has just started |
-//! | `concurrency_limit`, `load_shedding` | how many attempts may be out, and which requests are refused in overload |
+//! | `concurrency_limit`, `load_shedding` | how many attempts may be in flight, and which requests are refused in overload |
 //! | `retries`, `retry_after` | whether a further attempt is safe; when a rejected client is told to come again |
 //! | `timers`, `context` | what is due when; what every part is given |
 
@@ -61,7 +61,7 @@
 use load_balancer::LoadBalancer;
 use load_shedding::LoadShedder;
 use nanorand::{Rng, WyRand};
-use quota::Reservation;
+use quota::{Reservation, WaitingRequest};
 use requests::{InFlightAttempt, OpenRequest};
 use retries::{EffectGuard, RetryBudget};
 use retry_after::DEFAULT_RETRY_AFTER;
@@ -203,19 +203,27 @@
                 customer,
                 granted,
                 waiting,
-            }) => {
-                for waiter in waiting {
-                    if granted {
-                        self.reserve_units(&waiter.request, &customer, waiter.lease);
-                    } else {
-                        self.reject_unreserved(&waiter.request, &customer, waiter.lease);
-                    }
-                }
-            }
+            }) => self.resume_waiting(&customer, granted, waiting),
             None => (),
         }
     }
 
+    /// A block was granted or not: the requests that have waited for it go on.
+    fn resume_waiting(
+        &mut self,
+        customer: &CustomerId,
+        granted: bool,
+        waiting: Vec<WaitingRequest>,
+    ) {
+        for waiter in waiting {
+            if granted {
+                self.reserve_units(&waiter.request, customer, waiter.lease);
+            } else {
+                self.reject_unreserved(&waiter.request, customer, waiter.lease);
+            }
+        }
+    }
+
     /// An attempt has ended: what it tells is recorded, its lease is released, its units are settled, and the request
     /// gets its final answer or a further attempt.
     pub fn on_attempt_end(
@@ -507,7 +515,7 @@
         }
     }
 
-    /// A request is over: an attempt that is out is cancelled. Where none came to an endpoint, its units go back.
+    /// A request is over: an attempt in flight is cancelled. Where none was delivered to an endpoint, its units are given back.
     fn close_request(&mut self, id: &RequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(id)?;
         match open.in_flight {
--- a/src/control/concurrency_limit.rs
+++ b/src/control/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! The adaptive limit on this gateway's attempts that are out at all endpoints, learnt from their latency.
+//! The adaptive limit on this gateway's attempts in flight at all endpoints, learnt from their latency.
 
 use crate::port::{AttemptOutcome, AttemptResult};
 use std::time::Duration;
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub(super) fn in_flight(&self) -> f64 {
         self.in_flight
     }
 
-    /// Attempts that may be out.
+    /// Attempts that may be in flight.
     pub(super) fn limit(&self) -> f64 {
         self.limit
     }
--- a/src/control/customer_quotas.rs
+++ b/src/control/customer_quotas.rs
@@ -62,7 +62,7 @@
     last_lease: LeaseId,
 }
 
-/// The cap on a customer's attempts that are out at once; a plan may state none.
+/// The cap on a customer's attempts in flight at once; a plan may state none.
 fn concurrency_limit(plan: &Plan) -> Option<f64> {
     (plan.concurrency_limit > 0.0).then_some(plan.concurrency_limit)
 }
--- a/src/control/customers.rs
+++ b/src/control/customers.rs
@@ -18,7 +18,7 @@
     /// Recent demand here, in units a second.
     pub(super) demand: f64,
     last_request_at: Duration,
-    /// Leases of attempts that are out through this gateway.
+    /// Leases of attempts in flight through this gateway.
     pub(super) leases: CustomerLeases,
     /// The rate quota.
     pub(super) quota: RateQuota,
--- a/src/control/endpoint_picker.rs
+++ b/src/control/endpoint_picker.rs
@@ -41,7 +41,7 @@
     pub(super) route_failure_rate: f64,
     /// The latency ratios of machine types.
     pub(super) machine_types: &'a MachineTypeLatencies,
-    /// This gateway's limit on attempts that are out.
+    /// This gateway's limit on attempts in flight.
     pub(super) concurrency_limit: f64,
 }
 
--- a/src/control/endpoints.rs
+++ b/src/control/endpoints.rs
@@ -26,7 +26,7 @@
     pub(super) entry: Endpoint,
     /// When it started, by the adapter's clock; none: long ago.
     pub(super) started_at: Option<Duration>,
-    /// Attempts of this gateway that are out at it.
+    /// Attempts of this gateway in flight at it.
     pub(super) in_flight: u32,
     /// Latency against the route's baseline and that of its machine type, as a moving mean.
     pub(super) latency_ratio: f64,
@@ -80,11 +80,11 @@
 pub(super) struct SubsetLoad {
     /// Attempts a second that this gateway sends.
     pub(super) attempt_rate: f64,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub(super) in_flight: f64,
-    /// Attempts that may be out in all.
+    /// Attempts that may be in flight in all.
     pub(super) concurrency_limit: f64,
-    /// Attempts that may be out at one endpoint at the most.
+    /// Attempts that may be in flight at one endpoint at the most.
     pub(super) max_per_endpoint: f64,
 }
 
@@ -202,7 +202,7 @@
         self.by_id.insert(id, record);
     }
 
-    /// An endpoint of which nothing is known yet but attempts that are out from before it started anew.
+    /// An endpoint of which nothing is known yet but the attempts in flight from before it started anew.
     fn new_record(
         &mut self,
         receipt: UpdateReceipt,
--- a/src/control/leases.rs
+++ b/src/control/leases.rs
@@ -1,4 +1,4 @@
-//! Concurrency leases: the cap on a customer's upstream attempts that are out at once.
+//! Concurrency leases: the cap on a customer's upstream attempts in flight at once.
 //!
 //! A lease is an addition of one to the counter name of the customer and the current period. Names expire by themselves,
 //! so leases of a crashed gateway do too; open leases are renewed into the next period's name before the edge.
@@ -51,22 +51,22 @@
     pub(super) lease: LeaseId,
     /// The period in whose name it is counted.
     pub(super) period: u64,
-    /// The customer's cap on attempts out at once.
+    /// The customer's cap on attempts in flight at once.
     pub(super) limit: f64,
     /// The units of the request.
     pub(super) units: f64,
     /// The length of the customer's quota window, in seconds.
     pub(super) window: f64,
-    /// How long a unit of demand is out, in seconds: the route's baseline latency for each unit.
+    /// How long a unit of demand is in flight, in seconds: the route's baseline latency for each unit.
     pub(super) seconds_per_unit: f64,
     /// The counter is not asked, to save a call, as the units that were seen can't fill the cap.
     pub(super) skips_counter: bool,
 }
 
 impl LeaseAcquisition {
-    /// How many attempts this gateway may have out where the counter gives no total: its part of the cap, and one
-    /// always for a customer that had little out by its own demand before this request (`demand_before`, in units a
-    /// second over all gateways).
+    /// How many attempts this gateway may have in flight where the counter gives no total: its part of the cap, and at
+    /// least one for a customer of low demand before this request (`demand_before`, in units a second over all
+    /// gateways).
     pub(super) fn local_limit(
         &self,
         place: GatewayPlace,
@@ -74,8 +74,8 @@
         current_period: u64,
     ) -> f64 {
         let share = local_share(self.limit, place, current_period);
-        let asks_little = demand_before * self.seconds_per_unit < self.limit * LOW_DEMAND_RATIO;
-        share.max(if asks_little { 1.0 } else { 0.0 })
+        let has_low_demand = demand_before * self.seconds_per_unit < self.limit * LOW_DEMAND_RATIO;
+        share.max(if has_low_demand { 1.0 } else { 0.0 })
     }
 }
 
--- a/src/control/leases/tests.rs
+++ b/src/control/leases/tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn customer_of_low_demand_may_always_have_one_attempt_out() {
+fn customer_of_low_demand_may_always_have_one_attempt_in_flight() {
     // This gateway has none of the cap of 10 in period 1. At 0.5 s a unit, 4 units a second keep a fifth of the cap out.
     let place = GatewayPlace {
         rank: 9.0,
--- a/src/control/load_balancer.rs
+++ b/src/control/load_balancer.rs
@@ -1,5 +1,5 @@
 //! The gateway's side of the endpoints: which of them it uses, what it has learnt of them, and how many attempts may be
-//! out at them.
+//! in flight at them.
 
 use super::concurrency_limit::{ConcurrencyLimiter, FleetShare, INITIAL_LIMIT_PER_ENDPOINT};
 use super::context::Context;
@@ -26,7 +26,7 @@
     /// Baseline latencies of the routes.
     latencies: BaselineLatencies,
     machine_types: MachineTypeLatencies,
-    /// How many attempts may be out.
+    /// How many attempts may be in flight.
     limiter: ConcurrencyLimiter,
     attempt_rate: AttemptRate,
     answer_rate: AnswerRate,
@@ -59,7 +59,7 @@
         self.latencies.seconds(route)
     }
 
-    /// How many attempts are out, and may be.
+    /// How many attempts are in flight, and may be.
     pub(super) fn limiter(&self) -> &ConcurrencyLimiter {
         &self.limiter
     }
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -17,7 +17,7 @@
     pub(super) attempts: u32,
     /// The counter does not count its units: they were reserved from the local quota.
     pub(super) is_uncounted: bool,
-    /// The attempt that is out; never more than one.
+    /// The attempt in flight; never more than one.
     pub(super) in_flight: Option<AttemptNumber>,
     /// Where the last attempt went.
     pub(super) last_endpoint: Option<EndpointId>,
@@ -74,7 +74,7 @@
     pub(super) cell: u64,
 }
 
-/// An attempt that is out, also where its request has its final answer already.
+/// An attempt in flight, also where its request has its final answer already.
 pub(super) struct InFlightAttempt {
     /// Where it went.
     pub(super) endpoint: EndpointId,
--- a/src/port.rs
+++ b/src/port.rs
@@ -234,7 +234,7 @@
         send_by: Duration,
     );
 
-    /// Gives an attempt up that is out; its end is reported all the same.
+    /// Gives up an attempt in flight; its end is reported all the same.
     fn cancel(&mut self, request: &RequestId, attempt: AttemptNumber);
 
     /// The final answer that it is harmless to ask again, after `retry_after`.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -49,7 +49,7 @@
     pub connect_timeout: Duration,
     /// An idle connection is closed after this.
     pub idle_timeout: Duration,
-    /// Attempts that are out may be cancelled.
+    /// Attempts in flight may be cancelled.
     pub may_cancel: bool,
     /// Clients are told when to come again.
     pub sends_retry_after: bool,
@@ -93,7 +93,7 @@
     pub rate: f64,
     /// Units that the bucket holds.
     pub burst: f64,
-    /// Upstream attempts out at once; 0: no such quota.
+    /// Upstream attempts in flight at once; 0: no such quota.
     pub concurrency_limit: f64,
     /// Factor on the value of a route.
     pub price: f64,
