--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! A deployment's settings as the decisions read them. Adapters decode them from their own formats; what is missing
 //! has a default that asks nothing: no limit, no rule, no quota.
 
-use crate::port::{PlanName, RouteName};
+use crate::port::{PlanName, Request, RouteName};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
     pub connect_timeout: Duration,
     /// An idle connection is closed after this.
     pub idle_timeout: Duration,
-    /// Attempts that are out may be cancelled.
+    /// Attempts in flight may be cancelled.
     pub may_cancel: bool,
     /// Clients are told when to come again.
     pub sends_retry_after: bool,
@@ -93,7 +93,7 @@
     pub rate: f64,
     /// Units that the bucket holds.
     pub burst: f64,
-    /// Upstream attempts out at once; 0: no such quota.
+    /// Upstream attempts in flight at once; 0: no such quota.
     pub concurrency_limit: f64,
     /// Factor on the value of a route.
     pub price: f64,
@@ -188,6 +188,12 @@
         self.routes.get(name).unwrap_or(&UNKNOWN_ROUTE)
     }
 
+    /// What a request is worth: the value of its route, times the price of its plan, times its units.
+    pub fn value_of(&self, request: &Request) -> f64 {
+        let price = self.plan(&request.plan).price;
+        self.route(&request.route).value * price * request.units
+    }
+
     /// How many gateways share the quotas, the endpoints and the counter: this one at the least.
     pub fn gateway_count(&self) -> f64 {
         f64::from(self.gateways.max(1))
