--- /dev/null
+++ b/simulator/src/batch/tests.rs
@@ -0,0 +1,109 @@
+use super::*;
+use crate::with_causes;
+use std::io;
+
+const FRAME: &str = r#"{"event_type":"frame","wall_ns":8412250000}"#;
+const END: &str = r#"{"event_type":"eob"}"#;
+const EMPTY_REPLY: &str = "{\"event_type\":\"finished\"}\n";
+const START: &str =
+    r#"{"event_type":"open_instance","i":3,"salt":7,"config":{"classes":[{"name":"read"}]}}"#;
+
+/// What is written on standard output, and the error that ended the program, if one did.
+fn replies(lines: &[&str]) -> (String, Option<String>) {
+    let input = lines.join("\n");
+    let mut output = Vec::new();
+    let end = serve(input.as_bytes(), &mut output);
+    let error = end.err().map(|error| with_causes(&error));
+    (String::from_utf8(output).expect("JSON is text"), error)
+}
+
+#[test]
+fn an_empty_batch_gets_an_empty_reply() {
+    assert_eq!(replies(&[FRAME, END]), (EMPTY_REPLY.to_string(), None));
+    assert_eq!(replies(&[]), (String::new(), None));
+}
+
+#[test]
+fn an_instance_acts_in_the_reply_to_its_batch() {
+    let request =
+        r#"{"event_type":"inbound","i":3,"txn":"r","qos":"read","valid_until_ns":9412250000}"#;
+    let endpoints =
+        r#"{"event_type":"fleet","i":3,"scope":"C","lines":[{"server":"s","phase":"IN"}]}"#;
+    let (output, error) = replies(&[FRAME, START, endpoints, request, END, FRAME, END]);
+    assert_eq!(error, None);
+    let (first, second) = output.split_once(EMPTY_REPLY).expect("two replies");
+    assert!(
+        first
+            .lines()
+            .any(|action| action.contains(r#""event_type":"transmit","i":3,"server":"s""#)),
+        "{first}"
+    );
+    assert_eq!(second, EMPTY_REPLY);
+}
+
+#[test]
+fn events_for_instances_that_do_not_run_have_no_effect_whatever_they_hold() {
+    let stop = r#"{"event_type":"crash_now","i":3}"#;
+    let undecodable = r#"{"event_type":"report_back","i":3,"disposition":7}"#;
+    assert_eq!(
+        replies(&[FRAME, undecodable, END]),
+        (EMPTY_REPLY.to_string(), None)
+    );
+    let (output, error) = replies(&[FRAME, START, stop, undecodable, stop, END]);
+    assert_eq!(error, None);
+    assert!(output.ends_with(EMPTY_REPLY), "{output}");
+}
+
+#[test]
+fn an_invalid_line_ends_the_program_with_its_number_and_the_reason() {
+    let refused = [
+        (
+            "{",
+            "line 3: EOF while parsing an object at line 1 column 1",
+        ),
+        ("[]", "line 3: not an object"),
+        ("{}", "line 3: field 'event_type' is missing"),
+        (
+            r#"{"event_type":"wake","i":3,"token":"x"}"#,
+            "line 3: field 'token' has a wrong value: \"x\"",
+        ),
+        (
+            r#"{"event_type":"open_instance","i":3,"config":{"index":-1}}"#,
+            "line 3: settings: index: -1 is no count; expected a whole number, 0 or more",
+        ),
+    ];
+    for (line, expected) in refused {
+        let (output, error) = replies(&[FRAME, START, line, END]);
+        assert_eq!(error.as_deref(), Some(expected));
+        assert_eq!(output, "", "the batch is not answered");
+    }
+}
+
+#[test]
+fn input_that_is_no_text_ends_the_program_with_the_lines_number() {
+    let end = serve(&b"{\"event_type\":\"eob\"}\n\xff\n"[..], Vec::new());
+    let error = end.expect_err("that is no text");
+    assert_eq!(
+        with_causes(&error),
+        "line 2: stream did not contain valid UTF-8"
+    );
+}
+
+#[test]
+fn a_reply_that_nobody_takes_ends_the_program() {
+    struct ClosedPipe;
+    impl Write for ClosedPipe {
+        fn write(&mut self, _bytes: &[u8]) -> io::Result<usize> {
+            Err(io::Error::other("the pipe is closed"))
+        }
+        fn flush(&mut self) -> io::Result<()> {
+            Ok(())
+        }
+    }
+    let end = serve(END.as_bytes(), ClosedPipe);
+    let error = end.expect_err("nobody takes the reply");
+    assert_eq!(
+        with_causes(&error),
+        "cannot write a reply: the pipe is closed"
+    );
+}
--- /dev/null
+++ b/simulator/src/message.rs
@@ -0,0 +1,92 @@
+//! Decodes the lines of a batch: its frame, the life of instances, and the events for them.
+
+use crate::error::LineError;
+use crate::event::UndecodedEvent;
+use crate::fields::Fields;
+use serde_json::Value;
+use std::rc::Rc;
+use std::time::Duration;
+use wellcrank::settings::Settings;
+
+/// The number of an instance: one gateway's controller.
+pub(crate) type InstanceId = u64;
+
+/// One line of the input.
+pub(crate) enum Message<'a> {
+    /// A batch begins, and the clock stands at `now` until the next one.
+    BatchStart {
+        /// The clock of all instances.
+        now: Duration,
+    },
+    /// The batch is complete and is to be answered.
+    BatchEnd,
+    /// An instance starts, for the first time or after a restart.
+    StartInstance {
+        /// Which instance.
+        instance: InstanceId,
+        /// The settings of its deployment.
+        settings: Rc<Settings>,
+        /// The seed of its random numbers.
+        seed: u64,
+    },
+    /// An instance was killed and loses all its state.
+    StopInstance {
+        /// Which instance.
+        instance: InstanceId,
+    },
+    /// Something happened to an instance. It stays undecoded until the instance is known to run, as events for any
+    /// other have no effect, whatever they hold.
+    Event {
+        /// Which instance.
+        instance: InstanceId,
+        /// What happened.
+        event: UndecodedEvent<'a>,
+    },
+    /// A line that is for no instance and has no effect.
+    Ignored,
+}
+
+impl<'a> Message<'a> {
+    /// Decodes a line that was parsed as JSON.
+    pub(crate) fn decode(line: &'a Value) -> Result<Message<'a>, LineError> {
+        let fields = Fields::of_object(line).ok_or(LineError::NotAnObject)?;
+        match fields.text("event_type")? {
+            "frame" => Ok(Message::BatchStart {
+                now: fields.duration("wall_ns")?,
+            }),
+            "eob" => Ok(Message::BatchEnd),
+            event_type => decode_instance_message(event_type, fields),
+        }
+    }
+}
+
+fn decode_instance_message<'a>(
+    event_type: &'a str,
+    fields: Fields<'a>,
+) -> Result<Message<'a>, LineError> {
+    if fields.optional("i").is_none() {
+        return Ok(Message::Ignored);
+    }
+    let instance = fields.unsigned("i")?;
+    match event_type {
+        "open_instance" => decode_start(instance, fields),
+        "crash_now" => Ok(Message::StopInstance { instance }),
+        _ => Ok(Message::Event {
+            instance,
+            event: UndecodedEvent::new(event_type, fields),
+        }),
+    }
+}
+
+fn decode_start<'a>(instance: InstanceId, fields: Fields) -> Result<Message<'a>, LineError> {
+    let config = fields.required("config", |value| value.is_object().then_some(value))?;
+    let settings = wellcrank_settings::decode(config)?;
+    Ok(Message::StartInstance {
+        instance,
+        settings: Rc::new(settings),
+        seed: fields.unsigned("salt")?,
+    })
+}
+
+#[cfg(test)]
+mod tests;
