--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -2,10 +2,12 @@
 
 use crate::decision_engine::DecisionEngineError;
 use crate::experiment::{ExperimentError, InvalidVariant};
+use crate::loopback::NotReady;
 use crate::record::RecordingError;
 use std::error::Error;
 use std::fmt;
 use std::io;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 /// Why a run, a recording or a file of results could not be made or read.
@@ -29,6 +31,18 @@
         #[source]
         source: io::Error,
     },
+    /// An address can't be listened at.
+    #[error("{address}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system said.
+        #[source]
+        source: io::Error,
+    },
+    /// The gateways of a run on loopback did not start.
+    #[error(transparent)]
+    GatewaysNotReady(#[from] NotReady),
     /// The decisions of a simulated run could not be had.
     #[error(transparent)]
     DecisionEngine(#[from] DecisionEngineError),
--- a/lab/src/loopback/counter.rs
+++ b/lab/src/loopback/counter.rs
@@ -1,132 +1,168 @@
 //! The counter on loopback: lines of text, calls answered in their order on each connection.
 
-use super::wire::{Turns, Wire};
-use super::{Place, Stage};
+use super::buffered_connection::{BufferedConnection, ConnectionState};
+use super::response_queue::ResponseQueue;
+use super::run::LoopbackRun;
+use crate::error::LabError;
 use crate::events::CounterCallId;
 use crate::world::counter::CounterResponse;
 use std::time::Duration;
 
-pub struct Line {
-    pub wire: Wire,
+/// The largest amount that a call may add or subtract.
+const MAX_AMOUNT: f64 = 1e9;
+
+/// A gateway's connection to the counter.
+pub(super) struct CounterConnection {
+    pub(super) connection: BufferedConnection,
     gateway: usize,
-    pub door: usize,
-    /// None: a ping.
-    pub turns: Turns<Option<CounterCallId>>,
+    /// The listener that it came in at.
+    pub(super) listener: usize,
+    /// Open calls; none for what is answered at once.
+    pub(super) responses: ResponseQueue<Option<CounterCallId>>,
 }
 
-impl Line {
-    pub fn new(wire: Wire, gateway: usize, door: usize) -> Line {
-        Line {
-            wire,
+impl CounterConnection {
+    pub(super) fn new(
+        connection: BufferedConnection,
+        gateway: usize,
+        listener: usize,
+    ) -> CounterConnection {
+        CounterConnection {
+            connection,
             gateway,
-            door,
-            turns: Turns::default(),
+            listener,
+            responses: ResponseQueue::default(),
         }
     }
+
+    /// Takes the whole lines that have come.
+    fn take_lines(&mut self) -> String {
+        let input = &mut self.connection.input;
+        let last_end = input.iter().rposition(|byte| *byte == b'\n');
+        let length = last_end.map_or(0, |end| end + 1);
+        let lines: Vec<u8> = input.drain(..length).collect();
+        String::from_utf8_lossy(&lines).into_owned()
+    }
 }
 
-/// What a line asks.
+/// A line of a gateway.
 #[derive(Debug, PartialEq)]
-enum Asked {
+enum CounterCommand {
     Ping,
-    Add { name: u64, add: f64, keep: Duration },
-    Nothing,
+    Add {
+        name: u64,
+        amount: f64,
+        ttl: Duration,
+    },
+    Invalid,
 }
 
-fn read(line: &str) -> Asked {
+fn parse_command(line: &str) -> CounterCommand {
     let words: Vec<&str> = line.split_ascii_whitespace().collect();
     match words[..] {
-        ["ping"] => Asked::Ping,
-        ["incr", name, add, keep] => {
-            match (name.parse(), add.parse::<f64>(), keep.parse::<u64>()) {
-                (Ok(name), Ok(add), Ok(keep)) if add.abs() <= 1e9 && keep > 0 => Asked::Add {
-                    name,
-                    add,
-                    keep: Duration::from_millis(keep),
-                },
-                _ => Asked::Nothing,
-            }
+        ["ping"] => CounterCommand::Ping,
+        ["incr", name, amount, ttl_ms] => {
+            parse_add(name, amount, ttl_ms).unwrap_or(CounterCommand::Invalid)
         }
-        _ => Asked::Nothing,
+        _ => CounterCommand::Invalid,
     }
 }
 
-impl Stage {
-    pub(super) fn counter_ready(&mut self, key: usize) -> Result<(), String> {
-        let Some(Place::Counter(line)) = self.places.get_mut(key) else {
+fn parse_add(name: &str, amount: &str, ttl_ms: &str) -> Option<CounterCommand> {
+    let name = name.parse().ok()?;
+    let amount: f64 = amount.parse().ok()?;
+    let ttl_ms: u64 = ttl_ms.parse().ok()?;
+    (amount.abs() <= MAX_AMOUNT && ttl_ms > 0).then_some(CounterCommand::Add {
+        name,
+        amount,
+        ttl: Duration::from_millis(ttl_ms),
+    })
+}
+
+impl LoopbackRun {
+    pub(super) fn on_counter_readable(&mut self, key: usize) -> Result<(), LabError> {
+        let Some(counter) = self.sources.counter_mut(key) else {
             return Ok(());
         };
-        let (open, gateway) = (line.wire.read(), line.gateway);
-        let end = line
-            .wire
-            .input
-            .iter()
-            .rposition(|byte| *byte == b'\n')
-            .map_or(0, |end| end + 1);
-        let whole: Vec<u8> = line.wire.input.drain(..end).collect();
+        let state = counter.connection.read();
+        let gateway = counter.gateway;
+        let lines = counter.take_lines();
         let mut actions = Vec::new();
-        for text in String::from_utf8_lossy(&whole).lines() {
-            match read(text) {
-                Asked::Ping => {
-                    self.line_asked(key, None);
-                    self.line_says(key, None, b"pong\r\n".to_vec());
-                }
-                Asked::Add { name, add, keep } => {
-                    let id = self.world.on_counter_call(
+        for line in lines.lines() {
+            match parse_command(line) {
+                CounterCommand::Ping => self.answer_counter_command(key, b"pong\r\n"),
+                CounterCommand::Invalid => self.answer_counter_command(key, b"error\r\n"),
+                CounterCommand::Add { name, amount, ttl } => {
+                    let call = self.world.on_counter_call(
                         self.now,
                         gateway,
                         name,
-                        add,
-                        keep,
+                        amount,
+                        ttl,
                         &mut actions,
                     );
-                    self.line_asked(key, Some(id));
-                    self.counting.insert(id, key);
-                }
-                Asked::Nothing => {
-                    self.line_asked(key, None);
-                    self.line_says(key, None, b"error\r\n".to_vec());
+                    self.push_counter_request(key, Some(call));
+                    self.counter_calls.insert(call, key);
                 }
             }
         }
-        self.carry(actions)?;
-        if !open {
-            return self.close(key);
+        self.perform_actions(actions)?;
+        match state {
+            ConnectionState::Open => Ok(()),
+            ConnectionState::Closed => self.close(key),
         }
-        Ok(())
     }
 
-    fn line_asked(&mut self, key: usize, id: Option<CounterCallId>) {
-        if let Some(Place::Counter(line)) = self.places.get_mut(key) {
-            line.turns.asked(id);
+    fn answer_counter_command(&mut self, key: usize, response: &[u8]) {
+        self.push_counter_request(key, None);
+        self.complete_counter_request(key, None, response);
+    }
+
+    fn push_counter_request(&mut self, key: usize, call: Option<CounterCallId>) {
+        if let Some(counter) = self.sources.counter_mut(key) {
+            counter.responses.push_request(call);
         }
     }
 
-    fn line_says(&mut self, key: usize, id: Option<CounterCallId>, said: Vec<u8>) {
-        if let Some(Place::Counter(line)) = self.places.get_mut(key) {
-            let out = line.turns.answered(id, said);
-            line.wire.put(&out);
-            self.written.push(key);
+    fn complete_counter_request(
+        &mut self,
+        key: usize,
+        call: Option<CounterCallId>,
+        response: &[u8],
+    ) {
+        if let Some(counter) = self.sources.counter_mut(key) {
+            let ready = counter.responses.complete(call, response.to_vec());
+            counter.connection.queue(&ready);
+            self.unflushed.push(key);
         }
     }
 
-    pub(super) fn counted(
+    /// The world has the counter answer a call.
+    pub(super) fn send_counter_response(
         &mut self,
-        id: CounterCallId,
-        says: CounterResponse,
-    ) -> Result<(), String> {
-        let Some(key) = self.counting.remove(&id) else {
+        call: CounterCallId,
+        response: CounterResponse,
+    ) -> Result<(), LabError> {
+        let Some(key) = self.counter_calls.remove(&call) else {
             return Ok(());
         };
-        match says {
+        match response {
             CounterResponse::Total(total) => {
-                self.line_says(key, Some(id), format!("ok {total}\r\n").into_bytes())
+                let line = format!("ok {total}\r\n");
+                self.complete_counter_request(key, Some(call), line.as_bytes());
             }
-            CounterResponse::Busy => self.line_says(key, Some(id), b"busy\r\n".to_vec()),
-            CounterResponse::Reset => return self.close(key),
+            CounterResponse::Busy => self.complete_counter_request(key, Some(call), b"busy\r\n"),
+            CounterResponse::Reset => self.close(key)?,
         }
         Ok(())
     }
+
+    pub(super) fn on_counter_closed(&mut self, counter: CounterConnection) {
+        for call in counter.responses.pending().flatten() {
+            self.counter_calls.remove(&call);
+        }
+        counter.connection.close(self.sources.registry());
+    }
 }
 
 #[cfg(test)]
--- a/lab/src/loopback/counter/tests.rs
+++ b/lab/src/loopback/counter/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
 #[test]
-fn lines_are_read_or_refused() {
-    let keep = Duration::from_millis(4000);
+fn commands_are_parsed_or_refused() {
+    let ttl = Duration::from_millis(4000);
     assert_eq!(
-        read("incr 7 -2.5 4000"),
-        Asked::Add {
+        parse_command("incr 7 -2.5 4000"),
+        CounterCommand::Add {
             name: 7,
-            add: -2.5,
-            keep
+            amount: -2.5,
+            ttl
         }
     );
-    assert_eq!(read("ping"), Asked::Ping);
+    assert_eq!(parse_command("ping"), CounterCommand::Ping);
     for wrong in [
         "incr 7 2",
         "incr x 2 4000",
@@ -20,6 +20,6 @@
         "decr 7 1 10",
         "",
     ] {
-        assert_eq!(read(wrong), Asked::Nothing, "{wrong}");
+        assert_eq!(parse_command(wrong), CounterCommand::Invalid, "{wrong}");
     }
 }
--- a/lab/src/loopback/discovery.rs
+++ b/lab/src/loopback/discovery.rs
@@ -1,161 +1,238 @@
-//! Discovery on loopback: the list and watches over HTTP/1.1, for each gateway what it has been sent.
+//! Discovery on loopback: the endpoint list and watches of its changes over HTTP/1.1, for each gateway what it
+//! has been notified of.
 
-use super::wire::Wire;
-use super::{Place, Stage};
+use super::buffered_connection::{BufferedConnection, ConnectionState};
+use super::event_sources::EventSource;
+use super::run::LoopbackRun;
+use crate::error::LabError;
 use crate::node_settings;
 use std::time::Duration;
 
-pub struct Watcher {
-    pub wire: Wire,
+const INSTANCES_PATH: &str = "/registry/instances";
+
+/// A request has so many headers at most.
+const MAX_HEADERS: usize = 32;
+
+/// The longest that a watch waits.
+const MAX_WAIT_MS: u64 = 60_000;
+
+/// How long watches that were opened before the run began still wait from its first moment on.
+const WAIT_AFTER_BEGIN: Duration = Duration::from_secs(5);
+
+const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
+
+/// A gateway's connection to discovery.
+pub(super) struct DiscoveryConnection {
+    pub(super) connection: BufferedConnection,
     gateway: usize,
-    pub door: usize,
-    /// A watch that waits: what it knows, and until when it waits.
-    waiting: Option<(usize, Duration)>,
+    /// The listener that it came in at.
+    pub(super) listener: usize,
+    watch: Option<Watch>,
 }
 
-impl Watcher {
-    pub fn new(wire: Wire, gateway: usize, door: usize) -> Watcher {
-        Watcher {
-            wire,
+impl DiscoveryConnection {
+    pub(super) fn new(
+        connection: BufferedConnection,
+        gateway: usize,
+        listener: usize,
+    ) -> DiscoveryConnection {
+        DiscoveryConnection {
+            connection,
             gateway,
-            door,
-            waiting: None,
+            listener,
+            watch: None,
         }
     }
 }
 
-/// What a request wants: the whole list, or what is newer than a version.
+/// A request that waits for changes.
+#[derive(Clone, Copy, PartialEq, Debug)]
+struct Watch {
+    /// The version that the gateway knows.
+    known: usize,
+    /// When it is answered in any case.
+    deadline: Duration,
+}
+
+/// A watch and the connection that it waits on.
+struct OpenWatch {
+    key: usize,
+    known: usize,
+}
+
+/// What a request is for.
+#[derive(Debug, PartialEq)]
+enum ListRequest {
+    /// The whole list.
+    Snapshot,
+    /// The changes since a version; if there are none, those that come within a span.
+    Watch { known: usize, max_wait: Duration },
+}
+
+/// A request and how many bytes it takes.
 #[derive(Debug, PartialEq)]
-enum Wanted {
-    Whole,
-    After(usize, Duration),
+struct ParsedRequest {
+    request: ListRequest,
+    length: usize,
 }
 
-/// Takes a request off the front: what it wants and its length; an error where it is none.
-fn request(bytes: &[u8]) -> Result<Option<(Wanted, usize)>, String> {
-    let mut headers = [httparse::EMPTY_HEADER; 32];
+/// Why bytes are no request for the list.
+#[derive(Debug, PartialEq, thiserror::Error)]
+enum InvalidRequest {
+    #[error(transparent)]
+    Http(#[from] httparse::Error),
+    #[error("no such resource: {0}")]
+    NotFound(String),
+}
+
+/// Parses the request at the front of a buffer; none where it is not whole.
+fn parse_request(bytes: &[u8]) -> Result<Option<ParsedRequest>, InvalidRequest> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    let length = match head.parse(bytes).map_err(|error| error.to_string())? {
+    let length = match head.parse(bytes)? {
         httparse::Status::Complete(length) => length,
         httparse::Status::Partial => return Ok(None),
     };
-    let path = head.path.unwrap_or("");
-    let (path, query) = path.split_once('?').unwrap_or((path, ""));
-    if (head.method, path) != (Some("GET"), "/registry/instances") {
-        return Err(format!("no such thing: {path}"));
+    let target = head.path.unwrap_or("");
+    let (path, query) = target.split_once('?').unwrap_or((target, ""));
+    if head.method != Some("GET") || path != INSTANCES_PATH {
+        return Err(InvalidRequest::NotFound(path.to_string()));
     }
-    let value = |name: &str| {
-        let pair = query
-            .split('&')
-            .filter_map(|pair| pair.split_once('='))
-            .find(|pair| pair.0 == name);
-        pair.and_then(|pair| pair.1.parse::<u64>().ok())
-    };
-    let wanted = match value("after") {
-        Some(after) => {
-            let wait = Duration::from_millis(value("wait_ms").unwrap_or(0).min(60_000));
-            Wanted::After(after as usize, wait)
+    let request = match query_number(query, "after") {
+        Some(known) => {
+            let wait_ms = query_number(query, "wait_ms").unwrap_or(0);
+            ListRequest::Watch {
+                known: known as usize,
+                max_wait: Duration::from_millis(wait_ms.min(MAX_WAIT_MS)),
+            }
         }
-        None => Wanted::Whole,
+        None => ListRequest::Snapshot,
     };
-    Ok(Some((wanted, length)))
+    Ok(Some(ParsedRequest { request, length }))
+}
+
+/// The number that a query gives for a name.
+fn query_number(query: &str, name: &str) -> Option<u64> {
+    let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    let (_, value) = pairs.find(|(found, _)| *found == name)?;
+    value.parse().ok()
 }
 
-impl Stage {
-    pub(super) fn discovery_ready(&mut self, key: usize) -> Result<(), String> {
-        let Some(Place::Discovery(watcher)) = self.places.get_mut(key) else {
+impl LoopbackRun {
+    pub(super) fn on_discovery_readable(&mut self, key: usize) -> Result<(), LabError> {
+        let Some(discovery) = self.sources.discovery_mut(key) else {
             return Ok(());
         };
-        let open = watcher.wire.read();
-        loop {
-            let Some(Place::Discovery(watcher)) = self.places.get_mut(key) else {
-                return Ok(());
-            };
-            let gateway = watcher.gateway;
-            match request(&watcher.wire.input) {
-                Ok(None) => break,
-                Err(_) => {
-                    watcher
-                        .wire
-                        .put(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-                    watcher.wire.input.clear();
-                    self.written.push(key);
-                    break;
-                }
-                Ok(Some((wanted, length))) => {
-                    watcher.wire.input.drain(..length);
-                    let upto = self.world.notified_change_count(gateway);
-                    match wanted {
-                        Wanted::After(after, wait) if after == upto => {
-                            watcher.waiting = Some((after, self.now + wait));
-                        }
-                        Wanted::After(after, _) if after < upto => self.list_to(key, Some(after)),
-                        _ => self.list_to(key, None),
-                    }
-                }
-            }
+        let state = discovery.connection.read();
+        while self.serve_list_request(key) {}
+        match state {
+            ConnectionState::Open => Ok(()),
+            ConnectionState::Closed => self.close(key),
         }
-        if !open {
-            return self.close(key);
+    }
+
+    /// Serves the next request of a connection; false where none is whole.
+    fn serve_list_request(&mut self, key: usize) -> bool {
+        let Some(discovery) = self.sources.discovery_mut(key) else {
+            return false;
+        };
+        let request = match parse_request(&discovery.connection.input) {
+            Ok(Some(parsed)) => {
+                discovery.connection.input.drain(..parsed.length);
+                parsed.request
+            }
+            Ok(None) => return false,
+            Err(_) => {
+                discovery.connection.queue(NOT_FOUND);
+                discovery.connection.input.clear();
+                self.unflushed.push(key);
+                return false;
+            }
+        };
+        let latest = self.world.notified_change_count(discovery.gateway);
+        match request {
+            ListRequest::Watch { known, max_wait } if known == latest => {
+                let deadline = self.now + max_wait;
+                discovery.watch = Some(Watch { known, deadline });
+            }
+            ListRequest::Watch { known, .. } if known < latest => self.send_list(key, Some(known)),
+            ListRequest::Watch { .. } | ListRequest::Snapshot => self.send_list(key, None),
         }
-        Ok(())
+        true
     }
 
     /// Answers with the changes since a version, or with the whole list.
-    fn list_to(&mut self, key: usize, after: Option<usize>) {
-        let Some(Place::Discovery(watcher)) = self.places.get_mut(key) else {
+    fn send_list(&mut self, key: usize, known: Option<usize>) {
+        let Some(gateway) = self.end_watch(key) else {
             return;
         };
-        watcher.waiting = None;
-        let gateway = watcher.gateway;
-        let upto = self.world.notified_change_count(gateway);
-        let changes = match after {
-            Some(after) => self.world.endpoint_changes(after..upto),
-            None => self.world.endpoint_list_after(upto),
+        let latest = self.world.notified_change_count(gateway);
+        let changes = match known {
+            Some(known) => self.world.endpoint_changes(known..latest),
+            None => self.world.endpoint_list_after(latest),
         };
-        let body = node_settings::list(upto as u64, after.is_none(), self.lines(gateway, &changes))
-            .to_string();
+        let lines = self.list_lines(gateway, &changes);
+        let body = node_settings::list(latest as u64, known.is_none(), lines).to_string();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        if let Some(Place::Discovery(watcher)) = self.places.get_mut(key) {
-            watcher.wire.put(head.as_bytes());
-            watcher.wire.put(body.as_bytes());
-            self.written.push(key);
+        if let Some(discovery) = self.sources.discovery_mut(key) {
+            discovery.connection.queue(head.as_bytes());
+            discovery.connection.queue(body.as_bytes());
+            self.unflushed.push(key);
         }
         self.world.on_gateway_notified(self.now, gateway, &changes);
     }
 
-    fn watches(&self, which: impl Fn(&Watcher, usize, Duration) -> bool) -> Vec<(usize, usize)> {
-        let all = self.places.iter().filter_map(|(key, place)| match place {
-            Place::Discovery(it) => it
-                .waiting
-                .filter(|(after, until)| which(it, *after, *until))
-                .map(|w| (key, w.0)),
-            _ => None,
+    /// Ends the watch of a connection, if it has one; returns its gateway.
+    fn end_watch(&mut self, key: usize) -> Option<usize> {
+        let discovery = self.sources.discovery_mut(key)?;
+        discovery.watch = None;
+        Some(discovery.gateway)
+    }
+
+    fn find_watches(
+        &self,
+        is_wanted: impl Fn(&DiscoveryConnection, &Watch) -> bool,
+    ) -> Vec<OpenWatch> {
+        let watches = self.sources.iter().filter_map(|(key, source)| {
+            let EventSource::Discovery(discovery) = source else {
+                return None;
+            };
+            let watch = discovery.watch?;
+            is_wanted(discovery, &watch).then_some(OpenWatch {
+                key,
+                known: watch.known,
+            })
         });
-        all.collect()
+        watches.collect()
     }
 
-    /// Something is to be told to a gateway: its watch ends.
-    pub(super) fn tell(&mut self, gateway: usize) {
-        let upto = self.world.notified_change_count(gateway);
-        for (key, after) in self.watches(|it, after, _| it.gateway == gateway && after < upto) {
-            self.list_to(key, Some(after));
+    /// There are changes that a gateway is to be notified of: its watch is answered.
+    pub(super) fn notify_gateway(&mut self, gateway: usize) {
+        let latest = self.world.notified_change_count(gateway);
+        let watches = self
+            .find_watches(|discovery, watch| discovery.gateway == gateway && watch.known < latest);
+        for watch in watches {
+            self.send_list(watch.key, Some(watch.known));
         }
     }
 
-    /// Watches that have waited as long as they wanted to.
-    pub(super) fn watches_over(&mut self) {
+    /// Answers the watches that have waited for as long as they wanted to.
+    pub(super) fn end_expired_watches(&mut self) {
         let now = self.now;
-        for (key, after) in self.watches(|_, _, until| until <= now) {
-            self.list_to(key, Some(after));
+        for watch in self.find_watches(|_, watch| watch.deadline <= now) {
+            self.send_list(watch.key, Some(watch.known));
         }
     }
 
-    /// The day's clock begins: watches wait on from its first moment.
-    pub(super) fn rebase_watches(&mut self) {
-        for (_, place) in &mut self.places {
-            if let Place::Discovery(it) = place {
-                it.waiting = it.waiting.map(|(after, _)| (after, Duration::from_secs(5)));
+    /// The run's clock begins: watches wait on from its first moment.
+    pub(super) fn restart_watches(&mut self) {
+        for key in self
+            .sources
+            .find_keys(|source| matches!(source, EventSource::Discovery(_)))
+        {
+            let discovery = self.sources.discovery_mut(key);
+            if let Some(watch) = discovery.and_then(|discovery| discovery.watch.as_mut()) {
+                watch.deadline = WAIT_AFTER_BEGIN;
             }
         }
     }
--- a/lab/src/loopback/discovery/tests.rs
+++ b/lab/src/loopback/discovery/tests.rs
@@ -1,14 +1,24 @@
 use super::*;
 
 #[test]
-fn requests_are_taken_whole() {
-    let whole = b"GET /registry/instances?after=41&wait_ms=20000 HTTP/1.1\r\nHost: x\r\n\r\n";
-    for end in 0..whole.len() {
-        assert_eq!(request(&whole[..end]), Ok(None));
+fn requests_are_parsed_when_they_are_whole() {
+    let watch = b"GET /registry/instances?after=41&wait_ms=20000 HTTP/1.1\r\nHost: x\r\n\r\n";
+    for end in 0..watch.len() {
+        assert_eq!(parse_request(&watch[..end]), Ok(None));
     }
-    let wanted = Wanted::After(41, Duration::from_secs(20));
-    assert_eq!(request(whole), Ok(Some((wanted, whole.len()))));
+    let expected = ParsedRequest {
+        request: ListRequest::Watch {
+            known: 41,
+            max_wait: Duration::from_secs(20),
+        },
+        length: watch.len(),
+    };
+    assert_eq!(parse_request(watch), Ok(Some(expected)));
     let plain = b"GET /registry/instances HTTP/1.1\r\n\r\n";
-    assert_eq!(request(plain), Ok(Some((Wanted::Whole, plain.len()))));
-    assert!(request(b"POST /registry/instances HTTP/1.1\r\n\r\n").is_err());
+    let snapshot = ParsedRequest {
+        request: ListRequest::Snapshot,
+        length: plain.len(),
+    };
+    assert_eq!(parse_request(plain), Ok(Some(snapshot)));
+    assert!(parse_request(b"POST /registry/instances HTTP/1.1\r\n\r\n").is_err());
 }
--- /dev/null
+++ b/lab/src/loopback/gateway_process.rs
@@ -0,0 +1,161 @@
+//! The gateways' processes: started with a file of their own, signalled, and never left behind.
+
+use super::GatewayProgram;
+use crate::error::LabError;
+use rustix::process::{kill_process, Pid, Signal};
+use std::fs;
+use std::net::{Ipv4Addr, SocketAddr, TcpListener};
+use std::os::unix::process::CommandExt;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, ExitStatus, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
+
+/// The system counts processor time in ticks of a hundredth of a second.
+const TICKS_PER_SECOND: f64 = 100.0;
+
+/// The system counts memory in pages of so many bytes.
+const PAGE_BYTES: u64 = 4096;
+
+/// Fields of `/proc/PID/stat` after the program's name, counted from 0.
+const USER_TICKS_FIELD: usize = 11;
+const SYSTEM_TICKS_FIELD: usize = 12;
+const RESIDENT_PAGES_FIELD: usize = 21;
+
+/// Runs of this process so far, so that each has a folder of its own.
+static RUNS: AtomicU32 = AtomicU32::new(0);
+
+/// A folder for the files of one run, removed with it.
+pub(super) struct RunFolder(PathBuf);
+
+impl RunFolder {
+    pub(super) fn create() -> Result<RunFolder, LabError> {
+        let run = RUNS.fetch_add(1, Ordering::SeqCst);
+        let name = format!("wellcrank-lab-{}-{run}", std::process::id());
+        let path = std::env::temp_dir().join(name);
+        fs::create_dir_all(&path).map_err(LabError::file(&path))?;
+        Ok(RunFolder(path))
+    }
+
+    /// The path of a file in it.
+    pub(super) fn file(&self, name: &str) -> PathBuf {
+        self.0.join(name)
+    }
+}
+
+impl Drop for RunFolder {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+/// The process of a gateway, one after another, and what they use.
+#[derive(Default)]
+pub(super) struct GatewayProcess {
+    child: Option<Child>,
+    /// Processor time of all its processes, as last read.
+    pub(super) cpu_seconds: f64,
+    /// The most memory that one of them had.
+    pub(super) max_resident_bytes: u64,
+    /// Processor time of the processes before this one.
+    earlier_cpu_seconds: f64,
+}
+
+impl GatewayProcess {
+    /// Starts a process, and kills the one before; its log is appended to a file, or thrown away.
+    pub(super) fn start(
+        &mut self,
+        program: &GatewayProgram,
+        config_file: &Path,
+        log_file: Option<&Path>,
+    ) -> Result<(), LabError> {
+        self.kill();
+        let log = match log_file {
+            Some(path) => {
+                let file = fs::OpenOptions::new().create(true).append(true).open(path);
+                Stdio::from(file.map_err(LabError::file(path))?)
+            }
+            None => Stdio::null(),
+        };
+        let mut command = Command::new(&program.path);
+        command
+            .args(&program.arguments)
+            .envs(program.environment.iter().cloned())
+            .env("BALANCER_CONFIG", config_file)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
+        end_with_laboratory(&mut command);
+        let child = command.spawn().map_err(LabError::file(&program.path))?;
+        self.child = Some(child);
+        Ok(())
+    }
+
+    pub(super) fn signal(&self, signal: Signal) {
+        let pid = self
+            .child
+            .as_ref()
+            .and_then(|child| Pid::from_raw(child.id() as i32));
+        if let Some(pid) = pid {
+            let _ = kill_process(pid, signal);
+        }
+    }
+
+    /// How it has ended, if it has ended by itself.
+    pub(super) fn take_exit_status(&mut self) -> Option<ExitStatus> {
+        let status = self.child.as_mut()?.try_wait().ok().flatten()?;
+        self.earlier_cpu_seconds = self.cpu_seconds;
+        self.child = None;
+        Some(status)
+    }
+
+    pub(super) fn kill(&mut self) {
+        if let Some(mut child) = self.child.take() {
+            let _ = child.kill();
+            let _ = child.wait();
+            self.earlier_cpu_seconds = self.cpu_seconds;
+        }
+    }
+
+    /// Reads what it has used so far.
+    pub(super) fn update_usage(&mut self) {
+        let Some(child) = &self.child else { return };
+        let stat = fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
+        // The name may hold spaces and stands in parentheses.
+        let after_name = stat.rsplit(')').next().unwrap_or("");
+        let fields: Vec<&str> = after_name.split_whitespace().collect();
+        if fields.len() <= RESIDENT_PAGES_FIELD {
+            return;
+        }
+        let number = |index: usize| fields[index].parse::<u64>().unwrap_or(0);
+        let ticks = number(USER_TICKS_FIELD) + number(SYSTEM_TICKS_FIELD);
+        self.cpu_seconds = self.earlier_cpu_seconds + ticks as f64 / TICKS_PER_SECOND;
+        let resident_bytes = number(RESIDENT_PAGES_FIELD) * PAGE_BYTES;
+        self.max_resident_bytes = self.max_resident_bytes.max(resident_bytes);
+    }
+}
+
+impl Drop for GatewayProcess {
+    fn drop(&mut self) {
+        self.kill();
+    }
+}
+
+/// Has the system kill the process when the laboratory ends: one that is killed outright can't end its gateways.
+#[allow(unsafe_code)]
+fn end_with_laboratory(command: &mut Command) {
+    // SAFETY: between fork and exec only calls are allowed that are safe in a signal handler; this one is a
+    // single system call.
+    unsafe {
+        command.pre_exec(|| {
+            rustix::process::set_parent_process_death_signal(Some(Signal::KILL))?;
+            Ok(())
+        });
+    }
+}
+
+/// An address on loopback that is free now.
+pub(super) fn free_address() -> Result<SocketAddr, LabError> {
+    const OPERATION: &str = "no free address on loopback";
+    let free = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(LabError::system(OPERATION))?;
+    free.local_addr().map_err(LabError::system(OPERATION))
+}
--- /dev/null
+++ b/lab/src/loopback/gateways.rs
@@ -0,0 +1,215 @@
+//! The gateways on loopback: their processes, their files, and the addresses that they know.
+
+use super::event_sources::{BoundSocket, EventSource, ListenerPurpose};
+use super::gateway_process::{self, GatewayProcess};
+use super::run::LoopbackRun;
+use crate::error::LabError;
+use crate::events::ServerId;
+use crate::node_settings;
+use nanorand::Rng;
+use rustix::process::Signal;
+use serde_json::json;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// How often a gateway that was started is asked whether it serves.
+const PROBE_INTERVAL: Duration = Duration::from_millis(20);
+
+/// A process is sent no SIGHUP sooner after it was ready: the platform doesn't either.
+const MIN_READY_BEFORE_SIGHUP: Duration = Duration::from_secs(1);
+
+/// The addresses that discovery and counter had before are still there for so long.
+const OLD_ADDRESS_LIFETIME: Duration = Duration::from_millis(1500);
+
+/// A gateway and what it meets.
+pub(super) struct GatewayNode {
+    pub(super) process: GatewayProcess,
+    /// Where its clients connect.
+    pub(super) client_address: SocketAddr,
+    /// Where other gateways send datagrams.
+    pub(super) peer_address: SocketAddr,
+    counter_listener: BoundSocket,
+    discovery_listener: BoundSocket,
+    /// The addresses of the servers that are there.
+    pub(super) server_listeners: BTreeMap<ServerId, BoundSocket>,
+    /// The addresses of the other gateways, in their order.
+    pub(super) peer_sockets: Vec<BoundSocket>,
+    /// The address of all other gateways.
+    pub(super) broadcast_socket: Option<BoundSocket>,
+    /// The load balancer's connections that no request is open on; the one used last is at the end.
+    pub(super) idle_clients: Vec<usize>,
+    /// The load balancer's connections in all.
+    pub(super) client_count: usize,
+    /// It was told to stop, so its end is no crash.
+    is_stopping: bool,
+    /// When it is asked next whether it serves; none once it does.
+    pub(super) next_probe: Option<Duration>,
+}
+
+impl LoopbackRun {
+    /// Opens all addresses that a new gateway meets, but those of its peers.
+    pub(super) fn add_gateway(&mut self) -> Result<(), LabError> {
+        let gateway = self.gateways.len();
+        let client_address = gateway_process::free_address()?;
+        let peer_address = gateway_process::free_address()?;
+        let node = GatewayNode {
+            process: GatewayProcess::default(),
+            client_address,
+            peer_address,
+            counter_listener: self.sources.listen(gateway, ListenerPurpose::Counter)?,
+            discovery_listener: self.sources.listen(gateway, ListenerPurpose::Discovery)?,
+            server_listeners: BTreeMap::new(),
+            peer_sockets: Vec::new(),
+            broadcast_socket: None,
+            idle_clients: Vec::new(),
+            client_count: 0,
+            is_stopping: false,
+            next_probe: None,
+        };
+        self.gateways.push(node);
+        let servers: Vec<ServerId> = self.world.servers().map(|(id, _)| id).collect();
+        for server in servers {
+            self.open_server_listener(gateway, server)?;
+        }
+        Ok(())
+    }
+
+    /// Starts a gateway's process.
+    pub(super) fn start_gateway(&mut self, gateway: usize) -> Result<(), LabError> {
+        let config_file = self.write_config_file(gateway)?;
+        let log_file = self
+            .log_dir
+            .as_ref()
+            .map(|dir| dir.join(format!("g{gateway}.log")));
+        let node = &mut self.gateways[gateway];
+        node.process
+            .start(&self.program, &config_file, log_file.as_deref())?;
+        node.is_stopping = false;
+        node.next_probe = Some(self.now);
+        // The file tells it the endpoint list.
+        let latest = self.world.notified_change_count(gateway);
+        let list = self.world.endpoint_list_after(latest);
+        self.world.on_gateway_notified(self.now, gateway, &list);
+        Ok(())
+    }
+
+    /// Writes a gateway's file; the endpoint list in it is the one that it was notified of last.
+    fn write_config_file(&mut self, gateway: usize) -> Result<PathBuf, LabError> {
+        let experiment = &self.world.experiment;
+        let settings = node_settings::settings(experiment, gateway, &self.settings_overrides)?;
+        let latest = self.world.notified_change_count(gateway);
+        let lines = self.list_lines(gateway, &self.world.endpoint_list_after(latest));
+        let node = &self.gateways[gateway];
+        let seed: u64 = self.controller_seeds.generate();
+        let fleet = &experiment.fleet;
+        let mut config = json!({
+            "name": format!("g{gateway}"), "listen": node.client_address,
+            "discovery": node.discovery_listener.address, "seed": format!("{seed:016x}"),
+            "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
+            "known": node_settings::list(latest as u64, true, lines), "settings": settings,
+        });
+        if experiment.counter.present {
+            config["counter"] = json!(node.counter_listener.address);
+        }
+        if experiment.network.peer_datagrams {
+            let sockets = node.peer_sockets.iter();
+            let mut peers: Vec<SocketAddr> = sockets.map(|socket| socket.address).collect();
+            peers.insert(gateway, node.peer_address);
+            config["peer_listen"] = json!(node.peer_address);
+            config["peers"] = json!(peers);
+            config["peers_all"] = json!(node.broadcast_socket.map(|socket| socket.address));
+        }
+        let path = self.folder.file(&format!("g{gateway}.json"));
+        replace_file(&path, &config.to_string()).map_err(LabError::file(&path))?;
+        Ok(path)
+    }
+
+    pub(super) fn kill_gateway(&mut self, gateway: usize) {
+        let node = &mut self.gateways[gateway];
+        node.process.update_usage();
+        node.process.kill();
+        node.next_probe = None;
+    }
+
+    pub(super) fn stop_gateway(&mut self, gateway: usize) {
+        let node = &mut self.gateways[gateway];
+        node.is_stopping = true;
+        node.process.signal(Signal::TERM);
+    }
+
+    /// Discovery and counter of a gateway get new addresses: a new file, SIGHUP, and the old addresses close later.
+    /// A process that is not ready, or has been for a moment only, keeps the old ones.
+    pub(super) fn move_platform(&mut self, gateway: usize) -> Result<(), LabError> {
+        if !self
+            .world
+            .is_ready_for(self.now, gateway, MIN_READY_BEFORE_SIGHUP)
+        {
+            return Ok(());
+        }
+        let counter = self.sources.listen(gateway, ListenerPurpose::Counter)?;
+        let discovery = self.sources.listen(gateway, ListenerPurpose::Discovery)?;
+        let node = &mut self.gateways[gateway];
+        let old_counter = std::mem::replace(&mut node.counter_listener, counter);
+        let old_discovery = std::mem::replace(&mut node.discovery_listener, discovery);
+        self.write_config_file(gateway)?;
+        self.gateways[gateway].process.signal(Signal::HUP);
+        let close_at = self.now + OLD_ADDRESS_LIFETIME;
+        self.schedule_close(close_at, old_counter.key);
+        self.schedule_close(close_at, old_discovery.key);
+        Ok(())
+    }
+
+    /// When a gateway is to be asked next whether it serves.
+    pub(super) fn next_probe(&self) -> Option<Duration> {
+        self.gateways
+            .iter()
+            .filter_map(|node| node.next_probe)
+            .min()
+    }
+
+    /// Asks the gateways that were started whether they serve.
+    pub(super) fn probe_starting_gateways(&mut self) {
+        for gateway in 0..self.gateways.len() {
+            let is_due = |at: Duration| at <= self.now;
+            if self.gateways[gateway].next_probe.is_some_and(is_due) {
+                self.gateways[gateway].next_probe = Some(self.now + PROBE_INTERVAL);
+                self.probe_readiness(gateway);
+            }
+        }
+    }
+
+    /// Looks at what the gateways' processes use, and whether one has ended by itself.
+    pub(super) fn inspect_processes(&mut self) {
+        for gateway in 0..self.gateways.len() {
+            let node = &mut self.gateways[gateway];
+            node.process.update_usage();
+            let Some(status) = node.process.take_exit_status() else {
+                continue;
+            };
+            let is_crash = !node.is_stopping || !status.success();
+            node.next_probe = None;
+            if is_crash {
+                self.report_crash(gateway, &status.to_string());
+            }
+            self.world.on_gateway_exit(self.now, gateway);
+        }
+    }
+
+    /// Closes the connections that came in at a listener which is no more.
+    pub(super) fn close_accepted_at(&mut self, listener: usize) -> Result<(), LabError> {
+        self.close_where(|source| match source {
+            EventSource::Counter(counter) => counter.listener == listener,
+            EventSource::Discovery(discovery) => discovery.listener == listener,
+            _ => false,
+        })
+    }
+}
+
+/// Puts a file in place whole: a gateway that is told to read it again must not meet half of it.
+fn replace_file(path: &Path, text: &str) -> std::io::Result<()> {
+    let partial = path.with_extension("new");
+    std::fs::write(&partial, text)?;
+    std::fs::rename(&partial, path)
+}
--- a/lab/src/loopback/peers.rs
+++ b/lab/src/loopback/peers.rs
@@ -1,90 +1,112 @@
 //! Datagrams between gateways on loopback: each goes through the world, which may lose it, delay it or find the
 //! two cut off from each other.
 
-use super::{Place, Stage};
-use mio::net::UdpSocket;
-use mio::{Interest, Token};
-use std::net::SocketAddr;
+use super::event_sources::EventSource;
+use super::run::LoopbackRun;
+use crate::error::LabError;
+use std::time::Duration;
 
-/// The longest that a gateway may send.
-const LONGEST: usize = 256;
+/// The longest datagram that a gateway may send, in bytes.
+const MAX_DATAGRAM: usize = 256;
 
-impl Stage {
-    fn peer_socket(
-        &mut self,
-        from: usize,
-        to: Option<usize>,
-    ) -> Result<(usize, SocketAddr), String> {
-        let said = |error: std::io::Error| format!("no socket on loopback: {error}");
-        let mut socket = UdpSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0))).map_err(said)?;
-        let at = socket.local_addr().map_err(said)?;
-        let entry = self.places.vacant_entry();
-        let key = entry.key();
-        self.registry
-            .register(&mut socket, Token(key), Interest::READABLE)
-            .map_err(said)?;
-        entry.insert(Place::Peer { from, to, socket });
-        Ok((key, at))
-    }
+/// Datagrams are read up to so many bytes, so that one that is too long is seen as such.
+const RECEIVE_BUFFER: usize = 2048;
+
+/// When a datagram arrives; those of one moment in the order in which they were sent.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct DatagramKey {
+    pub(super) arrives_at: Duration,
+    serial: u64,
+}
 
-    /// A socket from each gateway to each other one, and one to all.
-    pub(super) fn open_peers(&mut self) -> Result<(), String> {
-        for from in 0..self.gateways.len() {
-            for to in (0..self.gateways.len()).filter(|to| *to != from) {
-                let socket = self.peer_socket(from, Some(to))?;
-                self.gateways[from].peers.push(socket);
+/// A datagram that is under way.
+pub(super) struct Datagram {
+    sender: usize,
+    receiver: usize,
+    body: Vec<u8>,
+}
+
+impl LoopbackRun {
+    /// Opens a socket from each gateway to each other one, and one to all.
+    pub(super) fn open_peer_sockets(&mut self) -> Result<(), LabError> {
+        let count = self.gateways.len();
+        for sender in 0..count {
+            for receiver in (0..count).filter(|receiver| *receiver != sender) {
+                let socket = self.sources.bind_peer_socket(sender, Some(receiver))?;
+                self.gateways[sender].peer_sockets.push(socket);
             }
-            let all = self.peer_socket(from, None)?;
-            self.gateways[from].all = Some(all);
+            let socket = self.sources.bind_peer_socket(sender, None)?;
+            self.gateways[sender].broadcast_socket = Some(socket);
         }
         Ok(())
     }
 
-    /// Takes what a gateway has sent, and has it fly.
-    pub(super) fn datagrams(&mut self, key: usize) {
-        let mut bytes = [0; 2048];
+    /// Takes the datagrams that a gateway has sent to a socket, and sends them on their way.
+    pub(super) fn on_peer_socket_ready(&mut self, key: usize) {
+        let mut bytes = [0; RECEIVE_BUFFER];
         loop {
-            let Some(Place::Peer { from, to, socket }) = self.places.get(key) else {
+            let Some(EventSource::Peer(peer)) = self.sources.get(key) else {
                 return;
             };
-            let (from, to) = (*from, *to);
-            let Ok((length, _)) = socket.recv_from(&mut bytes) else {
+            let sender = peer.sender;
+            let addressed = peer.receiver;
+            let Ok((length, _)) = peer.socket.recv_from(&mut bytes) else {
                 return;
             };
-            if length > LONGEST {
-                let at = self.now.as_secs_f64();
-                self.crashes.push(format!(
-                    "gateway {from} at {at:.3} s: a datagram of {length} bytes"
-                ));
+            if length > MAX_DATAGRAM {
+                self.report_crash(sender, &format!("a datagram of {length} bytes"));
                 continue;
             }
-            let others = 0..self.gateways.len();
-            for other in others.filter(|other| *other != from && to.is_none_or(|to| to == *other)) {
-                if let Some(late) = self.world.on_datagram(self.now, from, other) {
-                    self.serial += 1;
-                    let when = (self.now + late, self.serial);
-                    self.flying
-                        .insert(when, (from, other, bytes[..length].to_vec()));
+            for receiver in 0..self.gateways.len() {
+                let is_addressed = addressed.is_none_or(|addressed| addressed == receiver);
+                if receiver != sender && is_addressed {
+                    self.send_datagram(sender, receiver, &bytes[..length]);
                 }
             }
         }
     }
 
-    /// Datagrams that arrive by now come from the address by which their gateway knows the sender.
-    pub(super) fn land(&mut self) {
-        while let Some(entry) = self
-            .flying
-            .first_entry()
-            .filter(|entry| entry.key().0 <= self.now)
-        {
-            let (from, to, bytes) = entry.remove();
-            let place = if from < to { from } else { from - 1 };
-            let Some((key, _)) = self.gateways[to].peers.get(place) else {
-                continue;
-            };
-            if let Some(Place::Peer { socket, .. }) = self.places.get(*key) {
-                let _ = socket.send_to(&bytes, self.gateways[to].peer_listen);
+    fn send_datagram(&mut self, sender: usize, receiver: usize, body: &[u8]) {
+        let Some(delay) = self.world.on_datagram(self.now, sender, receiver) else {
+            return;
+        };
+        self.last_datagram += 1;
+        let key = DatagramKey {
+            arrives_at: self.now + delay,
+            serial: self.last_datagram,
+        };
+        let datagram = Datagram {
+            sender,
+            receiver,
+            body: body.to_vec(),
+        };
+        self.datagrams.insert(key, datagram);
+    }
+
+    /// Hands over the datagrams that arrive by now, each from the address by which its receiver knows the sender.
+    pub(super) fn deliver_datagrams(&mut self) {
+        while let Some(first) = self.datagrams.first_entry() {
+            if first.key().arrives_at > self.now {
+                return;
             }
+            let datagram = first.remove();
+            self.deliver_datagram(&datagram);
+        }
+    }
+
+    fn deliver_datagram(&self, datagram: &Datagram) {
+        let receiver = &self.gateways[datagram.receiver];
+        // A gateway has no socket to itself, so those of later ones are one further to the front.
+        let index = if datagram.sender < datagram.receiver {
+            datagram.sender
+        } else {
+            datagram.sender - 1
+        };
+        let Some(bound) = receiver.peer_sockets.get(index) else {
+            return;
+        };
+        if let Some(EventSource::Peer(peer)) = self.sources.get(bound.key) {
+            let _ = peer.socket.send_to(&datagram.body, receiver.peer_address);
         }
     }
 }
--- a/lab/src/loopback/servers.rs
+++ b/lab/src/loopback/servers.rs
@@ -1,299 +1,341 @@
-//! App servers on loopback: each gateway meets each server at a door of its own.
+//! Servers on loopback: each gateway meets each server at an address of its own.
 
-use super::wire::{bulk, encoded, Turns, Wire};
-use super::{clients, Place, Stage};
+use super::buffered_connection::{BufferedConnection, ConnectionState};
+use super::clients;
+use super::event_sources::{EventSource, ListenerPurpose};
+use super::resp::{self, bulk_string};
+use super::response_queue::ResponseQueue;
+use super::run::LoopbackRun;
+use crate::error::LabError;
 use crate::events::{AttemptId, ClientRequestId, ServerId};
 use crate::node_settings::{self, ListedServer};
 use crate::world::server::ListingState;
 use crate::world::{AttemptArrival, EndpointChange, ServerResponse};
-use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
 use serde_json::Value;
 use std::time::Duration;
 
-pub struct Upstream {
-    pub wire: Wire,
+/// The length of a line that does not end.
+const ENDLESS_LINE: usize = 2000;
+
+/// A gateway's connection to a server.
+pub(super) struct ServerConnection {
+    pub(super) connection: BufferedConnection,
     gateway: usize,
-    pub server: ServerId,
-    /// Nothing has come on it yet: the first command pays for the handshake.
-    fresh: bool,
-    turns: Turns<AttemptId>,
+    pub(super) server: ServerId,
+    /// No command has come on it: the first one pays for the handshake.
+    is_new: bool,
+    responses: ResponseQueue<AttemptId>,
     /// When something came or went on it last.
-    used: Duration,
+    last_used: Duration,
 }
 
-impl Upstream {
-    pub fn new(wire: Wire, gateway: usize, server: ServerId, used: Duration) -> Upstream {
-        Upstream {
-            wire,
+impl ServerConnection {
+    pub(super) fn new(
+        connection: BufferedConnection,
+        gateway: usize,
+        server: ServerId,
+        now: Duration,
+    ) -> ServerConnection {
+        ServerConnection {
+            connection,
             gateway,
             server,
-            fresh: true,
-            turns: Turns::default(),
-            used,
+            is_new: true,
+            responses: ResponseQueue::default(),
+            last_used: now,
         }
     }
+
+    fn is_idle(&self) -> bool {
+        self.responses.pending().next().is_none()
+    }
+}
+
+/// The connection that a command has come on.
+#[derive(Clone, Copy)]
+struct CommandOrigin {
+    key: usize,
+    gateway: usize,
+    server: ServerId,
+}
+
+/// What became of a command.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum CommandOutcome {
+    Served,
+    /// It is not like any that a client sent.
+    Unknown,
 }
 
-fn words(frame: OwnedFrame) -> Option<Vec<Vec<u8>>> {
+/// The words of a command: bulk strings in an array.
+fn command_words(frame: OwnedFrame) -> Vec<Vec<u8>> {
     let OwnedFrame::Array(parts) = frame else {
-        return None;
+        return Vec::new();
     };
     let word = |part| match part {
         OwnedFrame::BulkString(word) => Some(word),
         _ => None,
     };
-    parts.into_iter().map(word).collect()
+    let words: Option<Vec<Vec<u8>>> = parts.into_iter().map(word).collect();
+    words.unwrap_or_default()
 }
 
-/// The API call that a command carries.
-fn asked(words: &[Vec<u8>]) -> Option<ClientRequestId> {
+/// The client's request that a command carries.
+fn command_request(words: &[Vec<u8>]) -> Option<ClientRequestId> {
     let id = std::str::from_utf8(words.get(2)?).ok()?;
     let number = u64::from_str_radix(id, 16).ok()?.checked_sub(1)?;
     u32::try_from(number).ok().map(ClientRequestId)
 }
 
-/// What a server writes.
-fn said(says: ServerResponse, ask: ClientRequestId) -> Vec<u8> {
-    let value = clients::value(ask);
-    let good = |units: Option<f64>, load: String| {
-        let figures = units.map_or(OwnedFrame::Null, |units| bulk(format!("cost={units}")));
-        let load = if load.is_empty() {
-            OwnedFrame::Null
-        } else {
-            bulk(load)
-        };
-        encoded(&OwnedFrame::Array(vec![bulk(value.clone()), figures, load]))
-    };
-    match says {
+/// How long the gateway says that it waits for the response.
+fn command_timeout(words: &[Vec<u8>]) -> Option<Duration> {
+    let parameters = std::str::from_utf8(words.get(3)?).ok()?;
+    let timeout_ms = parameters
+        .split(',')
+        .find_map(|pair| pair.strip_prefix("d=")?.parse().ok());
+    timeout_ms.map(Duration::from_millis)
+}
+
+/// The bytes of a response to a client's request.
+fn encode_response(response: ServerResponse, request: ClientRequestId) -> Vec<u8> {
+    match response {
         ServerResponse::Success { units, load } => {
-            good(units, load.map(|load| load.to_string()).unwrap_or_default())
+            encode_success(request, units, load.map(|load| load.to_string()))
         }
         ServerResponse::Busy => b"-BUSY\r\n".to_vec(),
         ServerResponse::Failed => b"-ERR failed\r\n".to_vec(),
-        ServerResponse::Malformed(0) => b"\x07\x00\xffnoise\r\n".to_vec(),
-        ServerResponse::Malformed(1) => vec![b'*'; 2000],
-        ServerResponse::Malformed(2) => {
-            b"*3\r\n$5\r\nrendered more than that\r\n$-1\r\n$-1\r\n".to_vec()
-        }
-        ServerResponse::Malformed(3) => b"*3\r\n$3000000000\r\nrendered".to_vec(),
-        ServerResponse::Malformed(4) => {
-            [good(None, String::new()), good(None, String::new())].concat()
+        ServerResponse::Malformed(kind) => encode_malformed(kind, request),
+    }
+}
+
+fn encode_success(request: ClientRequestId, units: Option<f64>, load: Option<String>) -> Vec<u8> {
+    let figures = units.map_or(OwnedFrame::Null, |units| {
+        bulk_string(format!("cost={units}"))
+    });
+    resp::encode(&OwnedFrame::Array(vec![
+        bulk_string(clients::served_value(request)),
+        figures,
+        load.map_or(OwnedFrame::Null, bulk_string),
+    ]))
+}
+
+/// Bytes that a gateway can't parse, or not to their end.
+fn encode_malformed(kind: u32, request: ClientRequestId) -> Vec<u8> {
+    match kind {
+        0 => b"\x07\x00\xffnoise\r\n".to_vec(),
+        1 => vec![b'*'; ENDLESS_LINE],
+        2 => b"*3\r\n$5\r\nrendered more than that\r\n$-1\r\n$-1\r\n".to_vec(),
+        3 => b"*3\r\n$3000000000\r\nrendered".to_vec(),
+        4 => encode_success(request, None, None).repeat(2),
+        _ => {
+            let load = "inflight=x,queue=-,util".to_string();
+            let mut bytes = encode_success(request, None, Some(load));
+            bytes.extend(b"noise\r\n");
+            bytes
         }
-        ServerResponse::Malformed(_) => [
-            good(None, "inflight=x,queue=-,util".into()),
-            b"noise\r\n".to_vec(),
-        ]
-        .concat(),
     }
 }
 
-impl Stage {
-    pub(super) fn open_door(&mut self, gateway: usize, server: ServerId) -> Result<(), String> {
-        let (key, at) = self.door(|door| Place::ServerDoor {
-            gateway,
-            server,
-            door,
-        })?;
-        self.gateways[gateway].doors.insert(server, (key, at));
+impl LoopbackRun {
+    /// Opens the address at which a gateway meets a server.
+    pub(super) fn open_server_listener(
+        &mut self,
+        gateway: usize,
+        server: ServerId,
+    ) -> Result<(), LabError> {
+        let listener = self
+            .sources
+            .listen(gateway, ListenerPurpose::Server(server))?;
+        self.gateways[gateway]
+            .server_listeners
+            .insert(server, listener);
         Ok(())
     }
 
-    /// Lines of the list as one gateway is told them.
-    pub(super) fn lines(&self, gateway: usize, changes: &[EndpointChange]) -> Vec<Value> {
-        let line = |change: &EndpointChange| {
-            let it = self.world.server(change.server);
-            let door = self.gateways[gateway].doors.get(&change.server);
-            let endpoint = door.map_or(String::new(), |(_, at)| at.to_string());
-            let state = match change.state {
-                ListingState::Active => "active",
-                ListingState::Draining => "leaving",
-                ListingState::Removed => "left",
-            };
-            let zone = node_settings::zone_name(it.zone);
-            let started_ms = change.started_at.map_or(0, |at| self.clock.unix_ms(at));
-            let (uid, kind, cell) = (it.name.as_str(), it.machine_type.as_str(), it.cell);
-            ListedServer {
-                uid,
-                endpoint: &endpoint,
-                zone: &zone,
-                kind,
-                cell,
-                state,
-                started_ms,
+    /// A server listens, at all gateways.
+    pub(super) fn start_server(&mut self, server: ServerId) -> Result<(), LabError> {
+        for gateway in 0..self.gateways.len() {
+            if !self.gateways[gateway]
+                .server_listeners
+                .contains_key(&server)
+            {
+                self.open_server_listener(gateway, server)?;
             }
-            .json()
-        };
-        changes.iter().map(line).collect()
+        }
+        Ok(())
     }
 
-    /// A server's process has ended: its doors are shut and its connections end.
-    pub(super) fn down(&mut self, server: ServerId) -> Result<(), String> {
+    /// A server refuses connections, and its open ones end.
+    pub(super) fn stop_server(&mut self, server: ServerId) -> Result<(), LabError> {
         for gateway in 0..self.gateways.len() {
-            if let Some((key, _)) = self.gateways[gateway].doors.remove(&server) {
-                self.close(key)?;
+            if let Some(listener) = self.gateways[gateway].server_listeners.remove(&server) {
+                self.close(listener.key)?;
             }
         }
-        let of = |place: &Place| matches!(place, Place::Upstream(it) if it.server == server);
-        let keys: Vec<usize> = self
-            .places
+        self.close_where(
+            |source| matches!(source, EventSource::Server(found) if found.server == server),
+        )
+    }
+
+    /// Changes of the endpoint list in the words of discovery, with the addresses that one gateway knows.
+    pub(super) fn list_lines(&self, gateway: usize, changes: &[EndpointChange]) -> Vec<Value> {
+        changes
             .iter()
-            .filter(|(_, it)| of(it))
-            .map(|(key, _)| key)
-            .collect();
-        keys.into_iter().try_for_each(|key| self.close(key))
+            .map(|change| self.list_line(gateway, change))
+            .collect()
+    }
+
+    fn list_line(&self, gateway: usize, change: &EndpointChange) -> Value {
+        let server = self.world.server(change.server);
+        let listener = self.gateways[gateway].server_listeners.get(&change.server);
+        let address = listener.map_or(String::new(), |listener| listener.address.to_string());
+        let state = match change.state {
+            ListingState::Active => "active",
+            ListingState::Draining => "leaving",
+            ListingState::Removed => "left",
+        };
+        let started_ms = change
+            .started_at
+            .map_or(0, |started_at| self.clock.unix_ms(started_at));
+        let line = ListedServer {
+            uid: &server.name,
+            endpoint: &address,
+            zone: &node_settings::zone_name(server.zone),
+            kind: &server.machine_type,
+            cell: server.cell,
+            state,
+            started_ms,
+        };
+        line.json()
     }
 
-    pub(super) fn upstream_ready(&mut self, key: usize) -> Result<(), String> {
-        let Some(Place::Upstream(it)) = self.places.get_mut(key) else {
+    pub(super) fn on_server_readable(&mut self, key: usize) -> Result<(), LabError> {
+        let Some(connection) = self.sources.server_mut(key) else {
             return Ok(());
         };
-        let open = it.wire.read();
-        it.used = self.now;
-        let (gateway, server) = (it.gateway, it.server);
-        let (mut took, mut wrong) = (0, false);
-        let mut commands = Vec::new();
-        while took < it.wire.input.len() && !wrong {
-            match decode(&it.wire.input[took..]) {
-                Ok(Some((frame, length))) => {
-                    took += length;
-                    commands.push(words(frame).unwrap_or_default());
-                }
-                Ok(None) => break,
-                Err(_) => wrong = true,
-            }
-        }
-        it.wire.input.drain(..took);
-        for words in commands {
-            wrong |= !self.command(key, gateway, server, &words)?;
+        let state = connection.connection.read();
+        connection.last_used = self.now;
+        let origin = CommandOrigin {
+            key,
+            gateway: connection.gateway,
+            server: connection.server,
+        };
+        let taken = resp::take_frames(&mut connection.connection.input);
+        let mut is_invalid = taken.is_malformed;
+        for frame in taken.frames {
+            let outcome = self.serve_command(origin, &command_words(frame))?;
+            is_invalid |= outcome == CommandOutcome::Unknown;
         }
-        if wrong {
-            let at = self.now.as_secs_f64();
-            self.crashes.push(format!(
-                "gateway {gateway} at {at:.3} s: sent what no client asked"
-            ));
+        if is_invalid {
+            self.report_crash(origin.gateway, "sent what no client asked");
         }
-        if !open || wrong {
+        if is_invalid || state == ConnectionState::Closed {
             return self.close(key);
         }
         Ok(())
     }
 
-    /// One command; false where no client sent one like it.
-    fn command(
+    /// Serves one command of a gateway.
+    fn serve_command(
         &mut self,
-        key: usize,
-        gateway: usize,
-        server: ServerId,
+        origin: CommandOrigin,
         words: &[Vec<u8>],
-    ) -> Result<bool, String> {
-        let verb = words
-            .first()
-            .map(|word| word.to_ascii_uppercase())
-            .unwrap_or_default();
-        let at_once = match verb.as_slice() {
-            b"PING" => b"+PONG\r\n".as_slice(),
-            b"CLIENT" | b"SELECT" => b"+OK\r\n",
-            b"INFO" if words.get(1).is_some_and(|word| word == b"load") => {
-                return Ok(self.probed(key, server))
-            }
-            b"SVC.QUERY" | b"SVC.SUBMIT" => {
-                let Some(ask) = asked(words).filter(|ask| self.world.knows_request(*ask)) else {
-                    return Ok(false);
-                };
-                let terms = words
-                    .get(3)
-                    .and_then(|list| std::str::from_utf8(list).ok())
-                    .unwrap_or_default();
-                let wait = terms
-                    .split(',')
-                    .find_map(|pair| pair.strip_prefix("d=")?.parse().ok());
-                let Some(wait) = wait.map(Duration::from_millis) else {
-                    return Ok(false);
-                };
-                self.world
-                    .rule_checker
-                    .on_advertised_timeout(self.now, ask, gateway, wait);
-                let Some(Place::Upstream(it)) = self.places.get_mut(key) else {
-                    return Ok(true);
-                };
-                let fresh = std::mem::replace(&mut it.fresh, false);
-                let mut actions = Vec::new();
-                let of = self.world.on_attempt_arrival(
-                    self.now,
-                    AttemptArrival {
-                        gateway,
-                        server,
-                        request: ask,
-                        fresh_connection: fresh,
-                    },
-                    &mut actions,
-                );
-                if let Some(Place::Upstream(it)) = self.places.get_mut(key) {
-                    it.turns.asked(of);
-                }
-                self.trying.insert(of, key);
-                self.carry(actions)?;
-                return Ok(true);
+    ) -> Result<CommandOutcome, LabError> {
+        let verb = words.first().map(|word| word.to_ascii_uppercase());
+        match verb.as_deref() {
+            Some(b"PING") => self.queue_server_bytes(origin.key, b"+PONG\r\n"),
+            Some(b"CLIENT" | b"SELECT") => self.queue_server_bytes(origin.key, b"+OK\r\n"),
+            Some(b"INFO") if words.get(1).is_some_and(|word| word == b"load") => {
+                self.answer_load_probe(origin);
             }
-            _ => return Ok(false),
+            Some(b"SVC.QUERY" | b"SVC.SUBMIT") => return self.begin_attempt(origin, words),
+            _ => return Ok(CommandOutcome::Unknown),
+        }
+        Ok(CommandOutcome::Served)
+    }
+
+    /// An attempt has come; the world has the server answer it.
+    fn begin_attempt(
+        &mut self,
+        origin: CommandOrigin,
+        words: &[Vec<u8>],
+    ) -> Result<CommandOutcome, LabError> {
+        let known = command_request(words).filter(|request| self.world.knows_request(*request));
+        let (Some(request), Some(timeout)) = (known, command_timeout(words)) else {
+            return Ok(CommandOutcome::Unknown);
         };
-        if let Some(Place::Upstream(it)) = self.places.get_mut(key) {
-            it.wire.put(at_once);
-            self.written.push(key);
+        self.world
+            .rule_checker
+            .on_advertised_timeout(self.now, request, origin.gateway, timeout);
+        let Some(connection) = self.sources.server_mut(origin.key) else {
+            return Ok(CommandOutcome::Served);
+        };
+        let arrival = AttemptArrival {
+            gateway: origin.gateway,
+            server: origin.server,
+            request,
+            fresh_connection: std::mem::replace(&mut connection.is_new, false),
+        };
+        let mut actions = Vec::new();
+        let attempt = self
+            .world
+            .on_attempt_arrival(self.now, arrival, &mut actions);
+        if let Some(receiver) = self.sources.server_mut(origin.key) {
+            receiver.responses.push_request(attempt);
+        }
+        self.attempts.insert(attempt, origin.key);
+        self.perform_actions(actions)?;
+        Ok(CommandOutcome::Served)
+    }
+
+    fn queue_server_bytes(&mut self, key: usize, bytes: &[u8]) {
+        if let Some(connection) = self.sources.server_mut(key) {
+            connection.connection.queue(bytes);
+            self.unflushed.push(key);
         }
-        Ok(true)
     }
 
-    /// A probe: answered with the server's load where the settings allow that.
-    fn probed(&mut self, key: usize, server: ServerId) -> bool {
-        let said = match self.world.on_load_probe(self.now, server) {
-            Some(load) => encoded(&bulk(load.to_string())),
+    /// Answers a probe with the server's load, where the settings allow that.
+    fn answer_load_probe(&mut self, origin: CommandOrigin) {
+        let response = match self.world.on_load_probe(self.now, origin.server) {
+            Some(load) => resp::encode(&bulk_string(load.to_string())),
             None => b"-NOPERM\r\n".to_vec(),
         };
-        if let Some(Place::Upstream(it)) = self.places.get_mut(key) {
-            it.wire.put(&said);
-            self.written.push(key);
-        }
-        true
+        self.queue_server_bytes(origin.key, &response);
     }
 
-    pub(super) fn reply(&mut self, of: AttemptId, says: ServerResponse) -> Result<(), String> {
-        let ask = self.world.attempt(of).request;
-        let Some(key) = self.trying.remove(&of) else {
-            return Ok(());
+    /// The world has a server answer an attempt.
+    pub(super) fn send_server_response(&mut self, attempt: AttemptId, response: ServerResponse) {
+        let request = self.world.attempt(attempt).request;
+        let Some(key) = self.attempts.remove(&attempt) else {
+            return;
         };
-        if let Some(Place::Upstream(it)) = self.places.get_mut(key) {
-            let out = it.turns.answered(of, said(says, ask));
-            it.wire.put(&out);
-            it.used = self.now;
-            self.written.push(key);
+        if let Some(connection) = self.sources.server_mut(key) {
+            let bytes = encode_response(response, request);
+            let ready = connection.responses.complete(attempt, bytes);
+            connection.connection.queue(&ready);
+            connection.last_used = self.now;
+            self.unflushed.push(key);
         }
-        Ok(())
     }
 
-    /// Connections that have stood idle for the time that a server keeps them are closed by it.
-    pub(super) fn close_idle(&mut self) -> Result<(), String> {
-        let keep = Duration::from_secs_f64(self.world.experiment.fleet.idle_timeout);
-        let old = |place: &Place| match place {
-            Place::Upstream(it) => it.turns.open().next().is_none() && it.used + keep <= self.now,
+    /// Servers close the connections that have been idle for as long as they keep them.
+    pub(super) fn close_idle_server_connections(&mut self) -> Result<(), LabError> {
+        let now = self.now;
+        let timeout = Duration::from_secs_f64(self.world.experiment.fleet.idle_timeout);
+        self.close_where(|source| match source {
+            EventSource::Server(server) => server.is_idle() && server.last_used + timeout <= now,
             _ => false,
-        };
-        let keys: Vec<usize> = self
-            .places
-            .iter()
-            .filter(|(_, it)| old(it))
-            .map(|(key, _)| key)
-            .collect();
-        keys.into_iter().try_for_each(|key| self.close(key))
+        })
     }
 
-    pub(super) fn upstream_over(&mut self, it: Upstream) {
-        for of in it.turns.open() {
-            self.trying.remove(&of);
-            self.world.on_attempt_abandoned(self.now, of);
+    pub(super) fn on_server_connection_closed(&mut self, connection: ServerConnection) {
+        for attempt in connection.responses.pending() {
+            self.attempts.remove(&attempt);
+            self.world.on_attempt_abandoned(self.now, attempt);
         }
-        self.world.on_disconnect(it.server);
-        it.wire.close(&self.registry);
+        self.world.on_disconnect(connection.server);
+        connection.connection.close(self.sources.registry());
     }
 }
--- a/tool/src/lab.rs
+++ b/tool/src/lab.rs
@@ -527,7 +527,7 @@
     let most = it
         .seconds
         .map(|seconds| Duration::from_secs_f64(seconds.clamp(0.0, 1e9)));
-    loopback::tap(it.listen, it.to, &it.out, most, &stop)?;
+    loopback::record_traffic(it.listen, it.to, &it.out, most, &stop)?;
     slog::info!(log, "recorded"; "file" => %it.out.display());
     Ok(())
 }
