--- a/src/settings.rs
+++ b/src/settings.rs
@@ -28,6 +28,38 @@
     pub routes: BTreeMap<RouteName, Route>,
 }
 
+impl Settings {
+    /// The plan of that name; one that is not stated has no quota and no price.
+    pub fn plan(&self, name: &PlanName) -> &Plan {
+        self.plans.get(name).unwrap_or(&UNKNOWN_PLAN)
+    }
+
+    /// The route of that name; one that is not stated is worth nothing and is never retried.
+    pub fn route(&self, name: &RouteName) -> &Route {
+        self.routes.get(name).unwrap_or(&UNKNOWN_ROUTE)
+    }
+
+    /// What a request is worth: the value of its route, times the price of its plan, times its units.
+    pub fn value_of(&self, request: &Request) -> f64 {
+        let price = self.plan(&request.plan).price;
+        self.route(&request.route).value * price * request.units
+    }
+
+    /// How many gateways share the quotas, the endpoints and the counter: this one at the least.
+    pub fn gateway_count(&self) -> f64 {
+        f64::from(self.gateways.max(1))
+    }
+
+    /// The longest that a client of any route waits.
+    pub fn longest_timeout(&self) -> Duration {
+        self.routes
+            .values()
+            .map(|route| route.client_timeout)
+            .max()
+            .unwrap_or_default()
+    }
+}
+
 /// How endpoint updates come.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
@@ -103,6 +135,22 @@
     pub ceiling_burst: f64,
 }
 
+/// What holds for a plan that is not stated: no quota and no price.
+const UNKNOWN_PLAN: Plan = Plan {
+    rate: 0.0,
+    burst: 0.0,
+    concurrency_limit: 0.0,
+    price: 0.0,
+    ceiling_rate: 0.0,
+    ceiling_burst: 0.0,
+};
+
+impl Default for Plan {
+    fn default() -> Self {
+        UNKNOWN_PLAN
+    }
+}
+
 /// A route: what its requests are worth and how they may be retried.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
@@ -122,6 +170,23 @@
     pub late_value_ratio: f64,
 }
 
+/// What holds for a route that is not stated: worth nothing and never retried.
+const UNKNOWN_ROUTE: Route = Route {
+    idempotency: Idempotency::NonIdempotent,
+    deduplication_scope: DeduplicationScope::Cell,
+    deduplication_window: Duration::ZERO,
+    latency_target: Duration::ZERO,
+    client_timeout: Duration::ZERO,
+    value: 0.0,
+    late_value_ratio: 0.0,
+};
+
+impl Default for Route {
+    fn default() -> Self {
+        UNKNOWN_ROUTE
+    }
+}
+
 /// Whether a request may be sent again once it may have run.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub enum Idempotency {
@@ -145,66 +210,3 @@
     #[default]
     Cell,
 }
-
-const UNKNOWN_PLAN: Plan = Plan {
-    rate: 0.0,
-    burst: 0.0,
-    concurrency_limit: 0.0,
-    price: 0.0,
-    ceiling_rate: 0.0,
-    ceiling_burst: 0.0,
-};
-
-const UNKNOWN_ROUTE: Route = Route {
-    idempotency: Idempotency::NonIdempotent,
-    deduplication_scope: DeduplicationScope::Cell,
-    deduplication_window: Duration::ZERO,
-    latency_target: Duration::ZERO,
-    client_timeout: Duration::ZERO,
-    value: 0.0,
-    late_value_ratio: 0.0,
-};
-
-impl Default for Plan {
-    fn default() -> Self {
-        UNKNOWN_PLAN
-    }
-}
-
-impl Default for Route {
-    fn default() -> Self {
-        UNKNOWN_ROUTE
-    }
-}
-
-impl Settings {
-    /// The plan of that name; one that is not stated has no quota and no price.
-    pub fn plan(&self, name: &PlanName) -> &Plan {
-        self.plans.get(name).unwrap_or(&UNKNOWN_PLAN)
-    }
-
-    /// The route of that name; one that is not stated is worth nothing and is never retried.
-    pub fn route(&self, name: &RouteName) -> &Route {
-        self.routes.get(name).unwrap_or(&UNKNOWN_ROUTE)
-    }
-
-    /// What a request is worth: the value of its route, times the price of its plan, times its units.
-    pub fn value_of(&self, request: &Request) -> f64 {
-        let price = self.plan(&request.plan).price;
-        self.route(&request.route).value * price * request.units
-    }
-
-    /// How many gateways share the quotas, the endpoints and the counter: this one at the least.
-    pub fn gateway_count(&self) -> f64 {
-        f64::from(self.gateways.max(1))
-    }
-
-    /// The longest that a client of any route waits.
-    pub fn longest_timeout(&self) -> Duration {
-        self.routes
-            .values()
-            .map(|route| route.client_timeout)
-            .max()
-            .unwrap_or_default()
-    }
-}
