--- a/src/control/counter_names.rs
+++ b/src/control/counter_names.rs
@@ -4,9 +4,9 @@
 use crate::port::{CounterName, CustomerId};
 use std::time::Duration;
 
-/// What a hash is for: the same customer and number give other names for other purposes.
+/// What a hash is for: the same customer and number give other hashes in other domains.
 #[derive(Clone, Copy)]
-enum Purpose {
+enum HashDomain {
     Phase = 0,
     Leases = 1,
     Window = 2,
@@ -28,7 +28,7 @@
 /// gateways renew the leases of all customers at one instant.
 pub(super) fn interval_at(customer: &CustomerId, length: Duration, at: Duration) -> Interval {
     let length = length.as_nanos() as u64;
-    let phase = stable_hash(&customer.0, Purpose::Phase, 0) % length;
+    let phase = stable_hash(&customer.0, HashDomain::Phase, 0) % length;
     let number = (at.as_nanos() as u64 + phase) / length;
     Interval {
         number: number + FIRST_INTERVAL,
@@ -38,21 +38,21 @@
 
 /// The name that counts a customer's leases in a period.
 pub(super) fn lease_counter(customer: &CustomerId, period: u64) -> CounterName {
-    CounterName(stable_hash(&customer.0, Purpose::Leases, period))
+    CounterName(stable_hash(&customer.0, HashDomain::Leases, period))
 }
 
 /// The name that counts the units of a customer in a window.
 pub(super) fn window_counter(customer: &CustomerId, window: u64) -> CounterName {
-    CounterName(stable_hash(&customer.0, Purpose::Window, window))
+    CounterName(stable_hash(&customer.0, HashDomain::Window, window))
 }
 
 /// A hash (FNV-1a, its bits mixed once more) that is the same at every gateway and in every build, below 2^63.
-fn stable_hash(text: &str, purpose: Purpose, number: u64) -> u64 {
+fn stable_hash(text: &str, domain: HashDomain, number: u64) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     let bytes = text
         .bytes()
-        .chain([purpose as u8])
+        .chain([domain as u8])
         .chain(number.to_le_bytes());
     let hash = bytes.fold(OFFSET_BASIS, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(PRIME)
--- a/src/control/counter_names/tests.rs
+++ b/src/control/counter_names/tests.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn names_and_phases_are_the_same_in_every_build() {
-    // FNV-1a of the customer, the purpose's byte and the number's eight bytes, low first; then hash ^ hash >> 29, halved;
+    // FNV-1a of the customer, the domain's byte and the number's eight bytes, low first; then hash ^ hash >> 29, halved;
     // the phase is such a hash modulo the length. Computed by a program of its own.
     for (customer, leases, window, phase) in [
         ("ann", 0x43bba52d8fe44192, 0x30807ac2bfbad38d, 1675288886),
--- a/src/port.rs
+++ b/src/port.rs
@@ -60,7 +60,7 @@
 /// The longest span that [`seconds`] gives: about thirty years, so that sums of spans stay sound.
 const MAX_SPAN_SECONDS: f64 = 1e9;
 
-/// A span of so many seconds; negative numbers and NaN give zero, large ones [`MAX_SPAN_SECONDS`].
+/// A span of so many seconds; negative numbers and NaN give zero, large ones about thirty years.
 pub fn seconds(number: f64) -> Duration {
     Duration::from_secs_f64(number.clamp(0.0, MAX_SPAN_SECONDS).max(0.0))
 }
