--- a/edge/src/event_loop.rs
+++ b/edge/src/event_loop.rs
@@ -1,184 +1,149 @@
-//! The loop: one poll a turn. What comes in is put in line for the decisions; what they ask for is done at once, and
-//! written when the turn ends.
+//! The event loop: one poll a turn. What comes in is queued for the admission controller; what that asks for is done at
+//! once, and written when the turn ends.
 
-use crate::deadlines::Deadline;
 use crate::gateway::Gateway;
 use crate::notification::Notification;
 use crate::readiness::Readiness;
 use mio::{Events, Poll};
 use std::cell::RefCell;
 use std::io;
-use std::rc::Rc;
 use std::time::Duration;
 use wellcrank::control::AdmissionController;
-use wellcrank::port::*;
+use wellcrank::port::{AttemptNumber, AttemptResult, Request, RequestId};
 
-/// Runs until the gateway has been told to stop and nobody is left to answer.
-pub fn run(
+/// How many events the poll may return at once.
+const MAX_EVENTS: usize = 1024;
+
+/// Runs until the gateway was told to stop and nobody is left to answer.
+pub(crate) fn run(
     poll: &mut Poll,
-    gateway: &Rc<RefCell<Gateway>>,
-    control: &mut AdmissionController,
+    gateway: &RefCell<Gateway>,
+    controller: &mut AdmissionController,
 ) -> io::Result<()> {
-    let mut events = Events::with_capacity(1024);
-    loop {
-        let wait = {
-            let gateway = &mut *gateway.borrow_mut();
-            if gateway.finished() {
-                return Ok(());
-            }
-            gateway.reactor.poll_timeout()
-        };
-        match poll.poll(&mut events, wait) {
-            Err(error) if error.kind() != io::ErrorKind::Interrupted => return Err(error),
-            _ => (),
-        }
-        {
-            let gateway = &mut *gateway.borrow_mut();
-            gateway.reactor.begin_turn();
-            for event in &events {
-                gateway.ready(event.token(), Readiness::from(event));
-            }
-            while let Some(due) = gateway.reactor.take_expired_deadline() {
-                gateway.due(due);
-            }
-        }
-        loop {
-            hand_over(gateway, control);
-            let gateway = &mut *gateway.borrow_mut();
-            if !gateway.reactor.has_scheduled_flushes() && !gateway.resume() {
-                break;
-            }
-            gateway.flush();
-        }
+    let mut events = Events::with_capacity(MAX_EVENTS);
+    while !gateway.borrow_mut().is_finished() {
+        let timeout = gateway.borrow().reactor.poll_timeout();
+        wait_for_events(poll, &mut events, timeout)?;
+        handle_events(&mut gateway.borrow_mut(), &events);
+        finish_turn(gateway, controller);
     }
+    Ok(())
 }
 
-/// Hands the decisions what has come, one by one, each at its time.
-fn hand_over(gateway: &Rc<RefCell<Gateway>>, control: &mut AdmissionController) {
-    loop {
-        let (news, now) = {
-            let reactor = &mut gateway.borrow_mut().reactor;
-            let Some(news) = reactor.take_notification() else {
-                return;
-            };
-            (news, reactor.now)
-        };
-        control.set_time(now);
-        match news {
-            // Its client may have left in the same turn: nothing is begun for it.
-            Notification::Request(arrival) => {
-                gateway.borrow_mut().reactor.metrics.requests += 1;
-                let open = gateway.borrow().calls.is_wanted(&arrival.id);
-                match open {
-                    true => control.on_request(arrival),
-                    false => control.reject_unadmitted(&arrival.id),
-                }
-            }
-            Notification::RejectUnadmitted(call) => {
-                gateway.borrow_mut().reactor.metrics.requests += 1;
-                control.reject_unadmitted(&call);
-            }
-            Notification::ClientDisconnect(call) => {
-                gateway.borrow_mut().left(&call);
-                control.on_client_disconnect(&call);
-            }
-            Notification::ExpireRequest(call) => control.expire_request(&call),
-            Notification::AttemptEnd {
-                request: call,
-                attempt: number,
-                result: mut end,
-            } => {
-                gateway
-                    .borrow_mut()
-                    .reactor
-                    .metrics
-                    .count_attempt(end.outcome);
-                end.request_closed |= !gateway.borrow().calls.is_unanswered(&call);
-                let closed = end.request_closed;
-                control.on_attempt_end(&call, number, end);
-                if closed {
-                    gateway.borrow_mut().forget(&call);
-                }
-            }
-            Notification::CounterReply { name, reply } => control.on_counter_reply(name, reply),
-            Notification::EndpointUpdate { timing, update } => {
-                control.on_endpoint_update(timing, update)
-            }
-            Notification::Timer(token) => control.on_timer(token),
-            Notification::Reconfigure(settings) => control.reconfigure(settings),
-        }
+/// Waits until the poll has something to tell, a signal has come or the time is up.
+fn wait_for_events(
+    poll: &mut Poll,
+    events: &mut Events,
+    timeout: Option<Duration>,
+) -> io::Result<()> {
+    match poll.poll(events, timeout) {
+        Err(error) if error.kind() == io::ErrorKind::Interrupted => Ok(()),
+        outcome => outcome,
     }
 }
 
-/// What the decisions ask for, done on the sockets.
-pub struct SocketPort(pub Rc<RefCell<Gateway>>);
-
-impl Port for SocketPort {
-    fn send(
-        &mut self,
-        call: &RequestId,
-        server: &EndpointId,
-        timeout: Duration,
-        whole_by: Duration,
-    ) {
-        self.0.borrow_mut().send(call, server, timeout, whole_by);
-    }
-    fn cancel(&mut self, call: &RequestId, number: AttemptNumber) {
-        let Gateway { reactor, pool, .. } = &mut *self.0.borrow_mut();
-        pool.cancel(reactor, call, number);
-    }
-    fn reject(&mut self, call: &RequestId, retry_after: Duration) {
-        let gateway = &mut *self.0.borrow_mut();
-        let advised = gateway.reactor.settings.limits.sends_retry_after;
-        gateway.reactor.metrics.rejected += 1;
-        gateway.answer(call, |out| {
-            let advice = format!("-BUSY {}\r\n", retry_after.as_millis());
-            out.extend_from_slice(if advised {
-                advice.as_bytes()
-            } else {
-                b"-BUSY\r\n"
-            });
-        });
+/// Hands each event, and then all that is due, to its component.
+fn handle_events(gateway: &mut Gateway, events: &Events) {
+    gateway.reactor.begin_turn();
+    for event in events {
+        gateway.on_readiness(event.token(), Readiness::from(event));
     }
-    fn fail(&mut self, call: &RequestId) {
-        let gateway = &mut *self.0.borrow_mut();
-        gateway.reactor.metrics.failed += 1;
-        gateway.answer(call, |out| out.extend_from_slice(b"-ERR failed\r\n"));
+    while let Some(deadline) = gateway.reactor.take_expired_deadline() {
+        gateway.on_deadline(deadline);
     }
-    fn add_to_counter(&mut self, name: CounterName, add: f64, keep: Duration) {
-        let Gateway {
-            reactor, counter, ..
-        } = &mut *self.0.borrow_mut();
-        counter.count(reactor, name, add, keep);
-    }
-    fn set_timer(&mut self, token: TimerToken, at: Duration) {
-        self.0
-            .borrow_mut()
-            .reactor
-            .set_deadline(at, Deadline::ControllerTimer(token));
+}
+
+/// Hands over what has come and writes what was collected, until neither brings anything new.
+fn finish_turn(gateway: &RefCell<Gateway>, controller: &mut AdmissionController) {
+    loop {
+        hand_over_notifications(gateway, controller);
+        let mut gateway = gateway.borrow_mut();
+        if !gateway.reactor.has_scheduled_flushes() && !gateway.resume_clients() {
+            return;
+        }
+        gateway.flush_connections();
     }
-    /// The decisions send no probes, and would not be told of an answer.
-    fn probe(&mut self, _: &EndpointId) {}
-    fn subscribe(&mut self, on: bool) {
-        let Gateway {
-            reactor, discovery, ..
-        } = &mut *self.0.borrow_mut();
-        discovery.follow(reactor, on);
+}
+
+/// Hands the controller what has come, one by one, each at its time.
+fn hand_over_notifications(gateway: &RefCell<Gateway>, controller: &mut AdmissionController) {
+    while let Some((notification, now)) = next_notification(gateway) {
+        controller.set_time(now);
+        hand_over(notification, gateway, controller);
     }
-    fn refetch_endpoints(&mut self) {
-        let Gateway {
-            reactor, discovery, ..
-        } = &mut *self.0.borrow_mut();
-        discovery.refetch(reactor);
+}
+
+/// The notification that was queued first, and the time at which it is handed over.
+fn next_notification(gateway: &RefCell<Gateway>) -> Option<(Notification, Duration)> {
+    let reactor = &mut gateway.borrow_mut().reactor;
+    let notification = reactor.take_notification()?;
+    Some((notification, reactor.now))
+}
+
+/// Hands the controller one notification. The controller acts through its port meanwhile, which borrows the gateway.
+fn hand_over(
+    notification: Notification,
+    gateway: &RefCell<Gateway>,
+    controller: &mut AdmissionController,
+) {
+    match notification {
+        Notification::Request(request) => hand_over_request(request, gateway, controller),
+        Notification::RejectUnadmitted(request) => {
+            gateway.borrow_mut().reactor.metrics.requests += 1;
+            controller.reject_unadmitted(&request);
+        }
+        Notification::ClientDisconnect(request) => {
+            gateway.borrow_mut().on_client_disconnect(&request);
+            controller.on_client_disconnect(&request);
+        }
+        Notification::ExpireRequest(request) => controller.expire_request(&request),
+        Notification::AttemptEnd {
+            request,
+            attempt,
+            result,
+        } => hand_over_attempt_end(&request, attempt, result, gateway, controller),
+        Notification::CounterReply { name, reply } => controller.on_counter_reply(name, reply),
+        Notification::EndpointUpdate { timing, update } => {
+            controller.on_endpoint_update(timing, update);
+        }
+        Notification::Timer(token) => controller.on_timer(token),
+        Notification::Reconfigure(settings) => controller.reconfigure(settings),
     }
-    fn close_idle_connections(&mut self, server: &EndpointId) {
-        let Gateway { reactor, pool, .. } = &mut *self.0.borrow_mut();
-        pool.release(reactor, server);
+}
+
+fn hand_over_request(
+    request: Request,
+    gateway: &RefCell<Gateway>,
+    controller: &mut AdmissionController,
+) {
+    let is_wanted = {
+        let mut gateway = gateway.borrow_mut();
+        gateway.reactor.metrics.requests += 1;
+        gateway.is_wanted(&request.id)
+    };
+    // Its client may have left in the same turn: nothing is begun for it.
+    if is_wanted {
+        controller.on_request(request);
+    } else {
+        controller.reject_unadmitted(&request.id);
     }
-    fn send_to_peer(&mut self, peer: Option<u32>, body: &[u8]) {
-        self.0.borrow().peers.tell(peer, body);
+}
+
+fn hand_over_attempt_end(
+    request: &RequestId,
+    attempt: AttemptNumber,
+    mut result: AttemptResult,
+    gateway: &RefCell<Gateway>,
+    controller: &mut AdmissionController,
+) {
+    {
+        let mut gateway = gateway.borrow_mut();
+        gateway.reactor.metrics.count_attempt(result.outcome);
+        result.request_closed |= !gateway.is_unanswered(request);
     }
-    fn log(&mut self, text: &str) {
-        slog::info!(self.0.borrow().reactor.log, "{}", text);
+    let request_closed = result.request_closed;
+    controller.on_attempt_end(request, attempt, result);
+    if request_closed {
+        gateway.borrow_mut().close_request(request);
     }
 }
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -1,8 +1,9 @@
-//! All that one gateway owns beside its decisions: the sides, the open API calls and the reactor they share.
-//! Tells each event of the poll and each due time to the side that it belongs to.
+//! All that one gateway owns beside the admission controller: the components, the open requests and the reactor that
+//! they share. Hands each event of the poll and each deadline to its component.
 
 use crate::clients::Clients;
 use crate::component::Component;
+use crate::config::{NodeConfig, RestartOnlyConfig};
 use crate::counter::Counter;
 use crate::deadlines::Deadline;
 use crate::discovery::{DiscoveryFollower, EndpointListMessage, ParsedUpdate};
@@ -12,105 +13,166 @@
 use crate::pool::{NewAttempt, Pool};
 use crate::reactor::Reactor;
 use crate::readiness::Readiness;
-use crate::requests::OpenRequests;
+use crate::reload::reload_config;
+use crate::requests::{OpenRequest, OpenRequests};
 use crate::shutdown::GracefulShutdown;
-use crate::StartupOnly;
 use mio::Token;
 use signal_hook::consts::SIGHUP;
 use signal_hook_mio::v1_0::Signals;
-use std::rc::Rc;
 use std::time::Duration;
-use wellcrank::port::*;
-use wellcrank::settings::Settings;
-
-/// A gateway that has no server list, since its configuration holds none and discovery says nothing, is ready so long
-/// after its start all the same: nine in ten restarted ones must be within 10 s. Harm: API calls come to it that others
-/// could serve; it refuses them at once, with advice.
-const READY: Duration = Duration::from_secs(8);
-
-pub struct Gateway {
-    pub reactor: Reactor,
-    pub calls: OpenRequests,
-    pub clients: Clients,
-    pub pool: Pool,
-    pub counter: Counter,
-    pub discovery: DiscoveryFollower,
-    pub peers: Peers,
-    pub signals: Signals,
-    pub started: Duration,
-    /// When discovery told last, news or none.
-    pub list_heard: Option<Duration>,
-    pub startup_only: StartupOnly,
-    /// Seconds since the start, and when the next one is due.
-    pub seconds: u64,
-    pub next_second: Duration,
+use wellcrank::port::{
+    AttemptNumber, CounterName, EndpointId, EndpointState, EndpointUpdate, RequestId, TimerToken,
+    UpdateTiming, TICK_TIMER,
+};
+use wellcrank::settings::DiscoveryMode;
+
+/// A gateway that has no endpoint list, since its configuration holds none and discovery does not answer, is ready so
+/// long after its start all the same: nine in ten restarted ones must be within 10 s. Trade-off: requests come to it
+/// that others could serve; it rejects them at once, with advice.
+const MAX_WAIT_FOR_ENDPOINTS: Duration = Duration::from_secs(8);
+
+/// The interval of the periodic work that is too costly for each tick.
+const SLOW_TICK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// How many slow ticks there are between two reports of the metrics.
+const SLOW_TICKS_PER_REPORT: u64 = 60;
+
+/// One gateway but for its admission controller.
+pub(crate) struct Gateway {
+    /// What the components share.
+    pub(crate) reactor: Reactor,
+    requests: OpenRequests,
+    clients: Clients,
+    pool: Pool,
+    counter: Counter,
+    discovery: DiscoveryFollower,
+    peers: Peers,
+    signals: Signals,
+    started_at: Duration,
+    /// When discovery sent the latest list or change, also one without entries.
+    last_update_at: Option<Duration>,
+    /// What the process was started with.
+    restart_only_config: RestartOnlyConfig,
+    slow_ticks: u64,
+    next_slow_tick_at: Duration,
 }
 
 impl Gateway {
-    pub fn ready(&mut self, token: Token, readiness: Readiness) {
+    /// A gateway that was set up, with no request and no endpoint.
+    pub(crate) fn new(
+        reactor: Reactor,
+        clients: Clients,
+        counter: Counter,
+        discovery: DiscoveryFollower,
+        peers: Peers,
+        signals: Signals,
+        restart_only_config: RestartOnlyConfig,
+    ) -> Gateway {
+        let now = reactor.now;
+        Gateway {
+            reactor,
+            requests: OpenRequests::default(),
+            clients,
+            pool: Pool::default(),
+            counter,
+            discovery,
+            peers,
+            signals,
+            started_at: now,
+            last_update_at: None,
+            restart_only_config,
+            slow_ticks: 0,
+            next_slow_tick_at: now,
+        }
+    }
+
+    /// Takes the configured endpoint list over, and begins to follow discovery's unless the controller is to say when.
+    pub(crate) fn begin_serving(&mut self, config: NodeConfig) {
+        let known = config.known_endpoints.filter(|known| !known.is_empty());
+        if let Some(known) = known {
+            self.apply_endpoint_list(known, None);
+        }
+        if self.reactor.settings.discovery != DiscoveryMode::Subscribe {
+            self.discovery.follow(&mut self.reactor, true);
+        }
+        slog::info!(self.reactor.log, "serving"; "listen" => %config.listen, "budget" => ?self.reactor.budget);
+    }
+
+    /// Hands an event of the poll to the component that it is for.
+    pub(crate) fn on_readiness(&mut self, token: Token, readiness: Readiness) {
         let Gateway {
             reactor,
-            calls,
+            requests,
             clients,
             pool,
             ..
         } = self;
         match Component::from_token(token) {
-            (Component::Listener, _) => clients.accept(reactor, calls),
-            (Component::Client, key) => clients.ready(reactor, key, readiness, calls),
+            (Component::Listener, _) => clients.accept(reactor, requests),
+            (Component::Client, key) => clients.ready(reactor, key, readiness, requests),
             (Component::Lingering, key) => clients.ending(reactor, key),
-            (Component::Upstream, key) => pool.ready(reactor, key, readiness, calls, clients),
+            (Component::Upstream, key) => pool.ready(reactor, key, readiness, requests, clients),
             (Component::Counter, key) => self.counter.ready(reactor, key, readiness),
             (Component::Discovery, key) => {
-                if let Some(news) = self.discovery.ready(reactor, key, readiness) {
-                    let since_last = self
-                        .list_heard
-                        .map(|heard| reactor.now.saturating_sub(heard));
-                    self.list_heard = Some(reactor.now);
-                    self.listed(news, since_last);
+                if let Some(message) = self.discovery.ready(reactor, key, readiness) {
+                    self.on_discovery_message(message);
                 }
             }
             (Component::Peers, _) => self.peers.ready(reactor),
-            (Component::Signals, _) => {
-                for signal in self.signals.pending() {
-                    if signal == SIGHUP {
-                        reread(
-                            reactor,
-                            &mut self.counter,
-                            &mut self.discovery,
-                            &self.startup_only,
-                        );
-                    } else if reactor.shutdown.is_none() {
-                        slog::info!(reactor.log, "stopping: still answering"; "open" => calls.len());
-                        reactor.shutdown =
-                            Some(GracefulShutdown::new(reactor.now, &reactor.settings));
-                    }
-                }
-            }
+            (Component::Signals, _) => self.on_signals(),
         }
     }
 
-    /// A list or a change, from discovery or from the gateway's own configuration; how long ago discovery told before.
-    pub fn listed(&mut self, news: EndpointListMessage, since_last: Option<Duration>) {
-        let mut update = news.parse();
-        self.log_unreadable_entries(&update);
-        self.pool.complete(&mut update);
-        if update.is_snapshot || !update.endpoints.is_empty() {
-            self.apply_update(update, since_last);
+    fn on_signals(&mut self) {
+        let reactor = &mut self.reactor;
+        for signal in self.signals.pending() {
+            if signal == SIGHUP {
+                reload_config(
+                    reactor,
+                    &mut self.counter,
+                    &mut self.discovery,
+                    &self.restart_only_config,
+                );
+            } else if reactor.shutdown.is_none() {
+                slog::info!(reactor.log, "stopping: still answering"; "open_requests" => self.requests.len());
+                let shutdown = GracefulShutdown::new(reactor.now, &reactor.settings);
+                reactor.shutdown = Some(shutdown);
+            }
         }
-        self.clients.ready = true;
     }
 
-    fn log_unreadable_entries(&self, update: &ParsedUpdate) {
+    /// Discovery has sent the endpoint list or a change of it.
+    fn on_discovery_message(&mut self, message: EndpointListMessage) {
+        let now = self.reactor.now;
+        let since_last_update = self
+            .last_update_at
+            .map(|updated_at| now.saturating_sub(updated_at));
+        self.last_update_at = Some(now);
+        self.apply_endpoint_list(message, since_last_update);
+    }
+
+    /// Takes the endpoint list or a change of it over, from discovery or from the gateway's own configuration.
+    /// `since_last_update`: how long ago discovery sent the one before.
+    fn apply_endpoint_list(
+        &mut self,
+        message: EndpointListMessage,
+        since_last_update: Option<Duration>,
+    ) {
+        let mut update = message.parse();
         if let Some(first) = update.unreadable_entries.first() {
             slog::warn!(self.reactor.log, "endpoint list has unreadable entries";
                 "rev" => update.revision, "entries" => update.unreadable_entries.len(),
                 "first" => %first);
         }
+        self.pool.complete(&mut update);
+        if update.is_snapshot || !update.endpoints.is_empty() {
+            self.apply_update(update, since_last_update);
+        }
+        self.clients.ready = true;
     }
 
     /// Hands a complete update to the pool and to the admission controller.
-    fn apply_update(&mut self, update: ParsedUpdate, since_last: Option<Duration>) {
+    fn apply_update(&mut self, update: ParsedUpdate, since_last_update: Option<Duration>) {
         slog::info!(self.reactor.log, "endpoint list updated";
             "rev" => update.revision, "snapshot" => update.is_snapshot,
             "ready" => update.count(EndpointState::Ready),
@@ -121,7 +183,7 @@
             .iter()
             .map(|listed| listed.endpoint.clone())
             .collect();
-        let notified = if update.is_snapshot {
+        let endpoint_update = if update.is_snapshot {
             EndpointUpdate::Snapshot(endpoints)
         } else {
             EndpointUpdate::Delta(endpoints)
@@ -131,213 +193,265 @@
         self.reactor.check_wall_clock();
         let timing = UpdateTiming {
             unix_now: self.reactor.clock.unix_now(),
-            since_last_update: since_last,
+            since_last_update,
         };
         self.reactor.notify(Notification::EndpointUpdate {
             timing,
-            update: notified,
+            update: endpoint_update,
         });
     }
 
-    pub fn due(&mut self, due: Deadline) {
+    /// Hands a deadline that has fallen due to its component.
+    pub(crate) fn on_deadline(&mut self, deadline: Deadline) {
         let reactor = &mut self.reactor;
-        match due {
+        match deadline {
             Deadline::Attempt { key, connection } => self.pool.due(reactor, key, connection),
             Deadline::CounterCall { line, number } => self.counter.due(reactor, line, number),
             Deadline::ControllerTimer(token) => {
                 reactor.notify(Notification::Timer(token));
                 if token == TICK_TIMER {
-                    self.sweep();
+                    self.on_tick();
                 }
             }
         }
     }
 
-    /// What is done now and then; hangs on the decisions' one periodic timer.
-    fn sweep(&mut self) {
+    /// The gateway's own periodic work; hangs on the one periodic timer of the controller.
+    fn on_tick(&mut self) {
         let Gateway {
             reactor,
-            calls,
+            requests,
             clients,
-            pool,
             ..
         } = self;
         if reactor.must_answer_now() {
-            clients.last_answers(reactor, calls);
-            for request in calls.wanted() {
+            clients.last_answers(reactor, requests);
+            for request in requests.wanted() {
                 reactor.notify(Notification::ExpireRequest(request));
             }
         } else if reactor.is_draining() {
-            clients.end_idle(reactor, calls);
+            clients.end_idle(reactor, requests);
         }
-        clients.sweep_idle(reactor, calls);
+        clients.sweep_idle(reactor, requests);
         self.discovery.on_tick(reactor);
-        if reactor.now < self.next_second {
-            return;
+        if reactor.now >= self.next_slow_tick_at {
+            self.slow_ticks += 1;
+            self.next_slow_tick_at = reactor.now + SLOW_TICK_INTERVAL;
+            self.on_slow_tick();
         }
-        (self.seconds, self.next_second) = (self.seconds + 1, reactor.now + Duration::from_secs(1));
-        if reactor.now >= self.started + READY && !clients.ready {
-            slog::warn!(
-                reactor.log,
-                "no server list yet, but ready: API calls are refused until it comes"
-            );
-            clients.ready = true;
-        }
-        if self.seconds.is_multiple_of(60) {
-            let gauges = Gauges {
-                open_requests: calls.len(),
-                client_connections: clients.len(),
-                upstream_connections: pool.len(),
-                buffered_bytes: reactor.buffered_bytes(),
-            };
-            reactor.metrics.report(&reactor.log, &gauges);
+    }
+
+    /// Once a second.
+    fn on_slow_tick(&mut self) {
+        self.stop_waiting_for_endpoints();
+        if self.slow_ticks.is_multiple_of(SLOW_TICKS_PER_REPORT) {
+            self.report_metrics();
         }
+        let Gateway {
+            reactor,
+            requests,
+            clients,
+            pool,
+            ..
+        } = self;
         reactor.check_wall_clock();
         reactor.violations.report(&reactor.log);
-        clients.sweep(reactor, calls);
+        clients.sweep(reactor, requests);
         pool.sweep(reactor);
         self.counter.sweep(reactor);
     }
 
-    /// Told to stop, and nobody is left to answer.
-    pub fn finished(&mut self) -> bool {
+    /// Has the gateway be ready without an endpoint list where none has come for too long.
+    fn stop_waiting_for_endpoints(&mut self) {
+        let waits_until = self.started_at + MAX_WAIT_FOR_ENDPOINTS;
+        if self.reactor.now >= waits_until && !self.clients.ready {
+            slog::warn!(
+                self.reactor.log,
+                "no endpoint list yet, but ready: requests are rejected until it comes"
+            );
+            self.clients.ready = true;
+        }
+    }
+
+    fn report_metrics(&mut self) {
+        let gauges = Gauges {
+            open_requests: self.requests.len(),
+            client_connections: self.clients.len(),
+            upstream_connections: self.pool.len(),
+            buffered_bytes: self.reactor.buffered_bytes(),
+        };
+        self.reactor.metrics.report(&self.reactor.log, &gauges);
+    }
+
+    /// Whether the gateway was told to stop and nobody is left to answer.
+    pub(crate) fn is_finished(&mut self) -> bool {
         // What the counter has not answered by the end was written, and lapses with its name.
-        let counted = self.counter.quiet() || self.reactor.must_answer_now();
-        let quiet = self.clients.len() == 0 && self.calls.len() == 0 && counted;
-        if !quiet || !self.reactor.is_draining() {
+        let is_counted = self.counter.quiet() || self.reactor.must_answer_now();
+        let is_quiet = self.clients.len() == 0 && self.requests.len() == 0 && is_counted;
+        if !is_quiet || !self.reactor.is_draining() {
             return false;
         }
-        // Who has connected since the last look is still answered.
-        self.clients.accept(&mut self.reactor, &mut self.calls);
+        // Clients that have connected since the last poll are still answered.
+        self.clients.accept(&mut self.reactor, &mut self.requests);
         self.clients.len() == 0
     }
 
     /// Writes what the turn has collected, once a connection.
-    pub fn flush(&mut self) {
+    pub(crate) fn flush_connections(&mut self) {
         let Gateway {
             reactor,
-            calls,
+            requests,
             clients,
             pool,
             ..
         } = self;
         for token in reactor.take_scheduled_flushes() {
             match Component::from_token(token) {
-                (Component::Client, key) => clients.flush(reactor, key, calls),
-                (Component::Upstream, key) => pool.flush(reactor, key, calls),
+                (Component::Client, key) => clients.flush(reactor, key, requests),
+                (Component::Upstream, key) => pool.flush(reactor, key, requests),
                 (Component::Counter, key) => self.counter.flush(reactor, key),
                 (_, key) => self.discovery.flush(reactor, key),
             }
         }
     }
 
-    pub fn resume(&mut self) -> bool {
-        self.clients.resume(&mut self.reactor, &mut self.calls)
+    /// Goes on with clients' connections that were held up. Returns whether there were any.
+    pub(crate) fn resume_clients(&mut self) -> bool {
+        self.clients.resume(&mut self.reactor, &mut self.requests)
+    }
+
+    /// Whether a request is open and its client waits for the answer.
+    pub(crate) fn is_wanted(&self, request: &RequestId) -> bool {
+        self.requests.is_wanted(request)
+    }
+
+    /// Whether a request is open and has no answer yet.
+    pub(crate) fn is_unanswered(&self, request: &RequestId) -> bool {
+        self.requests.is_unanswered(request)
     }
 
-    /// Sends an API call on, if it is still open and has a try and time left.
-    pub fn send(
+    /// Begins an attempt, if the request is still wanted and has an attempt and time left.
+    pub(crate) fn send_attempt(
         &mut self,
-        call: &RequestId,
-        server: &EndpointId,
+        request: &RequestId,
+        endpoint: &EndpointId,
         timeout: Duration,
-        whole_by: Duration,
+        send_by: Duration,
     ) {
         let Gateway {
             reactor,
-            calls,
+            requests,
             pool,
             ..
         } = self;
-        let (now, most) = (reactor.now, reactor.settings.limits.max_attempts);
-        let Some(open) = calls.get_mut(call) else {
+        let max_attempts = reactor.settings.limits.max_attempts;
+        let Some(open) = requests.get_mut(request) else {
             return;
         };
         let number = AttemptNumber(open.attempts);
         open.attempts += 1;
-        let until = if timeout.is_zero() {
-            open.deadline
-        } else {
-            open.deadline.min(now + timeout)
-        };
-        if !open.is_wanted() || until <= now || (most > 0 && number.0 >= most) {
-            return pool.not_sent(reactor, call, number);
+        let deadline = attempt_deadline(open, reactor.now, timeout);
+        let has_attempt_left = max_attempts == 0 || number.0 < max_attempts;
+        if !open.is_wanted() || deadline <= reactor.now || !has_attempt_left {
+            return pool.not_sent(reactor, request, number);
         }
         let attempt = NewAttempt {
-            request: call,
+            request,
             number,
-            endpoint: server,
-            deadline: until,
-            send_by: whole_by,
+            endpoint,
+            deadline,
+            send_by,
         };
         pool.send(reactor, &attempt);
     }
 
-    /// The one final answer that the decisions give.
-    pub fn answer(&mut self, call: &RequestId, write: impl FnOnce(&mut Vec<u8>)) {
-        let place = self
-            .calls
-            .get_mut(call)
+    /// Gives an attempt up.
+    pub(crate) fn cancel_attempt(&mut self, request: &RequestId, attempt: AttemptNumber) {
+        self.pool.cancel(&mut self.reactor, request, attempt);
+    }
+
+    /// Answers that the request may be sent again, after `retry_after`.
+    pub(crate) fn reject(&mut self, request: &RequestId, retry_after: Duration) {
+        self.reactor.metrics.rejected += 1;
+        let answer = if self.reactor.settings.limits.sends_retry_after {
+            format!("-BUSY {}\r\n", retry_after.as_millis())
+        } else {
+            "-BUSY\r\n".to_string()
+        };
+        self.answer_request(request, &answer);
+    }
+
+    /// Answers that the request has failed.
+    pub(crate) fn fail(&mut self, request: &RequestId) {
+        self.reactor.metrics.failed += 1;
+        self.answer_request(request, "-ERR failed\r\n");
+    }
+
+    /// Gives a request the controller's final answer, unless it has an endpoint's.
+    fn answer_request(&mut self, request: &RequestId, answer: &str) {
+        let slot = self
+            .requests
+            .get_mut(request)
             .filter(|open| !open.answered)
             .map(|open| open.slot);
-        self.forget(call);
-        if let Some(place) = place {
-            self.clients.answer(&mut self.reactor, place, write);
+        self.close_request(request);
+        if let Some(slot) = slot {
+            self.clients.answer(&mut self.reactor, slot, |out| {
+                out.extend_from_slice(answer.as_bytes());
+            });
         }
     }
 
-    /// The client of an API call has gone.
-    pub fn left(&mut self, call: &RequestId) {
+    /// The client of a request has disconnected.
+    pub(crate) fn on_client_disconnect(&mut self, request: &RequestId) {
         self.reactor.metrics.disconnected += 1;
-        self.forget(call);
+        self.close_request(request);
     }
 
-    /// The API call is over and the decisions know.
-    pub fn forget(&mut self, call: &RequestId) {
-        if let Some(open) = self.calls.remove(call) {
+    /// The request is over, as far as the controller is concerned too.
+    pub(crate) fn close_request(&mut self, request: &RequestId) {
+        if let Some(open) = self.requests.remove(request) {
             self.reactor.release_buffered_bytes(open.command.size());
         }
     }
-}
 
-/// SIGHUP: the file is read again. Its settings hold from now on, and it is followed where it says that others are; a
-/// bad one changes nothing.
-fn reread(
-    reactor: &mut Reactor,
-    counter: &mut Counter,
-    discovery: &mut DiscoveryFollower,
-    started: &StartupOnly,
-) {
-    match crate::told() {
-        Ok((told, settings)) => {
-            let mut later = started.differing(&told.startup_only());
-            if settings.limits.peer_messages != reactor.settings.limits.peer_messages {
-                later.push("settings.ceilings.peers");
-            }
-            if !later.is_empty() {
-                slog::warn!(reactor.log, "these count at the next start only"; "fields" => later.join(", "));
-            }
-            reconfigure(reactor, discovery, settings);
-            slog::info!(reactor.log, "file read again"; "discovery" => %told.discovery, "counter" => ?told.counter);
-            discovery.move_to(reactor, told.discovery);
-            counter.move_to(reactor, told.counter);
-        }
-        Err(why) => {
-            slog::warn!(reactor.log, "file not read again, the old one stays"; "why" => %why)
-        }
+    /// Adds an amount to a number on the shared counter.
+    pub(crate) fn add_to_counter(&mut self, name: CounterName, amount: f64, ttl: Duration) {
+        self.counter.count(&mut self.reactor, name, amount, ttl);
     }
-}
 
-/// The settings of the file; where they are as before, nothing changes.
-fn reconfigure(reactor: &mut Reactor, discovery: &mut DiscoveryFollower, settings: Settings) {
-    if settings == *reactor.settings {
-        return;
+    /// Sets a timer of the controller.
+    pub(crate) fn set_controller_timer(&mut self, token: TimerToken, due_at: Duration) {
+        let deadline = Deadline::ControllerTimer(token);
+        self.reactor.set_deadline(due_at, deadline);
     }
-    reactor.replace_settings(Rc::new(settings));
-    discovery.reconfigure(reactor);
-    if let Some(shutdown) = &mut reactor.shutdown {
-        shutdown.shorten(&reactor.settings);
+
+    /// Begins or ends following the endpoint list.
+    pub(crate) fn follow_endpoints(&mut self, active: bool) {
+        self.discovery.follow(&mut self.reactor, active);
+    }
+
+    /// Asks for the whole endpoint list.
+    pub(crate) fn refetch_endpoints(&mut self) {
+        self.discovery.refetch(&mut self.reactor);
+    }
+
+    /// Closes the idle connections to an endpoint.
+    pub(crate) fn close_idle_connections(&mut self, endpoint: &EndpointId) {
+        self.pool.release(&mut self.reactor, endpoint);
+    }
+
+    /// Sends a datagram to one gateway, or to all.
+    pub(crate) fn send_to_peer(&self, peer: Option<u32>, body: &[u8]) {
+        self.peers.tell(peer, body);
+    }
+}
+
+/// Until when the response to an attempt is waited for; a timeout of zero: as long as the request has.
+fn attempt_deadline(request: &OpenRequest, now: Duration, timeout: Duration) -> Duration {
+    if timeout.is_zero() {
+        request.deadline
+    } else {
+        request.deadline.min(now + timeout)
     }
-    // In its turn: what has arrived before keeps the terms that it was checked against.
-    reactor.notify(Notification::Reconfigure(reactor.settings.clone()));
 }
--- a/edge/src/startup.rs
+++ b/edge/src/startup.rs
@@ -1,16 +1,19 @@
-//! What a start needs of the system, asked for again where it is not to be had for a moment: a start that is refused
+//! What a start needs of the system, asked for again where it is not available for a moment: a start that is refused
 //! costs more than one that takes a little longer.
 
 use slog::Logger;
 use std::io;
 use std::time::Duration;
+use thiserror::Error;
 
-/// So often something is asked for, and how long between.
-const TRIES: u32 = 100;
-const PAUSE: Duration = Duration::from_millis(50);
+/// How often something is asked for.
+const MAX_ATTEMPTS: u32 = 100;
 
-/// What a system that is short of something, interrupted, or still clearing up after a former process says.
-const PASSING: [i32; 8] = [
+/// The wait between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// What a system says that is short of something, interrupted, or still clearing up after a former process.
+const TRANSIENT_ERRORS: [i32; 8] = [
     libc::EMFILE,
     libc::ENFILE,
     libc::ENOBUFS,
@@ -21,24 +24,36 @@
     libc::EADDRNOTAVAIL,
 ];
 
-fn passes(error: &io::Error) -> bool {
+/// Something that a start needs could not be had.
+#[derive(Debug, Error)]
+#[error("cannot set up {resource}")]
+pub(crate) struct StartupError {
+    resource: &'static str,
+    source: io::Error,
+}
+
+fn is_transient(error: &io::Error) -> bool {
     error
         .raw_os_error()
-        .is_some_and(|number| PASSING.contains(&number))
+        .is_some_and(|number| TRANSIENT_ERRORS.contains(&number))
 }
 
-/// Makes `what`, at once or within some seconds.
-pub fn made<T>(log: &Logger, what: &str, mut make: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for tried in 1..TRIES {
-        match make() {
-            Err(error) if passes(&error) => {
-                if tried == 1 {
-                    slog::warn!(log, "not to be had yet, trying again"; "what" => what, "error" => %error);
+/// Sets something up, at once or within some seconds. `resource` is what messages name it by.
+pub(crate) fn acquire<T>(
+    log: &Logger,
+    resource: &'static str,
+    mut set_up: impl FnMut() -> io::Result<T>,
+) -> Result<T, StartupError> {
+    for attempt in 1..MAX_ATTEMPTS {
+        match set_up() {
+            Err(error) if is_transient(&error) => {
+                if attempt == 1 {
+                    slog::warn!(log, "not available yet, trying again"; "resource" => resource, "error" => %error);
                 }
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(RETRY_INTERVAL);
             }
-            made => return made,
+            outcome => return outcome.map_err(|source| StartupError { resource, source }),
         }
     }
-    make()
+    set_up().map_err(|source| StartupError { resource, source })
 }
