--- a/src/control/load_balancer.rs
+++ b/src/control/load_balancer.rs
@@ -1,5 +1,5 @@
 //! The gateway's side of the endpoints: which of them it uses, what it has learnt of them, and how many attempts may be
-//! out at them.
+//! in flight at them.
 
 use super::concurrency_limit::{ConcurrencyLimiter, FleetShare, INITIAL_LIMIT_PER_ENDPOINT};
 use super::context::Context;
@@ -8,7 +8,7 @@
 use super::failure_rate::{failure_weight, FailureRates};
 use super::latency::BaselineLatencies;
 use super::machine_types::MachineTypeLatencies;
-use super::requests::SentAttempt;
+use super::requests::{OpenRequest, SentAttempt};
 use super::retries::EffectGuard;
 use super::slow_start::SlowStartView;
 use super::throughput::{AnswerRate, AttemptRate};
@@ -26,7 +26,7 @@
     /// Baseline latencies of the routes.
     latencies: BaselineLatencies,
     machine_types: MachineTypeLatencies,
-    /// How many attempts may be out.
+    /// How many attempts may be in flight.
     limiter: ConcurrencyLimiter,
     attempt_rate: AttemptRate,
     answer_rate: AnswerRate,
@@ -59,7 +59,7 @@
         self.latencies.seconds(route)
     }
 
-    /// How many attempts are out, and may be.
+    /// How many attempts are in flight, and may be.
     pub(super) fn limiter(&self) -> &ConcurrencyLimiter {
         &self.limiter
     }
@@ -104,18 +104,21 @@
         &self,
         context: &Context,
         rng: &mut WyRand,
+        open: &OpenRequest,
         guard: &EffectGuard,
-        last: Option<&EndpointId>,
-        route: &RouteName,
     ) -> Option<EndpointId> {
+        let route = &open.request.route;
         let picker = EndpointPicker {
+            route,
+            guard,
+            last: open.last_endpoint.as_ref(),
             endpoints: &self.endpoints,
             slow_start: self.slow_start(context),
-            failures: &self.failures,
+            route_failure_rate: self.failures.overall_rate(route, context.now),
             machine_types: &self.machine_types,
             concurrency_limit: self.limiter.limit(),
         };
-        picker.pick(rng, guard, last, route)
+        picker.pick(rng)
     }
 
     fn slow_start<'a>(&'a self, context: &'a Context) -> SlowStartView<'a> {
