--- a/src/control.rs
+++ b/src/control.rs
@@ -12,7 +12,7 @@
 //! | module | what it decides or keeps |
 //! | --- | --- |
 //! | `requests` | records of open requests and of attempts |
-//! | `customer_quotas` | what each customer may do: `customers`, `leases`, `quota`, `ceiling`, with `token_bucket`, `observed_bucket` and `unit_reports` |
+//! | `customer_quotas` | what each customer may do: `customers`, `leases`, `rate_quota`, `ceiling`, with `token_bucket`, `observed_bucket` and `unit_reports` |
 //! | `counter_client` | calls on the counter, with `rate_pacer`, `circuit_breaker` and `counter_names` |
 //! | `load_balancer` | what is known of endpoints: `endpoints`, `failure_rate`, `latency`, `machine_types`, `throughput` |
 //! | `endpoint_picker` | which endpoint an attempt goes to; `slow_start` what one may be sent that has just started |
@@ -37,8 +37,8 @@
 mod load_shedding;
 mod machine_types;
 mod observed_bucket;
-mod quota;
 mod rate_pacer;
+mod rate_quota;
 mod requests;
 mod retries;
 mod retry_after;
@@ -61,7 +61,7 @@
 use load_balancer::LoadBalancer;
 use load_shedding::LoadShedder;
 use nanorand::{Rng, WyRand};
-use quota::{Reservation, WaitingRequest};
+use rate_quota::{Reservation, WaitingRequest};
 use requests::{InFlightAttempt, OpenRequest};
 use retries::{EffectGuard, RetryBudget};
 use retry_after::DEFAULT_RETRY_AFTER;
--- a/src/control/customer_quotas.rs
+++ b/src/control/customer_quotas.rs
@@ -8,7 +8,7 @@
 use super::leases::{
     LeaseAcquisition, LeaseDecision, LeaseId, LeasePurpose, LEASE_PERIOD, RENEW_AHEAD,
 };
-use super::quota::{
+use super::rate_quota::{
     BlockAcquisition, CallBudget, CounterAccess, RateTerms, Reservation, WaitingRequest,
     SCARCE_BLOCK_WINDOWS,
 };
--- a/src/control/customers.rs
+++ b/src/control/customers.rs
@@ -2,7 +2,7 @@
 
 use super::ceiling::Ceiling;
 use super::leases::{CustomerLeases, GatewayPlace};
-use super::quota::{RateQuota, RateTerms, UnitDemand};
+use super::rate_quota::{RateQuota, RateTerms, UnitDemand};
 use crate::port::{CustomerId, Request};
 use std::collections::BTreeMap;
 use std::time::Duration;
