--- a/edge/src/component.rs
+++ b/edge/src/component.rs
@@ -48,3 +48,6 @@
         (component, key)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/edge/src/deadlines.rs
+++ b/edge/src/deadlines.rs
@@ -68,3 +68,6 @@
         self.deadlines.keys().next().map(|id| id.due_at)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/edge/src/discovery/codec.rs
+++ b/edge/src/discovery/codec.rs
@@ -25,9 +25,13 @@
 
 /// An entry of the message. One that can't be read loses nothing but itself.
 enum MessageEntry {
+    /// All of it could be read, except perhaps its address.
     Readable(Target),
+    /// It could not be read.
     Unreadable {
+        /// The endpoint's id, if that could be read.
         uid: Option<String>,
+        /// What is wrong.
         error: serde_json::Error,
     },
 }
@@ -52,11 +56,15 @@
     started_at_ms: u64,
 }
 
+/// What discovery says of an endpoint; see [`EndpointState`] for what it means.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum TargetState {
+    /// [`EndpointState::Ready`]
     Active,
+    /// [`EndpointState::Draining`]
     Leaving,
+    /// [`EndpointState::Removed`]
     Left,
 }
 
@@ -105,8 +113,10 @@
 /// What is wrong with an entry.
 #[derive(Debug, Error)]
 enum EntryError {
+    /// It is not of the form of [`Target`].
     #[error("{0}")]
     Malformed(serde_json::Error),
+    /// It states an address that can't be read.
     #[error("{0:?} is no address")]
     Address(String),
 }
@@ -166,6 +176,7 @@
 }
 
 impl ParsedUpdate {
+    /// Adds the endpoint of an entry, and notes where its address can't be read.
     fn add_target(&mut self, index: usize, target: Target) {
         let address = target.address.parse().ok();
         let needs_no_address =
--- a/edge/src/discovery/tests.rs
+++ b/edge/src/discovery/tests.rs
@@ -3,8 +3,8 @@
 use super::http::ResponseError;
 use wellcrank::port::EndpointState;
 
-/// A whole list of so many servers, every third of them leaving, indented.
-pub fn indented(servers: usize) -> String {
+/// A whole list of so many endpoints, every third of them leaving, indented.
+pub(crate) fn indented(endpoints: usize) -> String {
     let indent = format!("\n{}", " ".repeat(16));
     let entry = |n: usize| {
         format!(
@@ -21,61 +21,72 @@
             }
         )
     };
-    let entries: Vec<String> = (0..servers).map(entry).collect();
+    let entries: Vec<String> = (0..endpoints).map(entry).collect();
     format!(
         "{{\n  \"rev\": 41,\n  \"all\": true,\n  \"targets\": [{}\n]}}\n",
         entries.join(",")
     )
 }
 
-/// What a gateway with little memory takes.
-fn read(bytes: &[u8]) -> Result<Option<DecodedResponse>, ResponseError> {
+/// Decodes what has come on an open connection, in a gateway with little memory.
+fn decode_open(bytes: &[u8]) -> Result<Option<DecodedResponse>, ResponseError> {
     decode_response(bytes, false, MIN_RESPONSE_LIMIT)
 }
 
-fn plain(body: &str) -> String {
+/// Decodes what came on a connection that the peer has ended.
+fn decode_ended(bytes: &[u8]) -> Result<Option<DecodedResponse>, ResponseError> {
+    decode_response(bytes, true, MIN_RESPONSE_LIMIT)
+}
+
+/// The whole response that must be there.
+fn whole(decoded: Result<Option<DecodedResponse>, ResponseError>) -> DecodedResponse {
+    decoded.expect("nothing is wrong").expect("all is there")
+}
+
+/// Whether nothing is wrong, and something is missing yet.
+fn is_incomplete(decoded: &Result<Option<DecodedResponse>, ResponseError>) -> bool {
+    matches!(decoded, Ok(None))
+}
+
+fn sized(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-fn chunked(body: &str, size: usize) -> String {
-    let parts = body.as_bytes().chunks(size).map(|part| {
-        let text = std::str::from_utf8(part).expect("plain letters");
+fn chunked(body: &str, chunk_size: usize) -> String {
+    let chunks = body.as_bytes().chunks(chunk_size).map(|chunk| {
+        let text = std::str::from_utf8(chunk).expect("plain letters");
         format!("{:x}\r\n{text}\r\n", text.len())
     });
     format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n",
-        parts.collect::<String>()
+        chunks.collect::<String>()
     )
 }
 
 #[test]
-fn answers_are_taken_whole_or_not_at_all() {
+fn a_response_is_taken_whole_or_not_at_all() {
     let body = r#"{"rev":7,"all":false,"targets":[]}"#;
-    let plain = plain(body);
-    let early =
-        format!("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n{plain}");
-    for whole in [plain, chunked(body, 9), early] {
-        for end in 0..whole.len() {
-            assert!(read(&whole.as_bytes()[..end])
-                .expect("nothing is wrong")
-                .is_none());
+    let sized = sized(body);
+    let after_informational =
+        format!("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n{sized}");
+    for text in [sized, chunked(body, 9), after_informational] {
+        for end in 0..text.len() {
+            let decoded = decode_open(&text.as_bytes()[..end]);
+            assert!(is_incomplete(&decoded), "{end} bytes of {text}");
         }
-        let response = read(whole.as_bytes())
-            .expect("nothing is wrong")
-            .expect("all is there");
-        assert_eq!(
-            (
-                response.message.revision,
-                response.message.is_snapshot,
-                response.size
-            ),
-            (7, false, whole.len())
-        );
+        let response = whole(decode_open(text.as_bytes()));
+        assert_eq!(response.message.revision, 7);
+        assert!(!response.message.is_snapshot);
+        assert_eq!(response.size, text.len());
     }
-    for wrong in [
+}
+
+#[test]
+fn what_holds_no_list_is_an_error() {
+    for text in [
         "HTTP/1.1 200 OK\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\n{\"rev\":7,\"all\":true,\"targets\":[",
         "HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\n{}",
@@ -87,43 +98,38 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n",
         "+OK\r\n\r\n",
     ] {
-        assert!(
-            decode_response(wrong.as_bytes(), true, MIN_RESPONSE_LIMIT).is_err(),
-            "{wrong}"
-        );
+        assert!(decode_ended(text.as_bytes()).is_err(), "{text}");
     }
 }
 
 #[test]
-fn an_indented_list_of_1024_servers_is_read_with_the_least_memory() {
+fn an_incomplete_response_is_an_error_once_no_more_may_be_buffered() {
+    let text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n";
+    let bytes = text.as_bytes();
+    let with_room = decode_response(bytes, false, bytes.len() + 1);
+    assert!(is_incomplete(&with_room));
+    let without_room = decode_response(bytes, false, bytes.len());
+    assert!(matches!(without_room, Err(ResponseError::TooLong)));
+}
+
+#[test]
+fn an_indented_list_of_1024_endpoints_is_read_with_the_least_memory() {
     let body = indented(1024);
-    for whole in [
-        plain(&body),
+    for text in [
+        sized(&body),
         chunked(&body, 1000),
         chunked(&body, 7),
         chunked(&body, 400_000),
     ] {
-        let response = read(whole.as_bytes())
-            .expect("nothing is wrong")
-            .expect("all is there");
-        let size = response.size;
+        let response = whole(decode_open(text.as_bytes()));
+        assert_eq!(response.size, text.len());
         let update = response.message.parse();
-        assert_eq!(
-            (
-                update.revision,
-                update.is_snapshot,
-                update.endpoints.len(),
-                size
-            ),
-            (41, true, 1024, whole.len())
-        );
-        assert!(
-            update.unreadable_entries.is_empty()
-                && update
-                    .endpoints
-                    .iter()
-                    .all(|listed| listed.address.is_some())
-        );
+        assert_eq!(update.revision, 41);
+        assert!(update.is_snapshot);
+        assert_eq!(update.endpoints.len(), 1024);
+        assert!(update.unreadable_entries.is_empty());
+        let mut addresses = update.endpoints.iter().map(|listed| listed.address);
+        assert!(addresses.all(|address| address.is_some()));
         assert_eq!(update.count(EndpointState::Draining), 342);
     }
 }
@@ -138,79 +144,53 @@
         {"uid":"e","endpoint":"127.0.0.1:5","state":"active","boot_ms":-1},
         7,
         {"uid":"f","state":"left"}]}"#;
-    let response = read(plain(body).as_bytes())
-        .expect("a list")
-        .expect("whole");
-    let update = response.message.parse();
-    let read: Vec<(&str, EndpointState, bool)> = update
+    let update = whole(decode_open(sized(body).as_bytes())).message.parse();
+    let endpoints: Vec<(&str, EndpointState, bool)> = update
         .endpoints
         .iter()
         .map(|listed| {
-            (
-                &*listed.endpoint.id.0,
-                listed.endpoint.state,
-                listed.address.is_some(),
-            )
+            let endpoint = &listed.endpoint;
+            (&*endpoint.id.0, endpoint.state, listed.address.is_some())
         })
         .collect();
     assert_eq!(
-        read,
+        endpoints,
         [
             ("a", EndpointState::Ready, true),
             ("c", EndpointState::Draining, false),
             ("f", EndpointState::Removed, false)
         ]
     );
-    let kept: Vec<&str> = update
-        .unreadable_endpoints
-        .iter()
-        .map(|server| &*server.0)
-        .collect();
-    assert_eq!(kept, ["b", "e"]);
-    let begins = [
+    let unreadable = update.unreadable_endpoints.iter().map(|id| &*id.0);
+    assert_eq!(unreadable.collect::<Vec<_>>(), ["b", "e"]);
+    let expected = [
         "entry 1 (b): unknown variant `paused`",
         "entry 2 (c): \"render-3\" is no address",
         "entry 3 (no uid)",
         "entry 4 (e)",
         "entry 5 (no uid)",
     ];
-    let reasons: Vec<String> = update
-        .unreadable_entries
-        .iter()
-        .map(ToString::to_string)
-        .collect();
-    assert_eq!(reasons.len(), begins.len());
-    for (reason, begin) in reasons.iter().zip(begins) {
-        assert!(reason.starts_with(begin), "{reason}");
+    assert_eq!(update.unreadable_entries.len(), expected.len());
+    for (entry, expected) in update.unreadable_entries.iter().zip(expected) {
+        assert!(entry.to_string().starts_with(expected), "{entry}");
     }
 }
 
 #[test]
-fn an_answer_without_length_is_whole_where_the_other_side_ends_it() {
-    let whole = "HTTP/1.1 200 OK\r\n\r\n{\"rev\":7,\"all\":true,\"targets\":[]}";
-    for end in 0..=whole.len() {
-        assert!(read(&whole.as_bytes()[..end])
-            .expect("nothing is wrong")
-            .is_none());
+fn a_response_without_length_is_whole_where_the_peer_ends_the_connection() {
+    let text = "HTTP/1.1 200 OK\r\n\r\n{\"rev\":7,\"all\":true,\"targets\":[]}";
+    for end in 0..=text.len() {
+        assert!(is_incomplete(&decode_open(&text.as_bytes()[..end])));
     }
-    let response = decode_response(whole.as_bytes(), true, MIN_RESPONSE_LIMIT)
-        .expect("nothing is wrong")
-        .expect("all is there");
-    assert_eq!(
-        (
-            response.message.revision,
-            response.message.is_snapshot,
-            response.size
-        ),
-        (7, true, whole.len())
-    );
-    // An end is none where a length was told that has not come.
+    let response = whole(decode_ended(text.as_bytes()));
+    assert_eq!(response.message.revision, 7);
+    assert!(response.message.is_snapshot);
+    assert_eq!(response.size, text.len());
+    // A response that states its length, or comes in chunks, does not become whole by an end.
     for cut in [
         "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{}",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{",
     ] {
-        assert!(decode_response(cut.as_bytes(), true, MIN_RESPONSE_LIMIT)
-            .expect("nothing is wrong")
-            .is_none());
+        assert!(is_incomplete(&decode_ended(cut.as_bytes())), "{cut}");
     }
 }
