--- a/edge/src/discovery/http.rs
+++ b/edge/src/discovery/http.rs
@@ -66,7 +66,7 @@
             response_size: body_start + body.response_size,
         }));
     }
-    // What is no list is none before its body has come, nor does it need one.
+    // It holds no list, whatever its body is: there is no need to wait for that.
     if status != STATUS_OK {
         return Err(ResponseError::Status(status));
     }
--- a/edge/src/stream.rs
+++ b/edge/src/stream.rs
@@ -20,7 +20,7 @@
 /// Buffers that have grown past this many bytes are given back once they are empty.
 const MAX_KEPT_CAPACITY: usize = 4096;
 
-/// A connection with its buffers; their bytes are counted in [`Reactor::held`].
+/// A connection with its buffers; their bytes are counted in [`Reactor::buffered_bytes`].
 pub(crate) struct BufferedStream {
     socket: TcpStream,
     descriptor: RawFd,
