--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -82,6 +82,9 @@
         /// The file.
         path: PathBuf,
     },
+    /// A variant's overrides of settings can't be had as JSON.
+    #[error("told")]
+    SettingsOverrides(#[source] serde_json::Error),
     /// A variant overrides a setting that the nodes' configuration does not have.
     #[error("told: the configuration has no '{0}' there")]
     UnknownSetting(String),
@@ -100,9 +103,6 @@
     /// A variant leads to an experiment that can't be played.
     #[error(transparent)]
     Variant(#[from] InvalidVariant),
-    /// A failure that is known by its text only.
-    #[error("{0}")]
-    Text(String),
 }
 
 impl LabError {
@@ -118,12 +118,6 @@
     }
 }
 
-impl From<String> for LabError {
-    fn from(text: String) -> Self {
-        LabError::Text(text)
-    }
-}
-
 /// Prints an error and its causes in one line, parted by colons.
 pub struct ErrorChain<'a>(
     /// The outermost error.
--- a/lab/src/node_settings.rs
+++ b/lab/src/node_settings.rs
@@ -47,7 +47,7 @@
             "stop_sending_within_ns": nanos(fleet.drain_grace),
         },
     });
-    let overrides = serde_json::to_value(overrides).map_err(|error| error.to_string())?;
+    let overrides = serde_json::to_value(overrides).map_err(LabError::SettingsOverrides)?;
     lay_over(&mut settings, &overrides)?;
     Ok(settings)
 }
