--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -1,6 +1,8 @@
 //! All that one gateway owns beside the admission controller: the components, the open requests and the reactor that
 //! they share. Hands each event of the poll and each deadline to its component.
 
+mod socket_port;
+
 use crate::clients::Clients;
 use crate::component::Component;
 use crate::config::{NodeConfig, RestartOnlyConfig};
@@ -10,22 +12,21 @@
 use crate::metrics::Gauges;
 use crate::notification::Notification;
 use crate::peers::Peers;
-use crate::pool::{NewAttempt, Pool};
+use crate::pool::Pool;
 use crate::reactor::Reactor;
 use crate::readiness::Readiness;
 use crate::reload::reload_config;
-use crate::requests::{OpenRequest, OpenRequests};
+use crate::requests::OpenRequests;
 use crate::shutdown::GracefulShutdown;
 use mio::Token;
 use signal_hook::consts::SIGHUP;
 use signal_hook_mio::v1_0::Signals;
 use std::time::Duration;
-use wellcrank::port::{
-    AttemptNumber, CounterName, EndpointId, EndpointState, EndpointUpdate, RequestId, TimerToken,
-    UpdateTiming, TICK_TIMER,
-};
+use wellcrank::port::{EndpointState, EndpointUpdate, RequestId, UpdateTiming, TICK_TIMER};
 use wellcrank::settings::DiscoveryMode;
 
+pub(crate) use socket_port::SocketPort;
+
 /// A gateway that has no endpoint list, since its configuration holds none and discovery does not answer, is ready so
 /// long after its start all the same: nine in ten restarted ones must be within 10 s. Trade-off: requests come to it
 /// that others could serve; it rejects them at once, with advice.
@@ -330,63 +331,6 @@
         self.requests.is_unanswered(request)
     }
 
-    /// Begins an attempt, if the request is still wanted and has an attempt and time left.
-    pub(crate) fn send_attempt(
-        &mut self,
-        request: &RequestId,
-        endpoint: &EndpointId,
-        timeout: Duration,
-        send_by: Duration,
-    ) {
-        let Gateway {
-            reactor,
-            requests,
-            pool,
-            ..
-        } = self;
-        let max_attempts = reactor.settings.limits.max_attempts;
-        let Some(open) = requests.get_mut(request) else {
-            return;
-        };
-        let number = AttemptNumber(open.attempts);
-        open.attempts += 1;
-        let deadline = attempt_deadline(open, reactor.now, timeout);
-        let has_attempt_left = max_attempts == 0 || number.0 < max_attempts;
-        if !open.is_wanted() || deadline <= reactor.now || !has_attempt_left {
-            return pool.not_sent(reactor, request, number);
-        }
-        let attempt = NewAttempt {
-            request,
-            number,
-            endpoint,
-            deadline,
-            send_by,
-        };
-        pool.send(reactor, &attempt);
-    }
-
-    /// Gives an attempt up.
-    pub(crate) fn cancel_attempt(&mut self, request: &RequestId, attempt: AttemptNumber) {
-        self.pool.cancel(&mut self.reactor, request, attempt);
-    }
-
-    /// Answers that the request may be sent again, after `retry_after`.
-    pub(crate) fn reject(&mut self, request: &RequestId, retry_after: Duration) {
-        self.reactor.metrics.rejected += 1;
-        let answer = if self.reactor.settings.limits.sends_retry_after {
-            format!("-BUSY {}\r\n", retry_after.as_millis())
-        } else {
-            "-BUSY\r\n".to_string()
-        };
-        self.answer_request(request, &answer);
-    }
-
-    /// Answers that the request has failed.
-    pub(crate) fn fail(&mut self, request: &RequestId) {
-        self.reactor.metrics.failed += 1;
-        self.answer_request(request, "-ERR failed\r\n");
-    }
-
     /// Gives a request the controller's final answer, unless it has an endpoint's.
     fn answer_request(&mut self, request: &RequestId, answer: &str) {
         let slot = self
@@ -414,44 +358,4 @@
             self.reactor.release_buffered_bytes(open.command.size());
         }
     }
-
-    /// Adds an amount to a number on the shared counter.
-    pub(crate) fn add_to_counter(&mut self, name: CounterName, amount: f64, ttl: Duration) {
-        self.counter.count(&mut self.reactor, name, amount, ttl);
-    }
-
-    /// Sets a timer of the controller.
-    pub(crate) fn set_controller_timer(&mut self, token: TimerToken, due_at: Duration) {
-        let deadline = Deadline::ControllerTimer(token);
-        self.reactor.set_deadline(due_at, deadline);
-    }
-
-    /// Begins or ends following the endpoint list.
-    pub(crate) fn follow_endpoints(&mut self, active: bool) {
-        self.discovery.follow(&mut self.reactor, active);
-    }
-
-    /// Asks for the whole endpoint list.
-    pub(crate) fn refetch_endpoints(&mut self) {
-        self.discovery.refetch(&mut self.reactor);
-    }
-
-    /// Closes the idle connections to an endpoint.
-    pub(crate) fn close_idle_connections(&mut self, endpoint: &EndpointId) {
-        self.pool.release(&mut self.reactor, endpoint);
-    }
-
-    /// Sends a datagram to one gateway, or to all.
-    pub(crate) fn send_to_peer(&self, peer: Option<u32>, body: &[u8]) {
-        self.peers.tell(peer, body);
-    }
-}
-
-/// Until when the response to an attempt is waited for; a timeout of zero: as long as the request has.
-fn attempt_deadline(request: &OpenRequest, now: Duration, timeout: Duration) -> Duration {
-    if timeout.is_zero() {
-        request.deadline
-    } else {
-        request.deadline.min(now + timeout)
-    }
 }
--- a/edge/src/lib.rs
+++ b/edge/src/lib.rs
@@ -25,7 +25,6 @@
 mod requests;
 mod resp;
 mod shutdown;
-mod socket_port;
 mod startup;
 mod stream;
 
