--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -1,17 +1,19 @@
 use super::*;
 use serde_json::json;
 use std::time::Duration;
-use wellcrank::settings::{DeduplicationScope, DiscoveryMode, Idempotency, Limits};
+use wellcrank::settings::{
+    CounterSettings, DeduplicationScope, DiscoveryMode, Idempotency, Limits, Plan, Route, Rules,
+};
 
-fn complaint(json: Value) -> String {
+fn refusal(json: Value) -> String {
     decode(&json)
         .expect_err("these settings can't be used")
         .to_string()
 }
 
-#[test]
-fn the_platforms_names_become_typed_settings() {
-    let settings = decode(&json!({
+/// Settings as the platform writes them, with keys that are not known and with absent ones.
+fn platform_settings() -> Settings {
+    let json = json!({
         "index": 2, "balancers": 60, "resolution_ns": 4000000, "registry_mode": "subscribe",
         "ceilings": {"max_attempts": 4, "idle_close_ns": 15000000000u64, "cancelling": true, "new_key": [1]},
         "rules": {"cold_from": 0.16, "cold_ns": 18000000000u64, "fall_multiple": 2.5},
@@ -20,92 +22,133 @@
                       {"name": "event", "parallel": 3, "refill": null}],
         "classes": [{"name": "read", "repeat": "repeatable", "group": "all", "target_ns": 400000000},
                     {"name": "post", "repeat": "once", "credit": 5, "deadline_ns": 1200000000}],
-    }))
-    .expect("good settings");
-    assert_eq!((settings.gateway_index, settings.gateways), (2, 60));
+    });
+    decode(&json).expect("valid settings")
+}
+
+#[test]
+fn platform_keys_map_to_the_settings_of_the_gateway() {
+    let settings = platform_settings();
+    assert_eq!(settings.gateway_index, 2);
+    assert_eq!(settings.gateways, 60);
+    assert_eq!(settings.timer_resolution, Duration::from_millis(4));
     assert_eq!(settings.discovery, DiscoveryMode::Subscribe);
-    let idle_close = Duration::from_secs(15);
-    assert_eq!(
-        settings.limits,
-        Limits {
-            max_attempts: 4,
-            idle_timeout: idle_close,
-            may_cancel: true,
-            ..Limits::default()
-        }
-    );
-    assert_eq!(settings.rules.overload_factor, 2.5);
-    assert_eq!(settings.counter.timeout, Duration::from_millis(50));
-    let (small, event) = (
-        settings.plan(&"small".into()),
-        settings.plan(&"event".into()),
-    );
-    assert_eq!(
-        (small.rate, small.burst, small.concurrency_limit),
-        (1.5, 8.0, 0.0)
-    );
-    assert_eq!((event.rate, event.concurrency_limit), (0.0, 3.0));
-    let (read, post) = (
-        settings.route(&"read".into()),
-        settings.route(&"post".into()),
-    );
-    assert_eq!(
-        (read.idempotency, read.deduplication_scope),
-        (Idempotency::Idempotent, DeduplicationScope::All)
-    );
-    assert_eq!(
-        (post.idempotency, post.value),
-        (Idempotency::NonIdempotent, 5.0)
-    );
+    let limits = Limits {
+        max_attempts: 4,
+        idle_timeout: Duration::from_secs(15),
+        may_cancel: true,
+        ..Limits::default()
+    };
+    assert_eq!(settings.limits, limits);
+    let rules = Rules {
+        slow_start_floor: 0.16,
+        slow_start_window: Duration::from_secs(18),
+        overload_factor: 2.5,
+        ..Rules::default()
+    };
+    assert_eq!(settings.rules, rules);
+    let counter = CounterSettings {
+        present: true,
+        timeout: Duration::from_millis(50),
+        max_request_units: 8.0,
+    };
+    assert_eq!(settings.counter, counter);
+}
+
+#[test]
+fn platform_keys_map_to_the_plans_and_routes_by_name() {
+    let settings = platform_settings();
+    let small = Plan {
+        rate: 1.5,
+        burst: 8.0,
+        price: 0.88,
+        ..Plan::default()
+    };
+    assert_eq!(settings.plan(&"small".into()), &small);
+    let event = Plan {
+        concurrency_limit: 3.0,
+        ..Plan::default()
+    };
+    assert_eq!(settings.plan(&"event".into()), &event);
+    let read = Route {
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        latency_target: Duration::from_millis(400),
+        ..Route::default()
+    };
+    assert_eq!(settings.route(&"read".into()), &read);
+    let post = Route {
+        idempotency: Idempotency::NonIdempotent,
+        value: 5.0,
+        client_timeout: Duration::from_millis(1200),
+        ..Route::default()
+    };
+    assert_eq!(settings.route(&"post".into()), &post);
     assert_eq!(settings.longest_timeout(), Duration::from_millis(1200));
 }
 
 #[test]
-fn what_is_missing_asks_nothing() {
-    assert_eq!(decode(&json!({})), Ok(Settings::default()));
-    assert_eq!(
-        decode(&json!({"rules": null, "contracts": []})),
-        Ok(Settings::default())
-    );
+fn absent_settings_take_their_defaults() {
+    for stated_nothing in [json!({}), json!({"rules": null, "contracts": []})] {
+        let settings = decode(&stated_nothing).expect("valid settings");
+        assert_eq!(settings, Settings::default(), "{stated_nothing}");
+    }
 }
 
 #[test]
-fn an_effect_that_is_not_known_is_the_strictest() {
-    let settings = decode(&json!({"classes": [{"name": "odd", "repeat": "sometimes"}]}))
-        .expect("good settings");
+fn unknown_repeat_and_group_codes_are_the_strictest() {
+    let odd = json!({"classes": [{"name": "odd", "repeat": "sometimes", "group": "some"}]});
+    let settings = decode(&odd).expect("valid settings");
+    let route = settings.route(&"odd".into());
+    assert_eq!(route.idempotency, Idempotency::NonIdempotent);
+    assert_eq!(route.deduplication_scope, DeduplicationScope::Cell);
+}
+
+#[test]
+fn durations_are_cut_to_thirty_years() {
+    let settings = decode(&json!({"resolution_ns": 1e30})).expect("valid settings");
     assert_eq!(
-        settings.route(&"odd".into()).idempotency,
-        Idempotency::NonIdempotent
+        settings.timer_resolution,
+        Duration::from_secs(1_000_000_000)
     );
 }
 
 #[test]
-fn what_cannot_be_meant_is_told_with_its_place_and_the_reason() {
-    let plans = |second: Value| json!({"contracts": [{"name": "a"}, second]});
+fn an_invalid_value_is_refused_with_its_place_and_the_reason() {
+    let with_second_plan = |second: Value| json!({"contracts": [{"name": "a"}, second]});
     assert_eq!(
-        complaint(plans(json!({"name": "b", "refill": -2.0}))),
+        refusal(with_second_plan(json!({"name": "b", "refill": -2.0}))),
         "settings: contracts[1].refill: -2 is below nothing; expected 0 or more"
     );
     assert_eq!(
-        complaint(plans(json!({"name": "a"}))),
+        refusal(with_second_plan(json!({"name": "a"}))),
         "settings: contracts[1].name: 'a' stands twice; expected a name of its own"
     );
     assert_eq!(
-        complaint(plans(json!({"name": "b", "parallel": 1.5}))),
+        refusal(with_second_plan(json!({"name": "b", "parallel": 1.5}))),
         "settings: contracts[1].parallel: 1.5 is no count; expected a whole number, 0 or more"
     );
     assert_eq!(
-        complaint(json!({"rules": {"cold_from": 21}})),
+        refusal(json!({"rules": {"cold_from": 21}})),
         "settings: rules.cold_from: 21 is no share; expected 0 to 1"
     );
-    let text = complaint(json!({"classes": [{"name": "read", "target_ns": "fast"}]}));
+    assert_eq!(
+        refusal(json!({"index": -1})),
+        "settings: index: -1 is no count; expected a whole number, 0 or more"
+    );
+}
+
+#[test]
+fn a_value_of_the_wrong_type_is_refused_with_its_place() {
+    let text_for_a_number = refusal(json!({"classes": [{"name": "read", "target_ns": "fast"}]}));
     assert!(
-        text.starts_with("settings: classes[0].target_ns: invalid type: string \"fast\""),
-        "{text}"
+        text_for_a_number
+            .starts_with("settings: classes[0].target_ns: invalid type: string \"fast\""),
+        "{text_for_a_number}"
     );
-    let text = complaint(json!({"ceilings": 7}));
+    let number_for_an_object = refusal(json!({"ceilings": 7}));
     assert!(
-        text.starts_with("settings: ceilings: invalid type"),
-        "{text}"
+        number_for_an_object.starts_with("settings: ceilings: invalid type"),
+        "{number_for_an_object}"
     );
 }
--- a/settings/src/wire.rs
+++ b/settings/src/wire.rs
@@ -1,17 +1,20 @@
-//! The platform's names for the settings, and the checks of what they hold.
+//! The settings as the platform writes them. The structs here have the platform's keys, and their `validate` functions
+//! are the one place that maps these to the names and types of [`wellcrank::settings`].
 
-use crate::SettingsError;
+use crate::{InvalidSetting, SettingsError};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wellcrank::settings as typed;
 
-/// No span is longer than thirty years, so that sums of them stay sound.
-const LONGEST_NS: f64 = 1e18;
+/// The longest duration in nanoseconds, about thirty years: longer ones are cut to it, so that sums of them don't
+/// overflow.
+const MAX_DURATION_NANOSECONDS: f64 = 1e18;
 
+/// All that one gateway is configured with.
 #[derive(Deserialize, Default)]
 #[serde(default)]
-pub struct Settings {
+pub(crate) struct Settings {
     index: f64,
     balancers: f64,
     resolution_ns: f64,
@@ -23,6 +26,7 @@
     classes: Vec<Class>,
 }
 
+/// What the deployment permits.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Ceilings {
@@ -35,6 +39,7 @@
     peers: bool,
 }
 
+/// Figures of the rules on drains and slow starts.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Rules {
@@ -46,6 +51,7 @@
     ask_within_ns: f64,
 }
 
+/// Facts of this kind of service: the shared counter, and what a request may count.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct FamilyInfo {
@@ -54,6 +60,7 @@
     units_top: f64,
 }
 
+/// A plan of customers.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Contract {
@@ -66,6 +73,7 @@
     cap_depth: f64,
 }
 
+/// A route of requests.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Class {
@@ -79,112 +87,45 @@
     late_worth: f64,
 }
 
-/// Reads the fields of one part of the settings, with its place for complaints.
-struct Part<'a>(&'a str);
-
-impl Part<'_> {
-    fn wrong<T>(&self, field: &str, reason: String) -> Result<T, SettingsError> {
-        let dot = if self.0.is_empty() { "" } else { "." };
-        Err(SettingsError {
-            place: format!("{}{dot}{field}", self.0),
-            reason,
-        })
-    }
-
-    fn amount(&self, field: &str, value: f64) -> Result<f64, SettingsError> {
-        match value.is_finite() && value >= 0.0 {
-            true => Ok(value),
-            false => self.wrong(
-                field,
-                format!("{value} is below nothing; expected 0 or more"),
-            ),
-        }
-    }
-
-    fn whole(&self, field: &str, value: f64) -> Result<u32, SettingsError> {
-        match value.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&value) {
-            true => Ok(value as u32),
-            false => self.wrong(
-                field,
-                format!("{value} is no count; expected a whole number, 0 or more"),
-            ),
-        }
-    }
-
-    fn span(&self, field: &str, nanoseconds: f64) -> Result<Duration, SettingsError> {
-        Ok(Duration::from_nanos(
-            self.amount(field, nanoseconds)?.min(LONGEST_NS) as u64,
-        ))
-    }
-
-    fn share(&self, field: &str, value: f64) -> Result<f64, SettingsError> {
-        match (0.0..=1.0).contains(&value) {
-            true => Ok(value),
-            false => self.wrong(field, format!("{value} is no share; expected 0 to 1")),
-        }
-    }
-}
-
 impl Settings {
-    /// The typed settings, or the first thing that can't be meant.
-    pub fn check(self) -> Result<typed::Settings, SettingsError> {
-        let part = Part("");
+    /// The typed settings, or the first value that is invalid.
+    pub(crate) fn validate(&self) -> Result<typed::Settings, SettingsError> {
+        let section = Section::root();
         Ok(typed::Settings {
-            gateway_index: part.whole("index", self.index)?,
-            gateways: part.whole("balancers", self.balancers)?,
-            timer_resolution: part.span("resolution_ns", self.resolution_ns)?,
+            gateway_index: section.count("index", self.index)?,
+            gateways: section.count("balancers", self.balancers)?,
+            timer_resolution: section.duration("resolution_ns", self.resolution_ns)?,
             discovery: match self.registry_mode.as_str() {
                 "subscribe" => typed::DiscoveryMode::Subscribe,
                 _ => typed::DiscoveryMode::Push,
             },
-            limits: self.ceilings.check()?,
-            rules: self.rules.check()?,
-            counter: self.family_info.check()?,
-            plans: named(
+            limits: self.ceilings.validate()?,
+            rules: self.rules.validate()?,
+            counter: self.family_info.validate()?,
+            plans: by_name(
                 "contracts",
-                self.contracts,
-                |plan| plan.name.clone(),
-                Contract::check,
+                &self.contracts,
+                |contract| &contract.name,
+                Contract::validate,
             )?,
-            routes: named(
+            routes: by_name(
                 "classes",
-                self.classes,
-                |route| route.name.clone(),
-                Class::check,
+                &self.classes,
+                |class| &class.name,
+                Class::validate,
             )?,
         })
     }
 }
 
-/// A list as a map by its entries' names, each of which stands once.
-fn named<Entry, Name: Ord + for<'a> From<&'a str>, Typed>(
-    list: &str,
-    entries: Vec<Entry>,
-    name: impl Fn(&Entry) -> String,
-    check: impl Fn(Entry, &str) -> Result<Typed, SettingsError>,
-) -> Result<BTreeMap<Name, Typed>, SettingsError> {
-    let mut typed = BTreeMap::new();
-    for (number, entry) in entries.into_iter().enumerate() {
-        let (place, name) = (format!("{list}[{number}]"), name(&entry));
-        let checked = check(entry, &place)?;
-        if typed.insert(Name::from(name.as_str()), checked).is_some() {
-            return Part(&place).wrong(
-                "name",
-                format!("'{name}' stands twice; expected a name of its own"),
-            );
-        }
-    }
-    Ok(typed)
-}
-
 impl Ceilings {
-    fn check(self) -> Result<typed::Limits, SettingsError> {
-        let part = Part("ceilings");
+    fn validate(&self) -> Result<typed::Limits, SettingsError> {
+        let section = Section::under_key("ceilings");
         Ok(typed::Limits {
-            max_attempts: part.whole("max_attempts", self.max_attempts)?,
-            max_open_requests: part.whole("max_open", self.max_open)?,
-            connect_timeout: part.span("connect_timeout_ns", self.connect_timeout_ns)?,
-            idle_timeout: part.span("idle_close_ns", self.idle_close_ns)?,
+            max_attempts: section.count("max_attempts", self.max_attempts)?,
+            max_open_requests: section.count("max_open", self.max_open)?,
+            connect_timeout: section.duration("connect_timeout_ns", self.connect_timeout_ns)?,
+            idle_timeout: section.duration("idle_close_ns", self.idle_close_ns)?,
             may_cancel: self.cancelling,
             sends_retry_after: self.retry_after,
             peer_messages: self.peers,
@@ -193,49 +134,47 @@
 }
 
 impl Rules {
-    fn check(self) -> Result<typed::Rules, SettingsError> {
-        let part = Part("rules");
+    fn validate(&self) -> Result<typed::Rules, SettingsError> {
+        let section = Section::under_key("rules");
         Ok(typed::Rules {
-            slow_start_floor: part.share("cold_from", self.cold_from)?,
-            slow_start_window: part.span("cold_ns", self.cold_ns)?,
-            overload_factor: part.amount("fall_multiple", self.fall_multiple)?,
-            overload_window: part.span("overload_for_ns", self.overload_for_ns)?,
-            drain_grace: part.span("stop_sending_within_ns", self.stop_sending_within_ns)?,
-            list_refresh_interval: part.span("ask_within_ns", self.ask_within_ns)?,
+            slow_start_floor: section.ratio("cold_from", self.cold_from)?,
+            slow_start_window: section.duration("cold_ns", self.cold_ns)?,
+            overload_factor: section.non_negative("fall_multiple", self.fall_multiple)?,
+            overload_window: section.duration("overload_for_ns", self.overload_for_ns)?,
+            drain_grace: section.duration("stop_sending_within_ns", self.stop_sending_within_ns)?,
+            list_refresh_interval: section.duration("ask_within_ns", self.ask_within_ns)?,
         })
     }
 }
 
 impl FamilyInfo {
-    fn check(self) -> Result<typed::CounterSettings, SettingsError> {
-        let part = Part("family_info");
+    fn validate(&self) -> Result<typed::CounterSettings, SettingsError> {
+        let section = Section::under_key("family_info");
         Ok(typed::CounterSettings {
             present: self.shared_counter,
-            timeout: part.span("counter_timeout_ns", self.counter_timeout_ns)?,
-            max_request_units: part.amount("units_top", self.units_top)?,
+            timeout: section.duration("counter_timeout_ns", self.counter_timeout_ns)?,
+            max_request_units: section.non_negative("units_top", self.units_top)?,
         })
     }
 }
 
 impl Contract {
-    fn check(self, place: &str) -> Result<typed::Plan, SettingsError> {
-        let part = Part(place);
+    fn validate(&self, section: &Section) -> Result<typed::Plan, SettingsError> {
         Ok(typed::Plan {
-            rate: part.amount("refill", self.refill)?,
-            burst: part.amount("store_size", self.store_size)?,
-            concurrency_limit: f64::from(part.whole("parallel", self.parallel)?),
-            price: part.amount("value_factor", self.value_factor)?,
-            ceiling_rate: part.amount("never_over_rate", self.never_over_rate)?,
-            ceiling_burst: part.amount("cap_depth", self.cap_depth)?,
+            rate: section.non_negative("refill", self.refill)?,
+            burst: section.non_negative("store_size", self.store_size)?,
+            concurrency_limit: f64::from(section.count("parallel", self.parallel)?),
+            price: section.non_negative("value_factor", self.value_factor)?,
+            ceiling_rate: section.non_negative("never_over_rate", self.never_over_rate)?,
+            ceiling_burst: section.non_negative("cap_depth", self.cap_depth)?,
         })
     }
 }
 
 impl Class {
-    fn check(self, place: &str) -> Result<typed::Route, SettingsError> {
-        let part = Part(place);
+    fn validate(&self, section: &Section) -> Result<typed::Route, SettingsError> {
         Ok(typed::Route {
-            // An effect that is not known is taken to be the strictest; so is a group.
+            // A code that is not known is taken to be the strictest.
             idempotency: match self.repeat.as_str() {
                 "repeatable" => typed::Idempotency::Idempotent,
                 "by_key" => typed::Idempotency::Keyed,
@@ -246,11 +185,105 @@
                 "zone" => typed::DeduplicationScope::Zone,
                 _ => typed::DeduplicationScope::Cell,
             },
-            deduplication_window: part.span("memory_span_ns", self.memory_span_ns)?,
-            latency_target: part.span("target_ns", self.target_ns)?,
-            client_timeout: part.span("deadline_ns", self.deadline_ns)?,
-            value: part.amount("credit", self.credit)?,
-            late_value_ratio: part.share("late_worth", self.late_worth)?,
+            deduplication_window: section.duration("memory_span_ns", self.memory_span_ns)?,
+            latency_target: section.duration("target_ns", self.target_ns)?,
+            client_timeout: section.duration("deadline_ns", self.deadline_ns)?,
+            value: section.non_negative("credit", self.credit)?,
+            late_value_ratio: section.ratio("late_worth", self.late_worth)?,
         })
     }
 }
+
+/// One object of the settings, which validates its values and adds their place to what is wrong with them.
+struct Section {
+    /// Where the object stands, as in `contracts[1]`; empty for the outermost one.
+    place: String,
+}
+
+impl Section {
+    /// The outermost object.
+    fn root() -> Section {
+        Section {
+            place: String::new(),
+        }
+    }
+
+    /// The object under a key of the outermost one.
+    fn under_key(key: &str) -> Section {
+        Section {
+            place: key.to_string(),
+        }
+    }
+
+    /// One entry of the list under a key of the outermost object.
+    fn list_entry(list: &str, index: usize) -> Section {
+        Section {
+            place: format!("{list}[{index}]"),
+        }
+    }
+
+    /// The error for the value of a key.
+    fn invalid(&self, key: &str, reason: InvalidSetting) -> SettingsError {
+        let place = if self.place.is_empty() {
+            key.to_string()
+        } else {
+            format!("{}.{key}", self.place)
+        };
+        SettingsError { place, reason }
+    }
+
+    /// A number, 0 or more.
+    fn non_negative(&self, key: &str, value: f64) -> Result<f64, SettingsError> {
+        if value.is_finite() && value >= 0.0 {
+            Ok(value)
+        } else {
+            Err(self.invalid(key, InvalidSetting::Negative(value)))
+        }
+    }
+
+    /// A whole number, 0 or more.
+    fn count(&self, key: &str, value: f64) -> Result<u32, SettingsError> {
+        if value.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&value) {
+            Ok(value as u32)
+        } else {
+            Err(self.invalid(key, InvalidSetting::NotACount(value)))
+        }
+    }
+
+    /// A duration, in nanoseconds on the wire.
+    fn duration(&self, key: &str, nanoseconds: f64) -> Result<Duration, SettingsError> {
+        let nanoseconds = self.non_negative(key, nanoseconds)?;
+        Ok(Duration::from_nanos(
+            nanoseconds.min(MAX_DURATION_NANOSECONDS) as u64,
+        ))
+    }
+
+    /// A number from 0 to 1.
+    fn ratio(&self, key: &str, value: f64) -> Result<f64, SettingsError> {
+        if (0.0..=1.0).contains(&value) {
+            Ok(value)
+        } else {
+            Err(self.invalid(key, InvalidSetting::NotARatio(value)))
+        }
+    }
+}
+
+/// A list as a map by the names of its entries, each of which must be unique.
+fn by_name<Entry, Name: Ord + for<'a> From<&'a str>, Validated>(
+    list: &str,
+    entries: &[Entry],
+    name_of: impl Fn(&Entry) -> &str,
+    validate: impl Fn(&Entry, &Section) -> Result<Validated, SettingsError>,
+) -> Result<BTreeMap<Name, Validated>, SettingsError> {
+    let mut validated = BTreeMap::new();
+    for (index, entry) in entries.iter().enumerate() {
+        let section = Section::list_entry(list, index);
+        let name = name_of(entry);
+        let previous = validated.insert(Name::from(name), validate(entry, &section)?);
+        if previous.is_some() {
+            let duplicate = InvalidSetting::DuplicateName(name.to_string());
+            return Err(section.invalid("name", duplicate));
+        }
+    }
+    Ok(validated)
+}
