--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -1,6 +1,6 @@
-//! Calls to the shared counter: a few connections, calls written one behind another, a name always on the
-//! same one, so that its answers come in order. What comes after its time-out was told is matched off and
-//! dropped. Where the counter moves, each line has a successor, which is heard once the old one owes no answer.
+//! Calls on the shared counter: a few connections, calls written one behind another, a name always on the same connection,
+//! so that its replies come in order. What comes after its timeout was reported is matched off and dropped. Where the
+//! counter moves, each connection has a successor, whose replies are handled once the old one owes none.
 
 use crate::must;
 use crate::reactor::{Due, DueId, Notification, Reactor, Serial, Side};
@@ -12,40 +12,70 @@
 use std::time::Duration;
 use wellcrank::port::*;
 
-/// A call that was written, or will be when the turn ends; left behind for its answer.
-struct Waiting {
-    number: Serial,
-    /// None for a ping, and once the decisions were told that time is up.
+/// The longest line that the counter has to say, in bytes.
+const MAX_REPLY_LINE: usize = 256;
+
+/// The longest time to live that a call may state, in milliseconds.
+const MAX_TTL_MS: u128 = 60_000;
+
+/// A call that was written, or will be when the turn ends, and whose reply has not come.
+struct PendingCall {
+    serial: Serial,
+    /// None for a ping, and once the controller was told that the time is up.
     name: Option<CounterName>,
-    at: Duration,
-    due: DueId,
-    /// How many bytes of this connection there are up to its last.
-    end: usize,
+    /// When it was asked for.
+    queued_at: Duration,
+    timer: DueId,
+    /// How many bytes of its connection there are up to its last.
+    end_offset: usize,
 }
 
+/// One connection to the counter; without a stream it is to be opened at the next call.
 #[derive(Default)]
-struct Line {
+struct Connection {
     stream: Option<BufferedStream>,
-    waiting: VecDeque<Waiting>,
-    put: usize,
-    /// When something came last.
-    heard: Duration,
+    pending_calls: VecDeque<PendingCall>,
+    /// How many bytes were queued since it was opened.
+    queued_bytes: usize,
+    /// When it was opened or a reply came last.
+    last_reply_at: Duration,
 }
 
-pub struct Counter {
-    at: Option<SocketAddr>,
-    /// Two halves: the lines in use, and those to where the counter was before.
-    lines: Vec<Line>,
-    /// Where the half in use begins.
-    base: usize,
+impl Connection {
+    /// Whether a call waits whose reply the controller was not told yet.
+    fn owes_replies(&self) -> bool {
+        self.pending_calls.iter().any(|call| call.name.is_some())
+    }
+
+    /// How many bytes have gone out since it was opened.
+    fn written_bytes(&self) -> usize {
+        let pending = self
+            .stream
+            .as_ref()
+            .map_or(0, BufferedStream::pending_bytes);
+        self.queued_bytes - pending
+    }
+
+    /// Whether calls wait, and nothing has come for longer than `patience`.
+    fn is_silent(&self, now: Duration, patience: Duration) -> bool {
+        self.pending_calls
+            .front()
+            .is_some_and(|call| call.queued_at.max(self.last_reply_at) + patience < now)
+    }
 }
 
-/// The longest line that the counter has to say.
-const LINE: usize = 256;
+/// The connections to the shared counter.
+pub(crate) struct Counter {
+    address: Option<SocketAddr>,
+    /// Two halves: the active connections, and those to where the counter was before.
+    connections: Vec<Connection>,
+    /// Where the active half begins.
+    active_start: usize,
+}
 
-/// What a line says; nothing where it can't be read.
-fn answer(text: &str) -> Option<CounterReply> {
-    let mut words = text.split_ascii_whitespace();
+/// What a line of the counter says; none where it can't be read.
+fn parse_reply(line: &str) -> Option<CounterReply> {
+    let mut words = line.split_ascii_whitespace();
     match (words.next(), words.next()) {
         (Some("ok"), Some(total)) => total
             .parse()
@@ -57,276 +87,299 @@
     }
 }
 
-fn counted(reactor: &mut Reactor, name: CounterName, counted: CounterReply) {
+/// The length of the first line with its end. A line that is too long can't be read, nor anything behind it: all of it
+/// counts as one line then.
+fn line_length(bytes: &[u8]) -> Option<usize> {
+    let end = bytes.iter().position(|byte| *byte == b'\n');
+    match end {
+        Some(end) => Some(end + 1),
+        None if bytes.len() > MAX_REPLY_LINE => Some(bytes.len()),
+        None => None,
+    }
+}
+
+fn report_reply(reactor: &mut Reactor, name: CounterName, reply: CounterReply) {
     reactor
         .notifications
-        .push_back(Notification::Counted(name, counted));
+        .push_back(Notification::Counted(name, reply));
 }
 
 impl Counter {
-    pub fn new(reactor: &mut Reactor, at: Option<SocketAddr>) -> Counter {
-        let lines = (0..reactor.budget.counter * 2)
-            .map(|_| Line::default())
+    /// Connects to the counter, if there is one.
+    pub(crate) fn new(reactor: &mut Reactor, address: Option<SocketAddr>) -> Counter {
+        let connections = (0..reactor.budget.counter * 2)
+            .map(|_| Connection::default())
             .collect();
         let mut counter = Counter {
-            at: None,
-            lines,
-            base: 0,
+            address: None,
+            connections,
+            active_start: 0,
         };
-        counter.move_to(reactor, at);
+        counter.move_to(reactor, address);
         counter
     }
 
-    /// The counter is elsewhere from now on. What was asked before is still answered on the old lines.
-    pub fn move_to(&mut self, reactor: &mut Reactor, at: Option<SocketAddr>) {
-        if at == self.at {
+    /// The counter is elsewhere from now on. Calls made before are still answered on the old connections.
+    pub(crate) fn move_to(&mut self, reactor: &mut Reactor, address: Option<SocketAddr>) {
+        if address == self.address {
             return;
         }
-        (self.at, self.base) = (at, self.half() - self.base);
-        for place in self.base..self.base + self.half() {
-            self.end(reactor, place);
-            self.connect(reactor, place);
-            self.retire(reactor, self.twin(place));
+        self.address = address;
+        self.active_start = self.half() - self.active_start;
+        for index in self.active_start..self.active_start + self.half() {
+            self.disconnect(reactor, index);
+            self.connect(reactor, index);
+            self.retire(reactor, self.counterpart(index));
         }
     }
 
     fn half(&self) -> usize {
-        self.lines.len() / 2
+        self.connections.len() / 2
     }
 
-    /// The place of the same line in the other half.
-    fn twin(&self, place: usize) -> usize {
-        (place + self.half()) % self.lines.len()
+    /// The index of the same connection in the other half.
+    fn counterpart(&self, index: usize) -> usize {
+        (index + self.half()) % self.connections.len()
     }
 
-    fn in_use(&self, place: usize) -> bool {
-        (self.base..self.base + self.half()).contains(&place)
+    fn is_active(&self, index: usize) -> bool {
+        (self.active_start..self.active_start + self.half()).contains(&index)
     }
 
-    /// An old line that owes no answer any more is closed, and its successor is heard.
-    fn retire(&mut self, reactor: &mut Reactor, place: usize) {
-        if self.lines[place].owes() || self.in_use(place) {
+    /// An old connection that owes no reply any more is closed, and the replies on its successor are handled.
+    fn retire(&mut self, reactor: &mut Reactor, index: usize) {
+        if self.connections[index].owes_replies() || self.is_active(index) {
             return;
         }
-        if let Some(stream) = std::mem::take(&mut self.lines[place]).stream {
+        if let Some(stream) = std::mem::take(&mut self.connections[index]).stream {
             stream.close(reactor);
         }
-        let next = self.twin(place);
-        if !self.answered(reactor, next) {
-            self.end(reactor, next);
+        let successor = self.counterpart(index);
+        if !self.handle_replies(reactor, successor) {
+            self.disconnect(reactor, successor);
         }
     }
 
-    fn connect(&mut self, reactor: &mut Reactor, place: usize) {
-        let Some(at) = self.at else { return };
-        let stream = BufferedStream::connect(reactor, at, Side::Counter, place).ok();
-        self.lines[place] = Line {
+    fn connect(&mut self, reactor: &mut Reactor, index: usize) {
+        let Some(address) = self.address else { return };
+        let stream = BufferedStream::connect(reactor, address, Side::Counter, index).ok();
+        self.connections[index] = Connection {
             stream,
-            heard: reactor.now,
-            ..Line::default()
+            last_reply_at: reactor.now,
+            ..Connection::default()
         };
     }
 
-    pub fn count(&mut self, reactor: &mut Reactor, name: CounterName, add: f64, keep: Duration) {
-        let place = self.base + (name.0 % self.half() as u64) as usize;
-        let limit = reactor.settings.counter.timeout;
-        // A connection on which calls wait, and nothing has come for longer than a new one and a call on it
-        // would take, may belong to a machine that is gone without a word.
-        let patience = limit + reactor.connect_timeout();
-        let line = &self.lines[place];
-        let silent = line
-            .waiting
-            .front()
-            .is_some_and(|call| call.at.max(line.heard) + patience < reactor.now);
-        if silent {
-            self.end(reactor, place);
-        }
-        if self.lines[place].stream.is_none() {
-            self.connect(reactor, place);
-        }
-        let line = &mut self.lines[place];
-        let Some(stream) = &mut line.stream else {
-            return counted(reactor, name, CounterReply::NotApplied);
+    /// Adds an amount to a number, which the counter keeps for `ttl` from its first call on.
+    pub(crate) fn add(
+        &mut self,
+        reactor: &mut Reactor,
+        name: CounterName,
+        amount: f64,
+        ttl: Duration,
+    ) {
+        let index = self.active_start + (name.0 % self.half() as u64) as usize;
+        let timeout = reactor.settings.counter.timeout;
+        self.ensure_connected(reactor, index, timeout);
+        let connection = &mut self.connections[index];
+        let Some(stream) = &mut connection.stream else {
+            return report_reply(reactor, name, CounterReply::NotApplied);
         };
-        let keep = keep.as_millis().clamp(1, 60_000);
-        line.put += stream.queue(reactor, |out| {
-            drop(write!(out, "incr {} {add} {keep}\r\n", name.0))
+        let ttl_ms = ttl.as_millis().clamp(1, MAX_TTL_MS);
+        connection.queued_bytes += stream.queue(reactor, |out| {
+            let _ = write!(out, "incr {} {amount} {ttl_ms}\r\n", name.0);
         });
-        let number = reactor.serial();
-        let due = reactor.at(
-            reactor.now + limit,
+        let serial = reactor.serial();
+        let timer = reactor.at(
+            reactor.now + timeout,
             Due::Count {
-                line: place,
-                number,
+                line: index,
+                number: serial,
             },
         );
-        line.waiting.push_back(Waiting {
-            number,
+        connection.pending_calls.push_back(PendingCall {
+            serial,
             name: Some(name),
-            at: reactor.now,
-            due,
-            end: line.put,
+            queued_at: reactor.now,
+            timer,
+            end_offset: connection.queued_bytes,
         });
     }
 
-    /// A call's time is up: told at once, as not added where it was not even written.
-    pub fn due(&mut self, reactor: &mut Reactor, place: usize, number: Serial) {
-        let line = &mut self.lines[place];
-        let written = line.written();
-        let Some(call) = line.waiting.iter_mut().find(|call| call.number == number) else {
+    /// Connects anew where there is no connection, or one on which nothing has come for longer than a new one and a call on
+    /// it would take: it may belong to a machine that is gone without a word.
+    fn ensure_connected(&mut self, reactor: &mut Reactor, index: usize, timeout: Duration) {
+        let patience = timeout + reactor.connect_timeout();
+        if self.connections[index].is_silent(reactor.now, patience) {
+            self.disconnect(reactor, index);
+        }
+        if self.connections[index].stream.is_none() {
+            self.connect(reactor, index);
+        }
+    }
+
+    /// A call's time is up: reported at once, as not applied where it was not even written.
+    pub(crate) fn on_timeout(&mut self, reactor: &mut Reactor, index: usize, serial: Serial) {
+        let connection = &mut self.connections[index];
+        let written_bytes = connection.written_bytes();
+        let Some(call) = connection
+            .pending_calls
+            .iter_mut()
+            .find(|call| call.serial == serial)
+        else {
             return;
         };
-        if call.end > written {
-            return self.end(reactor, place);
+        if call.end_offset > written_bytes {
+            return self.disconnect(reactor, index);
         }
         if let Some(name) = call.name.take() {
-            counted(reactor, name, CounterReply::Unknown);
+            report_reply(reactor, name, CounterReply::Unknown);
         }
-        self.retire(reactor, place);
+        self.retire(reactor, index);
     }
 
-    pub fn ready(&mut self, reactor: &mut Reactor, place: usize, event: &Event) {
+    /// The poll tells of a connection.
+    pub(crate) fn ready(&mut self, reactor: &mut Reactor, index: usize, event: &Event) {
         let Some(stream) = self
-            .lines
-            .get_mut(place)
-            .and_then(|line| line.stream.as_mut())
+            .connections
+            .get_mut(index)
+            .and_then(|connection| connection.stream.as_mut())
         else {
             return;
         };
         if event.is_writable() && (!stream.is_connected || stream.pending_bytes() > 0) {
             if stream.check_connected().is_err() {
-                return self.end(reactor, place);
+                return self.disconnect(reactor, index);
             }
-            self.flush(reactor, place);
+            self.flush(reactor, index);
         }
-        let Some(stream) = &mut self.lines[place].stream else {
+        let Some(stream) = &mut self.connections[index].stream else {
             return;
         };
         if event.is_readable() || event.is_read_closed() || event.is_error() {
             stream.read_would_block = false;
-            let open = stream.read(reactor, reactor.scratch.len());
-            let more = !stream.read_would_block;
-            if !self.answered(reactor, place) || !open {
-                return self.end(reactor, place);
+            let is_open = stream.read(reactor, reactor.scratch.len());
+            let may_have_more = !stream.read_would_block;
+            if !self.handle_replies(reactor, index) || !is_open {
+                return self.disconnect(reactor, index);
             }
-            self.retire(reactor, place);
-            let room = |stream: &BufferedStream| stream.input.len() < reactor.scratch.len();
-            if more && self.lines[place].stream.as_ref().is_some_and(room) {
-                self.ready(reactor, place, event);
+            self.retire(reactor, index);
+            if may_have_more && self.can_read(reactor, index) {
+                self.ready(reactor, index, event);
             }
         }
     }
 
-    /// Hands each answer that has come to the call that waits for it. False if there is none that does, or an
-    /// answer can't be read: it tells that its call was added, and ends the connection. What
-    /// the line before it still owes comes first: the answers of a name keep their order.
-    fn answered(&mut self, reactor: &mut Reactor, place: usize) -> bool {
-        if self.in_use(place) && self.lines[self.twin(place)].owes() {
+    /// Whether a connection is there and its input has room.
+    fn can_read(&self, reactor: &Reactor, index: usize) -> bool {
+        self.connections[index]
+            .stream
+            .as_ref()
+            .is_some_and(|stream| stream.input.len() < reactor.scratch.len())
+    }
+
+    /// Hands each reply that has come to the call that waits for it. Returns false if there is none that does, or a reply
+    /// can't be read: it tells that its call was applied, and ends the connection. What the connection before it still owes
+    /// comes first: the replies for a name keep their order.
+    fn handle_replies(&mut self, reactor: &mut Reactor, index: usize) -> bool {
+        if self.is_active(index) && self.connections[self.counterpart(index)].owes_replies() {
             return true;
         }
-        let line = &mut self.lines[place];
-        let Some(stream) = &mut line.stream else {
+        let connection = &mut self.connections[index];
+        let Some(stream) = &mut connection.stream else {
             return true;
         };
-        let mut took = 0;
-        loop {
-            let rest = &stream.input[took..];
-            let end = rest.iter().position(|byte| *byte == b'\n');
-            // A line without end can't be read either, nor anything behind it.
-            let Some(end) = end.or((rest.len() > LINE).then(|| rest.len() - 1)) else {
-                break;
-            };
-            let text = std::str::from_utf8(&rest[..end]).unwrap_or("").trim_end();
-            let said = answer(text);
-            took += end + 1;
-            let Some(call) = line.waiting.pop_front() else {
+        let mut consumed = 0;
+        while let Some(length) = line_length(&stream.input[consumed..]) {
+            let line = &stream.input[consumed..consumed + length - 1];
+            let text = std::str::from_utf8(line).unwrap_or("").trim_end();
+            let reply = parse_reply(text);
+            consumed += length;
+            let Some(call) = connection.pending_calls.pop_front() else {
                 return false;
             };
-            reactor.unset(call.due);
+            reactor.unset(call.timer);
             if let Some(name) = call.name {
                 must!(
                     reactor,
                     text != "error",
                     "the counter knows the calls that it gets"
                 );
-                counted(reactor, name, said.unwrap_or(CounterReply::Applied));
+                report_reply(reactor, name, reply.unwrap_or(CounterReply::Applied));
             }
-            line.heard = reactor.now;
-            if said.is_none() {
+            connection.last_reply_at = reactor.now;
+            if reply.is_none() {
                 return false;
             }
         }
-        if took > 0 {
-            stream.consume(reactor, took);
+        if consumed > 0 {
+            stream.consume(reactor, consumed);
         }
         true
     }
 
-    pub fn flush(&mut self, reactor: &mut Reactor, place: usize) {
-        let Some(stream) = &mut self.lines[place].stream else {
+    /// Writes what it can of a connection's calls.
+    pub(crate) fn flush(&mut self, reactor: &mut Reactor, index: usize) {
+        let Some(stream) = &mut self.connections[index].stream else {
             return;
         };
         if stream.flush(reactor).is_err() {
-            self.end(reactor, place);
+            self.disconnect(reactor, index);
         }
     }
 
-    /// The connection is over: what was not written was not added, the rest may have been.
-    fn end(&mut self, reactor: &mut Reactor, place: usize) {
-        let mut line = std::mem::take(&mut self.lines[place]);
-        let written = line.written();
-        for call in line.waiting.drain(..) {
-            reactor.unset(call.due);
-            let how = if call.end > written {
+    /// Ends a connection: what was not written was not applied, the rest may have been.
+    fn disconnect(&mut self, reactor: &mut Reactor, index: usize) {
+        let mut connection = std::mem::take(&mut self.connections[index]);
+        let written_bytes = connection.written_bytes();
+        for call in connection.pending_calls.drain(..) {
+            reactor.unset(call.timer);
+            let reply = if call.end_offset > written_bytes {
                 CounterReply::NotApplied
             } else {
                 CounterReply::Unknown
             };
             if let Some(name) = call.name {
-                counted(reactor, name, how);
+                report_reply(reactor, name, reply);
             }
         }
-        if let Some(stream) = line.stream {
+        if let Some(stream) = connection.stream {
             stream.close(reactor);
         }
-        self.retire(reactor, place);
+        self.retire(reactor, index);
     }
 
     /// Once a second: a connection on which nothing waits is kept open by a ping, which costs nothing.
-    pub fn sweep(&mut self, reactor: &mut Reactor) {
-        for line in self.lines.iter_mut().filter(|line| line.waiting.is_empty()) {
-            let Some(stream) = line.stream.as_mut().filter(|stream| stream.is_connected) else {
+    pub(crate) fn ping_idle(&mut self, reactor: &mut Reactor) {
+        for connection in &mut self.connections {
+            let Some(stream) = connection
+                .stream
+                .as_mut()
+                .filter(|stream| stream.is_connected)
+            else {
                 continue;
             };
-            line.put += stream.queue(reactor, |out| out.extend_from_slice(b"ping\r\n"));
-            let (number, due) = (reactor.serial(), (reactor.now, 0));
-            line.waiting.push_back(Waiting {
-                number,
+            if !connection.pending_calls.is_empty() {
+                continue;
+            }
+            connection.queued_bytes +=
+                stream.queue(reactor, |out| out.extend_from_slice(b"ping\r\n"));
+            connection.pending_calls.push_back(PendingCall {
+                serial: reactor.serial(),
                 name: None,
-                at: reactor.now,
-                due,
-                end: line.put,
+                queued_at: reactor.now,
+                // None is set: a serial of 0 is never given.
+                timer: (reactor.now, 0),
+                end_offset: connection.queued_bytes,
             });
         }
     }
 
-    /// Nothing waits for the counter but what it was told in vain.
-    pub fn quiet(&self) -> bool {
-        self.lines.iter().all(|line| !line.owes())
+    /// Whether no reply is owed but those whose timeouts were reported.
+    pub(crate) fn owes_no_replies(&self) -> bool {
+        !self.connections.iter().any(Connection::owes_replies)
     }
 }
 
-impl Line {
-    /// A call waits whose answer the decisions were not told yet.
-    fn owes(&self) -> bool {
-        self.waiting.iter().any(|call| call.name.is_some())
-    }
-
-    fn written(&self) -> usize {
-        self.put
-            - self
-                .stream
-                .as_ref()
-                .map_or(0, BufferedStream::pending_bytes)
-    }
-}
+#[cfg(test)]
+mod tests;
--- a/edge/src/event_loop.rs
+++ b/edge/src/event_loop.rs
@@ -144,7 +144,7 @@
         let Gateway {
             reactor, counter, ..
         } = &mut *self.0.borrow_mut();
-        counter.count(reactor, name, add, keep);
+        counter.add(reactor, name, add, keep);
     }
     fn set_timer(&mut self, token: TimerToken, at: Duration) {
         self.0.borrow_mut().reactor.at(at, Due::Wake(token));
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -124,7 +124,7 @@
         let reactor = &mut self.reactor;
         match due {
             Due::Try { key, connection } => self.pool.due(reactor, key, connection),
-            Due::Count { line, number } => self.counter.due(reactor, line, number),
+            Due::Count { line, number } => self.counter.on_timeout(reactor, line, number),
             Due::Wake(token) => {
                 reactor.notifications.push_back(Notification::Woken(token));
                 if token == TICK_TIMER {
@@ -177,13 +177,13 @@
         reactor.report_faults();
         clients.sweep(reactor, calls);
         pool.sweep(reactor);
-        self.counter.sweep(reactor);
+        self.counter.ping_idle(reactor);
     }
 
     /// Told to stop, and nobody is left to answer.
     pub fn finished(&mut self) -> bool {
         // What the counter has not answered by the end was written, and lapses with its name.
-        let counted = self.counter.quiet() || self.reactor.last_answers();
+        let counted = self.counter.owes_no_replies() || self.reactor.last_answers();
         let quiet = self.clients.len() == 0 && self.calls.len() == 0 && counted;
         if !quiet || !self.reactor.closing() {
             return false;
