--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -2,10 +2,13 @@
 //! so that its replies come in order. What comes after its timeout was reported is matched off and dropped. Where the
 //! counter moves, each connection has a successor, whose replies are handled once the old one owes none.
 
-use crate::must;
-use crate::reactor::{Due, DueId, Notification, Reactor, Serial, Side};
+use crate::component::Component;
+use crate::deadlines::{Deadline, DeadlineId};
+use crate::invariants::invariant;
+use crate::notification::Notification;
+use crate::reactor::{Reactor, Serial};
+use crate::readiness::Readiness;
 use crate::stream::BufferedStream;
-use mio::event::Event;
 use std::collections::VecDeque;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -25,7 +28,8 @@
     name: Option<CounterName>,
     /// When it was asked for.
     queued_at: Duration,
-    timer: DueId,
+    /// Its timeout; none for a ping.
+    timeout: Option<DeadlineId>,
     /// How many bytes of its connection there are up to its last.
     end_offset: usize,
 }
@@ -99,9 +103,7 @@
 }
 
 fn report_reply(reactor: &mut Reactor, name: CounterName, reply: CounterReply) {
-    reactor
-        .notifications
-        .push_back(Notification::Counted(name, reply));
+    reactor.notify(Notification::CounterReply { name, reply });
 }
 
 impl Counter {
@@ -162,7 +164,7 @@
 
     fn connect(&mut self, reactor: &mut Reactor, index: usize) {
         let Some(address) = self.address else { return };
-        let stream = BufferedStream::connect(reactor, address, Side::Counter, index).ok();
+        let stream = BufferedStream::connect(reactor, address, Component::Counter, index).ok();
         self.connections[index] = Connection {
             stream,
             last_reply_at: reactor.now,
@@ -189,10 +191,10 @@
         connection.queued_bytes += stream.queue(reactor, |out| {
             let _ = write!(out, "incr {} {amount} {ttl_ms}\r\n", name.0);
         });
-        let serial = reactor.serial();
-        let timer = reactor.at(
+        let serial = reactor.next_serial();
+        let deadline = reactor.set_deadline(
             reactor.now + timeout,
-            Due::Count {
+            Deadline::CounterCall {
                 line: index,
                 number: serial,
             },
@@ -201,7 +203,7 @@
             serial,
             name: Some(name),
             queued_at: reactor.now,
-            timer,
+            timeout: Some(deadline),
             end_offset: connection.queued_bytes,
         });
     }
@@ -239,7 +241,7 @@
     }
 
     /// The poll tells of a connection.
-    pub(crate) fn ready(&mut self, reactor: &mut Reactor, index: usize, event: &Event) {
+    pub(crate) fn ready(&mut self, reactor: &mut Reactor, index: usize, readiness: Readiness) {
         let Some(stream) = self
             .connections
             .get_mut(index)
@@ -247,7 +249,7 @@
         else {
             return;
         };
-        if event.is_writable() && (!stream.is_connected || stream.pending_bytes() > 0) {
+        if readiness.is_writable() && (!stream.is_connected || stream.pending_bytes() > 0) {
             if stream.check_connected().is_err() {
                 return self.disconnect(reactor, index);
             }
@@ -256,7 +258,7 @@
         let Some(stream) = &mut self.connections[index].stream else {
             return;
         };
-        if event.is_readable() || event.is_read_closed() || event.is_error() {
+        if readiness.should_read() {
             stream.read_would_block = false;
             let is_open = stream.read(reactor, reactor.scratch.len());
             let may_have_more = !stream.read_would_block;
@@ -265,7 +267,7 @@
             }
             self.retire(reactor, index);
             if may_have_more && self.can_read(reactor, index) {
-                self.ready(reactor, index, event);
+                self.ready(reactor, index, readiness);
             }
         }
     }
@@ -298,9 +300,11 @@
             let Some(call) = connection.pending_calls.pop_front() else {
                 return false;
             };
-            reactor.unset(call.timer);
+            if let Some(deadline) = call.timeout {
+                reactor.cancel_deadline(deadline);
+            }
             if let Some(name) = call.name {
-                must!(
+                invariant!(
                     reactor,
                     text != "error",
                     "the counter knows the calls that it gets"
@@ -333,7 +337,9 @@
         let mut connection = std::mem::take(&mut self.connections[index]);
         let written_bytes = connection.written_bytes();
         for call in connection.pending_calls.drain(..) {
-            reactor.unset(call.timer);
+            if let Some(deadline) = call.timeout {
+                reactor.cancel_deadline(deadline);
+            }
             let reply = if call.end_offset > written_bytes {
                 CounterReply::NotApplied
             } else {
@@ -365,11 +371,10 @@
             connection.queued_bytes +=
                 stream.queue(reactor, |out| out.extend_from_slice(b"ping\r\n"));
             connection.pending_calls.push_back(PendingCall {
-                serial: reactor.serial(),
+                serial: reactor.next_serial(),
                 name: None,
                 queued_at: reactor.now,
-                // None is set: a serial of 0 is never given.
-                timer: (reactor.now, 0),
+                timeout: None,
                 end_offset: connection.queued_bytes,
             });
         }
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -7,15 +7,16 @@
 mod upstream_connection;
 
 use crate::clients::Clients;
-use crate::discovery::{Change, Lines};
-use crate::must;
-use crate::reactor::{Reactor, Serial, Side};
+use crate::component::Component;
+use crate::discovery::{ListedEndpoint, ParsedUpdate};
+use crate::invariants::invariant;
+use crate::reactor::{Reactor, Serial};
+use crate::readiness::Readiness;
 use crate::requests::OpenRequests;
 use crate::resp::{self, Reply};
 use crate::stream::BufferedStream;
 use attempt::{advertised_timeout, report_end, result_without_response, Attempt, AttemptState};
 use endpoint_table::EndpointTable;
-use mio::event::Event;
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -60,7 +61,7 @@
 ) {
     if let Some(open) = requests.get_mut(request).filter(|open| !open.answered) {
         open.answered = true;
-        reactor.tally.proxied += 1;
+        reactor.metrics.served += 1;
         clients.answer(reactor, open.slot, |out| resp::put_bulk(out, value));
     }
 }
@@ -83,13 +84,18 @@
     }
 
     /// Makes an update of the endpoint list one that the controller and the pool can follow.
-    pub(crate) fn complete(&self, change: &mut Change) {
-        self.endpoints.complete(change);
+    pub(crate) fn complete(&self, update: &mut ParsedUpdate) {
+        self.endpoints.complete(update);
     }
 
     /// Discovery has told: addresses are known, and what has not begun at an endpoint that drains or is gone is not
     /// begun any more.
-    pub(crate) fn listed(&mut self, reactor: &mut Reactor, is_snapshot: bool, entries: Lines) {
+    pub(crate) fn listed(
+        &mut self,
+        reactor: &mut Reactor,
+        is_snapshot: bool,
+        entries: Vec<ListedEndpoint>,
+    ) {
         let mut closing = self.endpoints.apply_update(is_snapshot, entries);
         let unbegun = self.connections.iter().filter(|(_, connection)| {
             connection.has_unbegun_attempt() && !self.endpoints.is_ready(&connection.endpoint)
@@ -146,13 +152,13 @@
             .get_mut(endpoint)
             .ok_or(AttemptOutcome::ConnectFailed)?;
         let key = self.connections.vacant_key();
-        let stream = BufferedStream::connect(reactor, known.address, Side::Upstream, key)
+        let stream = BufferedStream::connect(reactor, known.address, Component::Upstream, key)
             .map_err(|error| outcome_on_open_error(&error))?;
         let connection = UpstreamConnection {
             stream,
             endpoint: endpoint.clone(),
             incarnation: known.incarnation,
-            serial: reactor.serial(),
+            serial: reactor.next_serial(),
             attempt: None,
             last_used: reactor.now,
         };
@@ -162,7 +168,7 @@
     /// Has a connection carry an attempt; its command is written when the turn ends and the connection is up.
     fn assign(&mut self, reactor: &mut Reactor, key: usize, new: &NewAttempt) {
         let connection = &mut self.connections[key];
-        must!(
+        invariant!(
             reactor,
             connection.attempt.is_none(),
             "one upstream attempt on a connection"
@@ -174,7 +180,7 @@
             reactor.now + reactor.connect_timeout()
         };
         let first_deadline = new.deadline.min(new.send_by).min(connected_by);
-        let timer = reactor.at(first_deadline, connection.timer(key));
+        let timer = reactor.set_deadline(first_deadline, connection.timer(key));
         connection.attempt = Some(Attempt {
             request: new.request.clone(),
             number: new.number,
@@ -264,7 +270,7 @@
         if attempt.state == AttemptState::ReadingResponse {
             return self.end_malformed(reactor, key);
         }
-        attempt.timer = reactor.at(deadline, timer);
+        attempt.timer = reactor.set_deadline(deadline, timer);
     }
 
     /// The poll tells of a connection.
@@ -272,7 +278,7 @@
         &mut self,
         reactor: &mut Reactor,
         key: usize,
-        event: &Event,
+        readiness: Readiness,
         requests: &mut OpenRequests,
         clients: &mut Clients,
     ) {
@@ -281,13 +287,13 @@
         };
         let wants_to_write =
             connection.has_unbegun_attempt() || connection.stream.pending_bytes() > 0;
-        if event.is_writable() && wants_to_write {
+        if readiness.is_writable() && wants_to_write {
             if connection.stream.check_connected().is_err() {
                 return self.fail_connection(reactor, key);
             }
             self.flush(reactor, key, requests);
         }
-        if event.is_readable() || event.is_read_closed() || event.is_error() {
+        if readiness.should_read() {
             self.read_response(reactor, key, requests, clients);
         }
     }
@@ -408,9 +414,9 @@
         // The turn may have been long: the remaining time is reckoned by the clock, not by the turn, and what has
         // happened since is met first, once.
         let now = reactor.clock.now();
-        if now > reactor.polled + LONG_TURN && attempt.state != AttemptState::Deferred {
+        if now > reactor.polled_at + LONG_TURN && attempt.state != AttemptState::Deferred {
             attempt.state = AttemptState::Deferred;
-            reactor.written_next.push(Side::Upstream.token(key));
+            reactor.defer_flush(Component::Upstream.token(key));
             return false;
         }
         let is_usable = self
@@ -422,7 +428,7 @@
             .get_mut(&attempt.request)
             .filter(|open| open.is_wanted() && is_usable && is_in_time);
         let Some(open) = open else {
-            reactor.tally.lapsed += 1;
+            reactor.metrics.lapsed_attempts += 1;
             self.end_with(reactor, key, |_| AttemptOutcome::NotSent);
             return false;
         };
@@ -436,7 +442,7 @@
 
     /// What has come can't be read: an error of the endpoint's, after the command may have run.
     fn end_malformed(&mut self, reactor: &mut Reactor, key: usize) {
-        reactor.tally.spoilt += 1;
+        reactor.metrics.malformed_responses += 1;
         self.end_with(reactor, key, |_| AttemptOutcome::ServerError);
     }
 
@@ -463,7 +469,7 @@
     /// The attempt is no longer in flight.
     fn detach_attempt(&mut self, reactor: &mut Reactor, key: usize) -> Option<Attempt> {
         let attempt = self.connections[key].attempt.take()?;
-        reactor.unset(attempt.timer);
+        reactor.cancel_deadline(attempt.timer);
         self.in_flight
             .remove(&(attempt.request.clone(), attempt.number));
         Some(attempt)
@@ -471,7 +477,7 @@
 
     fn close(&mut self, reactor: &mut Reactor, key: usize) {
         let connection = self.connections.remove(key);
-        must!(
+        invariant!(
             reactor,
             connection.attempt.is_none(),
             "an attempt's end is reported before its connection closes"
--- a/src/control.rs
+++ b/src/control.rs
@@ -12,11 +12,11 @@
 //! | module | what it decides or keeps |
 //! | --- | --- |
 //! | `requests` | records of open requests and of attempts |
-//! | `customer_quotas` | what each customer may do: `customers`, `leases`, `quota`, `ceiling`, `token_bucket` |
+//! | `customer_quotas` | what each customer may do: `customers`, `leases`, `quota`, `ceiling`, with `token_bucket`, `observed_bucket` and `unit_reports` |
 //! | `counter_client` | calls on the counter, with `rate_pacer`, `circuit_breaker` and `counter_names` |
 //! | `load_balancer` | what is known of endpoints: `endpoints`, `failure_rate`, `latency`, `machine_types`, `throughput` |
 //! | `endpoint_picker` | which endpoint an attempt goes to; `slow_start` what one may be sent that has just started |
-//! | `concurrency_limit`, `load_shedding` | how many attempts may be out, and which requests are refused in overload |
+//! | `concurrency_limit`, `load_shedding` | how many attempts may be in flight, and which requests are refused in overload |
 //! | `retries`, `retry_after` | whether a further attempt is safe; when a rejected client is told to come again |
 //! | `timers`, `context` | what is due when; what every part is given |
 
@@ -36,15 +36,19 @@
 mod load_balancer;
 mod load_shedding;
 mod machine_types;
+mod observed_bucket;
 mod quota;
 mod rate_pacer;
 mod requests;
 mod retries;
 mod retry_after;
 mod slow_start;
+#[cfg(test)]
+mod test_support;
 mod throughput;
 mod timers;
 mod token_bucket;
+mod unit_reports;
 
 use crate::port::{
     AttemptNumber, AttemptResult, CounterName, CounterReply, CustomerId, EndpointId,
@@ -52,28 +56,24 @@
 };
 use crate::settings::{DiscoveryMode, Settings};
 use context::Context;
-use customer_quotas::{
-    value_of, CustomerQuotas, Decision, GrantedLease, LeaseDenial, QuotaDenial, Reserved,
-    Resumption,
-};
+use customer_quotas::{CustomerQuotas, GrantedLease, LeaseDenial, LeaseOutcome, Resumption};
 use leases::LeasePurpose;
 use load_balancer::LoadBalancer;
 use load_shedding::LoadShedder;
 use nanorand::{Rng, WyRand};
+use quota::{Reservation, WaitingRequest};
 use requests::{InFlightAttempt, OpenRequest};
 use retries::{EffectGuard, RetryBudget};
 use retry_after::DEFAULT_RETRY_AFTER;
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use std::task::Poll;
 use std::time::Duration;
 use timers::{Timer, TimerQueue};
 
 /// The interval of the one periodic timer.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Work that is done once a second falls on the tick in this part of a second, in milliseconds.
-const SECOND_TICK_BELOW_MS: u32 = 50;
-
 /// How long after a failure of discovery the endpoint list is asked for again.
 const RESUBSCRIBE_AFTER: Duration = Duration::from_millis(500);
 
@@ -95,6 +95,13 @@
     timers: TimerQueue,
 }
 
+/// Where an attempt is to be sent.
+struct AttemptTarget {
+    endpoint: EndpointId,
+    /// It must have gone out whole by then, so that it has no second effect; [`Duration::MAX`]: at any time.
+    send_by: Duration,
+}
+
 impl AdmissionController {
     /// A controller that knows no endpoint yet. `seed` is for random numbers, another one at each start; `now` is the
     /// adapter's clock.
@@ -190,25 +197,33 @@
                 request,
                 customer,
                 purpose,
-                decision,
-            }) => self.on_lease_decision(&request, &customer, purpose, decision),
+                outcome,
+            }) => self.on_lease_outcome(&request, &customer, purpose, outcome),
             Some(Resumption::Block {
                 customer,
                 granted,
                 waiting,
-            }) => {
-                for waiter in waiting {
-                    if granted {
-                        self.reserve_units(&waiter.request, &customer, waiter.lease);
-                    } else {
-                        self.reject_unreserved(&waiter.request, &customer, waiter.lease);
-                    }
-                }
-            }
+            }) => self.resume_waiting(&customer, granted, waiting),
             None => (),
         }
     }
 
+    /// A block was granted or not: the requests that have waited for it go on.
+    fn resume_waiting(
+        &mut self,
+        customer: &CustomerId,
+        granted: bool,
+        waiting: Vec<WaitingRequest>,
+    ) {
+        for waiter in waiting {
+            if granted {
+                self.reserve_units(&waiter.request, customer, waiter.lease);
+            } else {
+                self.reject_unreserved(&waiter.request, customer, waiter.lease);
+            }
+        }
+    }
+
     /// An attempt has ended: what it tells is recorded, its lease is released, its units are settled, and the request
     /// gets its final answer or a further attempt.
     pub fn on_attempt_end(
@@ -252,16 +267,17 @@
         }
     }
 
-    /// What is done with the one periodic timer, and once a second.
+    /// Periodic work: at each tick and once a second.
     fn on_tick(&mut self) {
         self.set_tick();
         self.quotas.renew_leases(&mut self.context);
         let now = self.context.now;
-        if now.subsec_millis() >= SECOND_TICK_BELOW_MS {
-            return;
+        // Work that is done once a second is done on the first tick of the second.
+        let is_first_of_second = u128::from(now.subsec_millis()) < TICK.as_millis();
+        if is_first_of_second {
+            self.balancer.on_second(&self.context);
+            self.quotas.forget_idle_customers(now);
         }
-        self.balancer.on_second(&self.context);
-        self.quotas.forget_idle_customers(now);
     }
 
     fn set_tick(&mut self) {
@@ -279,7 +295,7 @@
         self.context.settings.timer_resolution * TIMER_SLACK_RESOLUTIONS
     }
 
-    /// A request gets the terms of its route as they are now.
+    /// Keeps a request that has come in, with the terms of its route as they are now.
     fn open_request(&mut self, request: Request) {
         let now = self.context.now;
         let route = self.context.settings.route(&request.route).clone();
@@ -289,18 +305,20 @@
         self.requests.insert(id, open);
     }
 
-    /// Whether a request is shed. Chance carries what is less than an attempt: one a gateway would jam endpoints that
-    /// hundreds of gateways share.
+    /// Whether a request is shed. A random part of one attempt counts as in flight beside the others, so that a gateway
+    /// with a limit of a few attempts sheds in proportion.
     fn should_shed(&mut self, id: &RequestId) -> bool {
         let Some(open) = self.requests.get(id) else {
             return false;
         };
-        let value = value_of(&self.context.settings, &open.request);
+        let value = self.context.settings.value_of(&open.request);
         let baseline = self.balancer.baseline_latency(&open.request.route);
         let priority = load_shedding::priority(value, baseline);
         let limiter = self.balancer.limiter();
         let use_ratio = (limiter.in_flight() + self.rng.generate::<f64>()) / limiter.limit();
-        self.shedder.should_shed(priority, use_ratio)
+        let is_shed = self.shedder.should_shed(priority, use_ratio);
+        self.shedder.record_priority(priority);
+        is_shed
     }
 
     /// The first step of an attempt: its concurrency lease.
@@ -310,25 +328,23 @@
         };
         let customer = open.request.customer.clone();
         let baseline = self.balancer.baseline_latency(&open.request.route);
-        let decision =
+        let outcome =
             self.quotas
                 .acquire_lease(&mut self.context, &open.request, purpose, baseline);
-        match decision {
-            Decision::Granted(lease) => self.on_lease_decision(id, &customer, purpose, Ok(lease)),
-            Decision::Denied(denial) => self.on_lease_decision(id, &customer, purpose, Err(denial)),
-            Decision::Pending => (),
+        if let Poll::Ready(outcome) = outcome {
+            self.on_lease_outcome(id, &customer, purpose, outcome);
         }
     }
 
     /// A first attempt is charged only once it has its lease; a further one was charged with the first.
-    fn on_lease_decision(
+    fn on_lease_outcome(
         &mut self,
         id: &RequestId,
         customer: &CustomerId,
         purpose: LeasePurpose,
-        decision: Result<GrantedLease, LeaseDenial>,
+        outcome: LeaseOutcome,
     ) {
-        match (decision, purpose) {
+        match (outcome, purpose) {
             (Ok(lease), LeasePurpose::FirstAttempt) => self.reserve_units(id, customer, lease),
             (Ok(lease), LeasePurpose::Retry) => self.send_attempt(id, customer, lease),
             (Err(denial), _) => self.respond(id, self.until_lease_is_free(id, &denial)),
@@ -342,16 +358,14 @@
                 .quotas
                 .release_lease(&mut self.context, customer, lease);
         };
-        let decision = self
+        let reservation = self
             .quotas
             .reserve_units(&mut self.context, &open.request, lease);
-        match decision {
-            Decision::Granted(reserved) => {
-                open.is_uncounted |= reserved == Reserved::Uncounted;
-                self.send_attempt(id, customer, lease);
-            }
-            Decision::Denied(QuotaDenial) => self.reject_unreserved(id, customer, lease),
-            Decision::Pending => (),
+        open.is_uncounted |= reservation == Reservation::Uncounted;
+        match reservation {
+            Reservation::Counted | Reservation::Uncounted => self.send_attempt(id, customer, lease),
+            Reservation::Denied => self.reject_unreserved(id, customer, lease),
+            Reservation::AwaitsBlock => (),
         }
     }
 
@@ -365,29 +379,34 @@
     /// The last step of an attempt, and the one place that every attempt passes: the rules on final answers, effects,
     /// drains, slow starts and ceilings are kept here.
     fn send_attempt(&mut self, id: &RequestId, customer: &CustomerId, lease: GrantedLease) {
-        let Some(open) = self.requests.get(id) else {
+        if !self.requests.contains_key(id) {
             return self
                 .quotas
                 .release_lease(&mut self.context, customer, lease);
-        };
+        }
+        match self.choose_target(id) {
+            Some(target) => self.start_attempt(id, &target, lease),
+            None => self.abandon_attempt(id, customer, lease),
+        }
+    }
+
+    /// Where a request's next attempt goes, if it may be sent at all.
+    fn choose_target(&mut self, id: &RequestId) -> Option<AttemptTarget> {
+        let open = self.requests.get(id)?;
+        let has_time = !open.remaining_time(self.context.now).is_zero();
+        if !has_time || open.in_flight.is_some() {
+            return None;
+        }
         let guard = EffectGuard::of(open, self.timer_slack());
-        let effect_free_until = guard.send_by;
+        let send_by = guard.send_by;
         // Random numbers that were drawn for an attempt that is not sent are drawn again for the next.
         let mut rng = self.rng.clone();
-        let endpoint = self.balancer.pick(
-            &self.context,
-            &mut rng,
-            &guard,
-            open.last_endpoint.as_ref(),
-            &open.request.route,
-        );
-        let has_time = !open.remaining_time(self.context.now).is_zero();
-        let endpoint = endpoint.filter(|_| has_time && open.in_flight.is_none());
-        let Some(endpoint) = endpoint.filter(|_| self.passes_ceiling(id)) else {
-            return self.abandon_attempt(id, customer, lease);
-        };
+        let endpoint = self.balancer.pick(&self.context, &mut rng, open, &guard)?;
+        if !self.passes_ceiling(id) {
+            return None;
+        }
         self.rng = rng;
-        self.start_attempt(id, &endpoint, effect_free_until, lease);
+        Some(AttemptTarget { endpoint, send_by })
     }
 
     /// Whether a request may go on under the hard ceiling of its plan: its first attempt takes its units from it.
@@ -416,28 +435,24 @@
     }
 
     /// Sends an attempt for which everything was decided.
-    fn start_attempt(
-        &mut self,
-        id: &RequestId,
-        endpoint: &EndpointId,
-        effect_free_until: Duration,
-        lease: GrantedLease,
-    ) {
+    fn start_attempt(&mut self, id: &RequestId, target: &AttemptTarget, lease: GrantedLease) {
         let Some(open) = self.requests.get_mut(id) else {
             return;
         };
-        let Some(started) = self.balancer.start_attempt(&self.context, endpoint) else {
+        let Some(started) = self.balancer.start_attempt(&self.context, &target.endpoint) else {
             return;
         };
         let number = AttemptNumber(open.attempts);
         open.attempts += 1;
         open.in_flight = Some(number);
-        open.last_endpoint = Some(endpoint.clone());
+        open.last_endpoint = Some(target.endpoint.clone());
         let timeout = open.remaining_time(self.context.now);
-        let send_by = effect_free_until.min(started.send_by);
-        self.context.port.send(id, endpoint, timeout, send_by);
+        let send_by = target.send_by.min(started.send_by);
+        self.context
+            .port
+            .send(id, &target.endpoint, timeout, send_by);
         let attempt = InFlightAttempt {
-            endpoint: endpoint.clone(),
+            endpoint: target.endpoint.clone(),
             sent: started.sent,
             route: open.request.route.clone(),
             customer: open.request.customer.clone(),
@@ -500,7 +515,7 @@
         }
     }
 
-    /// A request is over: an attempt that is out is cancelled. Where none came to an endpoint, its units go back.
+    /// A request is over: an attempt in flight is cancelled. Where none was delivered to an endpoint, its units are given back.
     fn close_request(&mut self, id: &RequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(id)?;
         match open.in_flight {
@@ -530,6 +545,7 @@
         }
     }
 
+    /// What a client is advised to wait whose customer has reached its cap.
     fn until_lease_is_free(&self, id: &RequestId, denial: &LeaseDenial) -> Duration {
         let baseline = self
             .requests
@@ -538,6 +554,7 @@
         retry_after::until_lease_is_free(baseline, denial.ahead)
     }
 
+    /// What a client is advised to wait whose customer has spent its quota.
     fn until_quota_refills(&self, customer: &CustomerId) -> Duration {
         let rejected_until = self.quotas.rejected_until(customer);
         retry_after::until_quota_refills(rejected_until, self.context.now)
--- a/src/control/leases.rs
+++ b/src/control/leases.rs
@@ -1,13 +1,13 @@
-//! Concurrency leases: the cap on a customer's upstream attempts that are out at once (steps 2 to 4 of the design).
+//! Concurrency leases: the cap on a customer's upstream attempts in flight at once.
 //!
-//! A lease is an addition of one to the counter name of the customer and the current period. Names lapse by themselves,
+//! A lease is an addition of one to the counter name of the customer and the current period. Names expire by themselves,
 //! so leases of a crashed gateway do too; open leases are renewed into the next period's name before the edge.
 
 use crate::port::{CounterReply, RequestId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The length of a period, after which a lease that was not renewed has lapsed.
+/// The length of a period, after which a lease that was not renewed has expired.
 pub(super) const LEASE_PERIOD: Duration = Duration::from_secs(3);
 
 /// So long before the period's edge open leases are renewed into the next name.
@@ -19,6 +19,15 @@
 /// Who asks for less than this share of its cap or rate has left its quota alone.
 pub(super) const LOW_DEMAND_RATIO: f64 = 0.2;
 
+/// A gateway's place among the gateways that a customer's requests come through.
+#[derive(Clone, Copy, Default)]
+pub(super) struct GatewayPlace {
+    /// Its number among them, from 0.
+    pub(super) rank: f64,
+    /// How many they are.
+    pub(super) count: f64,
+}
+
 /// One lease of this gateway.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct LeaseId(pub(super) u64);
@@ -42,32 +51,31 @@
     pub(super) lease: LeaseId,
     /// The period in whose name it is counted.
     pub(super) period: u64,
-    /// The customer's cap on attempts out at once.
+    /// The customer's cap on attempts in flight at once.
     pub(super) limit: f64,
     /// The units of the request.
     pub(super) units: f64,
     /// The length of the customer's quota window, in seconds.
     pub(super) window: f64,
-    /// How long a unit of demand is out, in seconds: the route's baseline latency for each unit.
+    /// How long a unit of demand is in flight, in seconds: the route's baseline latency for each unit.
     pub(super) seconds_per_unit: f64,
-    /// The counter is spared the call while the units that were seen can't fill the cap.
-    pub(super) is_spared: bool,
+    /// The counter is not asked, to save a call, as the units that were seen can't fill the cap.
+    pub(super) skips_counter: bool,
 }
 
 impl LeaseAcquisition {
-    /// How many attempts this gateway may have out where the counter gives no total: its part of the cap, and one
-    /// always for a customer that had little out by its own demand before this request (`demand_before`, in units a
-    /// second over all gateways).
+    /// How many attempts this gateway may have in flight where the counter gives no total: its part of the cap, and at
+    /// least one for a customer of low demand before this request (`demand_before`, in units a second over all
+    /// gateways).
     pub(super) fn local_limit(
         &self,
-        gateway_rank: f64,
-        gateway_count: f64,
+        place: GatewayPlace,
         demand_before: f64,
         current_period: u64,
     ) -> f64 {
-        let share = local_share(self.limit, gateway_rank, gateway_count, current_period);
-        let asks_little = demand_before * self.seconds_per_unit < self.limit * LOW_DEMAND_RATIO;
-        share.max(if asks_little { 1.0 } else { 0.0 })
+        let share = local_share(self.limit, place, current_period);
+        let has_low_demand = demand_before * self.seconds_per_unit < self.limit * LOW_DEMAND_RATIO;
+        share.max(if has_low_demand { 1.0 } else { 0.0 })
     }
 }
 
@@ -96,8 +104,8 @@
     }
 
     /// The reply to an acquisition, or [`CounterReply::NotApplied`] where the counter was not asked. Without a total
-    /// the gateway's own attempts stay within `local_limit`, else an outage would admit all; where the counter was
-    /// spared, within the cap. Trade-off: an uneven customer is refused at its busy gateway.
+    /// the gateway's own attempts stay within `local_limit`, else an outage would admit all; where the call was saved,
+    /// within the cap. Trade-off: a customer that uses its gateways unevenly is rejected at the busy one.
     pub(super) fn on_acquire_reply(
         &mut self,
         acquisition: &LeaseAcquisition,
@@ -119,7 +127,7 @@
                 }
             }
             CounterReply::NotApplied | CounterReply::Unknown => {
-                let limit = if acquisition.is_spared {
+                let limit = if acquisition.skips_counter {
                     acquisition.limit
                 } else {
                     local_limit
@@ -165,7 +173,7 @@
         ended
     }
 
-    /// Ends a lease: gives the periods in whose names it was counted (step 3: it is taken off those, and off no other).
+    /// Ends a lease: gives the periods in whose names it was counted (it is taken off those, and off no other).
     pub(super) fn release(&mut self, lease: LeaseId) -> Vec<u64> {
         self.periods.remove(&lease).unwrap_or_default()
     }
@@ -173,9 +181,12 @@
 
 /// A gateway's part of a customer's cap: the parts of all gateways sum to the cap, and the remainder goes round by
 /// period.
-fn local_share(limit: f64, gateway_rank: f64, gateway_count: f64, period: u64) -> f64 {
-    let turn = (gateway_rank + period as f64) % gateway_count;
-    let remainder = limit % gateway_count;
+fn local_share(limit: f64, place: GatewayPlace, period: u64) -> f64 {
+    let turn = (place.rank + period as f64) % place.count;
+    let remainder = limit % place.count;
     let extra = if turn < remainder { 1.0 } else { 0.0 };
-    (limit / gateway_count).floor() + extra
+    (limit / place.count).floor() + extra
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/port.rs
+++ b/src/port.rs
@@ -60,7 +60,7 @@
 /// The longest span that [`seconds`] gives: about thirty years, so that sums of spans stay sound.
 const MAX_SPAN_SECONDS: f64 = 1e9;
 
-/// A span of so many seconds; negative numbers and NaN give zero, large ones [`MAX_SPAN_SECONDS`].
+/// A span of so many seconds; negative numbers and NaN give zero, large ones about thirty years.
 pub fn seconds(number: f64) -> Duration {
     Duration::from_secs_f64(number.clamp(0.0, MAX_SPAN_SECONDS).max(0.0))
 }
@@ -234,7 +234,7 @@
         send_by: Duration,
     );
 
-    /// Gives an attempt up that is out; its end is reported all the same.
+    /// Gives up an attempt in flight; its end is reported all the same.
     fn cancel(&mut self, request: &RequestId, attempt: AttemptNumber);
 
     /// The final answer that it is harmless to ask again, after `retry_after`.
--- a/tool/src/lab.rs
+++ b/tool/src/lab.rs
@@ -12,9 +12,9 @@
 use wellcrank_lab::clock::Clock;
 use wellcrank_lab::error::{ErrorChain, LabError};
 use wellcrank_lab::experiment::{Engine, Experiment, Variant};
-use wellcrank_lab::loopback::Program;
+use wellcrank_lab::loopback::GatewayProgram;
 use wellcrank_lab::metrics::{Figure, Results, SecondMetrics};
-use wellcrank_lab::runs::{self, Ways};
+use wellcrank_lab::runs::{self, RunnerOptions};
 use wellcrank_lab::{capacity, loopback, report, stats, validate};
 
 #[derive(Subcommand)]
@@ -207,12 +207,11 @@
 }
 
 fn read(path: &Path) -> Result<Experiment, Short> {
-    Experiment::load(&path.to_string_lossy())
-        .map_err(|complaint| Short::Input(complaint.to_string()))
+    Experiment::load(&path.to_string_lossy()).map_err(|error| LabError::from(error).into())
 }
 
 /// The edge node that is played: a program of its own, or the one built into this command.
-fn edge(named: Option<PathBuf>) -> Result<Program, Short> {
+fn edge(named: Option<PathBuf>) -> Result<GatewayProgram, Short> {
     if let Some(named) = named {
         if !named.is_file() {
             return Err(Short::Input(format!(
@@ -220,16 +219,16 @@
                 named.display()
             )));
         }
-        return Ok(Program {
+        return Ok(GatewayProgram {
             path: named,
-            ..Program::default()
+            ..GatewayProgram::default()
         });
     }
     let path = std::env::current_exe().map_err(|error| Short::Input(error.to_string()))?;
-    Ok(Program {
+    Ok(GatewayProgram {
         path,
         arguments: vec!["edge".into()],
-        ..Program::default()
+        ..GatewayProgram::default()
     })
 }
 
@@ -284,18 +283,20 @@
         None => {
             let text =
                 "title = \"A usual day\"\nabout = \"What `wellcrank lab up` plays.\"\nseconds = 3600.0";
-            Experiment::read("the usual day", text)
-                .map_err(|complaint| Short::Input(complaint.to_string()))?
+            Experiment::parse("the usual day", text).map_err(LabError::from)?
         }
     };
-    let variant = experiment.sides().remove(0);
+    let variant = experiment.variants_or_default().remove(0);
     experiment.fleet.gateways = it.gateways.unwrap_or(experiment.fleet.gateways);
     experiment.fleet.servers = it.servers.unwrap_or(experiment.fleet.servers);
-    experiment.load.calls = it.calls.unwrap_or(experiment.load.calls);
-    experiment.load.spread = experiment.load.spread.min(experiment.fleet.gateways);
+    experiment.load.request_rate = it.calls.unwrap_or(experiment.load.request_rate);
+    experiment.load.gateways_per_account = experiment
+        .load
+        .gateways_per_account
+        .min(experiment.fleet.gateways);
     experiment.seconds = it.seconds.unwrap_or(experiment.seconds);
-    if let Some((path, what)) = experiment.wrongs().first() {
-        return Err(Short::Input(format!("{path}: {what}")));
+    if let Some(problem) = experiment.problems().first() {
+        return Err(Short::Input(problem.to_string()));
     }
     let fleet = &experiment.fleet;
     slog::info!(log, "starting"; "gateways" => fleet.gateways, "app servers, simulated" => fleet.servers,
@@ -323,12 +324,12 @@
         );
     };
     let beside = it.file.as_deref().map(beside).unwrap_or_default();
-    let terms = loopback::Terms {
-        edge: edge(it.edge)?,
-        replay: runs::replay(&experiment, it.seed, &beside)?,
-        record: it.record,
-        logs: it.logs,
-        watch: Some(Box::new(watch)),
+    let terms = loopback::RunOptions {
+        gateway_program: edge(it.edge)?,
+        replay: runs::load_replay(&experiment, it.seed, &beside)?,
+        record_to: it.record,
+        log_dir: it.logs,
+        on_second: Some(Box::new(watch)),
     };
     let results = loopback::play(&experiment, &variant, it.seed, terms)?;
     summary(&results);
@@ -366,20 +367,20 @@
 fn play(it: Run, log: &Logger) -> Result<(), Short> {
     let experiment = read(&it.file)?;
     let engine = it.engine.map_or(experiment.engine, Engine::from);
-    let ways = Ways {
+    let ways = RunnerOptions {
         engine: Some(engine),
         seeds: (!it.seeds.is_empty()).then_some(it.seeds),
         jobs: jobs(it.jobs, engine),
-        edge: edge(it.edge)?,
-        logs: it.logs,
-        again: it.again,
-        beside: beside(&it.file),
+        gateway_program: edge(it.edge)?,
+        log_dir: it.logs,
+        max_reruns: it.again,
+        base_dir: beside(&it.file),
     };
-    let count =
-        experiment.sides().len() * ways.seeds.as_ref().map_or(experiment.seeds.len(), Vec::len);
+    let count = experiment.variants_or_default().len()
+        * ways.seeds.as_ref().map_or(experiment.seeds.len(), Vec::len);
     let bar = bar(count);
     let told = |_: &Result<Results, LabError>| bar.inc(1);
-    let results = runs::all(&experiment, &ways, &told)?;
+    let results = runs::play_all(&experiment, &ways, &told)?;
     bar.finish_and_clear();
     println!(
         "{} ({})",
@@ -395,7 +396,7 @@
         many => table(many),
     }
     if let Some(out) = it.out {
-        runs::write(&out.join("results.jsonl"), &results)?;
+        runs::write_results(&out.join("results.jsonl"), &results)?;
         let page = out.join("report.html");
         write_page(&page, &experiment.title, &experiment.about, &results)?;
         slog::info!(log, "written"; "folder" => %out.display());
@@ -449,7 +450,7 @@
 fn gathered(paths: &[PathBuf]) -> Result<Vec<Results>, Short> {
     let mut all = Vec::new();
     for path in paths {
-        all.extend(runs::read(path)?);
+        all.extend(runs::read_results(path)?);
     }
     Ok(all)
 }
@@ -496,18 +497,18 @@
     for file in files {
         match Experiment::load(&file.to_string_lossy()) {
             Ok(it) => {
-                let replay = runs::replay(&it, 1, &beside(file));
+                let replay = runs::load_replay(&it, 1, &beside(file));
                 match replay {
                     Ok(_) => println!(
                         "{}: {} variants, {} seeds",
                         file.display(),
-                        it.sides().len(),
+                        it.variants_or_default().len(),
                         it.seeds.len()
                     ),
                     Err(why) => wrong.push(ErrorChain(&why).to_string()),
                 }
             }
-            Err(complaint) => wrong.push(complaint.to_string()),
+            Err(error) => wrong.push(ErrorChain(&error).to_string()),
         }
     }
     match wrong.is_empty() {
@@ -536,20 +537,20 @@
     let edge = edge(it.edge.clone())?;
     for file in &it.files {
         let experiment = read(file)?;
-        if experiment.sides().len() < 2 {
+        if experiment.variants_or_default().len() < 2 {
             return Err(Short::Input(format!(
                 "{}: expected two variants or more",
                 file.display()
             )));
         }
-        let ways = Ways {
+        let ways = RunnerOptions {
             jobs: jobs(it.jobs, Engine::Loopback),
-            edge: edge.clone(),
-            again: 2,
-            beside: beside(file),
-            ..Ways::default()
+            gateway_program: edge.clone(),
+            max_reruns: 2,
+            base_dir: beside(file),
+            ..RunnerOptions::default()
         };
-        let bar = bar(experiment.sides().len() * (it.model_seeds + it.seeds));
+        let bar = bar(experiment.variants_or_default().len() * (it.model_seeds + it.seeds));
         let told = |_: &Result<Results, LabError>| bar.inc(1);
         all.extend(validate::trials(
             &experiment,
@@ -601,10 +602,10 @@
 }
 
 fn load(it: &Bears) -> Result<(), Short> {
-    let ways = Ways {
-        edge: edge(it.edge.clone())?,
+    let ways = RunnerOptions {
+        gateway_program: edge(it.edge.clone())?,
         jobs: 1,
-        ..Ways::default()
+        ..RunnerOptions::default()
     };
     println!(
         "{:>9} {:>8} {:>9} {:>9} {:>9} {:>10} {:>8}",
@@ -615,7 +616,7 @@
         counter: !it.no_counter,
         seconds: it.seconds,
     };
-    let rest = runs::one(&test.experiment(0.0), &Variant::default(), 1, &ways)?;
+    let rest = runs::play_one(&test.experiment(0.0), &Variant::default(), 1, &ways)?;
     let mut told = |step: &capacity::Step| {
         let results = &step.results;
         let each = results.gateway_cpu_seconds
@@ -656,18 +657,17 @@
     );
     for gateways in &it.gateways {
         let text = format!("title = \"Growing\"\nseconds = {:?}", it.seconds);
-        let mut day =
-            Experiment::read("growing", &text).map_err(|wrong| Short::Input(wrong.to_string()))?;
+        let mut day = Experiment::parse("growing", &text).map_err(LabError::from)?;
         day.fleet.gateways = *gateways;
         day.fleet.servers = (gateways * 2 / 3).max(1);
-        day.load.calls = it.calls * *gateways as f64 * 0.5;
-        day.load.spread = (gateways / 10).clamp(1, 30);
-        day.counter.bears = (gateways * 10).max(500) as f64;
-        if let Some((path, what)) = day.wrongs().first() {
-            return Err(Short::Input(format!("{path}: {what}")));
+        day.load.request_rate = it.calls * *gateways as f64 * 0.5;
+        day.load.gateways_per_account = (gateways / 10).clamp(1, 30);
+        day.counter.capacity = (gateways * 10).max(500) as f64;
+        if let Some(problem) = day.problems().first() {
+            return Err(Short::Input(problem.to_string()));
         }
         let start = Clock::start();
-        let results = runs::one(&day, &Variant::default(), 1, &Ways::default())?;
+        let results = runs::play_one(&day, &Variant::default(), 1, &RunnerOptions::default())?;
         let took = start.now().as_secs_f64();
         let asked: u64 = results.by_second.iter().map(|second| second.requests).sum();
         println!(
