--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -207,7 +207,9 @@
         let reactor = &mut self.reactor;
         match deadline {
             Deadline::Attempt { key, connection } => self.pool.due(reactor, key, connection),
-            Deadline::CounterCall { line, number } => self.counter.due(reactor, line, number),
+            Deadline::CounterCall { line, number } => {
+                self.counter.on_timeout(reactor, line, number)
+            }
             Deadline::ControllerTimer(token) => {
                 reactor.notify(Notification::Timer(token));
                 if token == TICK_TIMER {
@@ -259,7 +261,7 @@
         reactor.violations.report(&reactor.log);
         clients.sweep(reactor, requests);
         pool.sweep(reactor);
-        self.counter.sweep(reactor);
+        self.counter.ping_idle(reactor);
     }
 
     /// Has the gateway be ready without an endpoint list where none has come for too long.
@@ -287,7 +289,7 @@
     /// Whether the gateway was told to stop and nobody is left to answer.
     pub(crate) fn is_finished(&mut self) -> bool {
         // What the counter has not answered by the end was written, and lapses with its name.
-        let is_counted = self.counter.quiet() || self.reactor.must_answer_now();
+        let is_counted = self.counter.owes_no_replies() || self.reactor.must_answer_now();
         let is_quiet = self.clients.len() == 0 && self.requests.len() == 0 && is_counted;
         if !is_quiet || !self.reactor.is_draining() {
             return false;
