--- a/edge/tests/node_scenario/mod.rs
+++ b/edge/tests/node_scenario/mod.rs
@@ -4,7 +4,7 @@
 mod notation;
 mod stand_ins;
 
-use crate::faults::Faults;
+use crate::fault_injection::FaultInjector;
 use crate::scenario_runner::Scenario;
 use crate::step_arguments::StepError;
 use node::{Node, Services};
@@ -38,7 +38,7 @@
     /// The endpoint list that the node's configuration holds, where it is not to be the present one.
     pinned_endpoints: Option<String>,
     /// How the node's system calls fail.
-    faults: Option<Faults>,
+    fault_injector: Option<FaultInjector>,
 }
 
 impl Scenario for NodeScenario {
@@ -55,7 +55,7 @@
             discovery: FakeDiscovery::default(),
             service_listeners: Vec::new(),
             pinned_endpoints: None,
-            faults: None,
+            fault_injector: None,
         }
     }
 
@@ -116,26 +116,34 @@
             NodeStep::PinKnownEndpoints => {
                 self.pinned_endpoints = Some(self.discovery.list_json());
             }
-            NodeStep::InjectFaults => self.faults = Some(Faults::new(&self.host.name())),
+            NodeStep::InjectFaults => {
+                self.fault_injector = Some(FaultInjector::create(&self.host.name()))
+            }
             NodeStep::FailCalls {
                 call,
                 error_number,
                 count,
-            } => self.faults().fail(call, *error_number, *count),
-            NodeStep::StepClock { seconds } => self.faults().step_clock(*seconds),
-            NodeStep::LimitTransfers { bytes } => self.faults().pieces(*bytes),
-            NodeStep::StallWrite { milliseconds } => self.faults().hold_up(*milliseconds, 1),
+            } => self
+                .fault_injector()
+                .fail_calls(*call, *error_number, *count),
+            NodeStep::StepClock { seconds } => self.fault_injector().step_wall_clock(*seconds),
+            NodeStep::LimitTransfers { bytes } => self.fault_injector().limit_transfers(*bytes),
+            NodeStep::StallWrite { milliseconds } => {
+                self.fault_injector().stall_writes(*milliseconds, 1)
+            }
             other => unreachable!("{other:?} is run above"),
         }
     }
 
-    fn faults(&self) -> &Faults {
-        self.faults.as_ref().expect("'inject_faults' comes first")
+    fn fault_injector(&self) -> &FaultInjector {
+        self.fault_injector
+            .as_ref()
+            .expect("'inject_faults' comes first")
     }
 
     fn start_node(&mut self) {
         self.write_configuration();
-        let environment = self.faults.as_ref().map(Faults::environment);
+        let environment = self.fault_injector.as_ref().map(FaultInjector::environment);
         self.node.start(environment.unwrap_or_default());
     }
 
--- a/edge/tests/node_scenario/notation/node.rs
+++ b/edge/tests/node_scenario/notation/node.rs
@@ -1,5 +1,6 @@
 //! Steps about the process of the node, its configuration and its system calls.
 
+use crate::fault_injection::SystemCall;
 use crate::node_scenario::node::ResourceLimits;
 use crate::step_arguments::{invalid, Arguments, StepError};
 use std::time::Duration;
@@ -51,7 +52,7 @@
     InjectFaults,
     /// So many of the node's next calls fail.
     FailCalls {
-        call: String,
+        call: SystemCall,
         error_number: i32,
         count: i64,
     },
--- a/edge/tests/scenarios.rs
+++ b/edge/tests/scenarios.rs
@@ -88,8 +88,8 @@
 //! and `\n` stand for the ends of lines. `KEEP_LOGS` in the environment keeps the nodes' logs in the folder for
 //! temporary files.
 
-#[path = "../../faults/src/handle.rs"]
-mod faults;
+#[path = "../../fault-injection/src/injector.rs"]
+mod fault_injection;
 mod node_scenario;
 #[path = "../../tests/scenario_runner/mod.rs"]
 mod scenario_runner;
--- a/tool/tests/soak.rs
+++ b/tool/tests/soak.rs
@@ -4,10 +4,10 @@
 //!
 //! `SOAK_SEEDS=1..60` plays those seeds in place of a few; `SOAK_LOGS=FOLDER` keeps what the nodes log.
 
-#[path = "../../faults/src/handle.rs"]
-mod faults;
+#[path = "../../fault-injection/src/injector.rs"]
+mod fault_injection;
 
-use faults::Faults;
+use fault_injection::{FaultInjector, SystemCall};
 use nanorand::{Rng, WyRand};
 use std::ops::Range;
 use std::path::PathBuf;
@@ -84,21 +84,21 @@
 ";
 
 /// RunnerOptions in which calls fail for a moment.
-const FAILURES: [(&str, i32); 14] = [
-    ("accept", libc::ECONNABORTED),
-    ("accept", libc::EPROTO),
-    ("accept", libc::ENFILE),
-    ("accept", libc::ENOBUFS),
-    ("socket", libc::ENFILE),
-    ("socket", libc::ENOBUFS),
-    ("connect", libc::EADDRNOTAVAIL),
-    ("connect", libc::ENETUNREACH),
-    ("register", libc::ENOMEM),
-    ("wait", libc::EINTR),
-    ("read", libc::EINTR),
-    ("write", libc::EINTR),
-    ("read", libc::ENOMEM),
-    ("write", libc::ENOBUFS),
+const FAILURES: [(SystemCall, i32); 14] = [
+    (SystemCall::Accept, libc::ECONNABORTED),
+    (SystemCall::Accept, libc::EPROTO),
+    (SystemCall::Accept, libc::ENFILE),
+    (SystemCall::Accept, libc::ENOBUFS),
+    (SystemCall::Socket, libc::ENFILE),
+    (SystemCall::Socket, libc::ENOBUFS),
+    (SystemCall::Connect, libc::EADDRNOTAVAIL),
+    (SystemCall::Connect, libc::ENETUNREACH),
+    (SystemCall::PollAdd, libc::ENOMEM),
+    (SystemCall::PollWait, libc::EINTR),
+    (SystemCall::Read, libc::EINTR),
+    (SystemCall::Write, libc::EINTR),
+    (SystemCall::Read, libc::ENOMEM),
+    (SystemCall::Write, libc::ENOBUFS),
 ];
 
 struct Day {
@@ -151,38 +151,38 @@
 }
 
 /// Has something fail every now and then, until the day is over.
-fn trouble(faults: &Faults, seed: u64, step: i64, over: &AtomicBool) {
+fn trouble(fault_injector: &FaultInjector, seed: u64, step: i64, over: &AtomicBool) {
     let mut rng = WyRand::new_seed(!seed);
     let mut turn = 0;
     while !over.load(Ordering::Relaxed) {
         std::thread::sleep(Duration::from_millis(rng.generate_range(60..300u64)));
         turn += 1;
         let (call, error) = FAILURES[rng.generate_range(0..FAILURES.len())];
-        faults.fail(call, error, rng.generate_range(1..4i64));
-        faults.pieces(if rng.generate_range(0..3u32) == 0 {
+        fault_injector.fail_calls(call, error, rng.generate_range(1..4i64));
+        fault_injector.limit_transfers(if rng.generate_range(0..3u32) == 0 {
             rng.generate_range(1..90i64)
         } else {
             0
         });
-        faults.hold_up(150, i64::from(turn % 8 == 0));
+        fault_injector.stall_writes(150, i64::from(turn % 8 == 0));
         // There and back, and there again: a node that is started anew goes on under another clock.
-        faults.step_clock(if turn % 20 < 10 { 0 } else { step });
+        fault_injector.step_wall_clock(if turn % 20 < 10 { 0 } else { step });
     }
 }
 
 fn play(seed: u64) -> Result<Results, LabError> {
     let Day { experiment, step } = day(seed);
-    let faults = Faults::new(&format!("soak-{seed}"));
+    let fault_injector = FaultInjector::create(&format!("soak-{seed}"));
     let edge = GatewayProgram {
         path: env!("CARGO_BIN_EXE_wellcrank").into(),
         arguments: vec!["edge".into()],
-        environment: faults.environment(),
+        environment: fault_injector.environment(),
     };
     let logs =
         std::env::var_os("SOAK_LOGS").map(|folder| PathBuf::from(folder).join(seed.to_string()));
     let over = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        scope.spawn(|| trouble(&faults, seed, step, &over));
+        scope.spawn(|| trouble(&fault_injector, seed, step, &over));
         let terms = loopback::RunOptions {
             gateway_program: edge,
             log_dir: logs,
