--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -4,6 +4,7 @@
 mod clients;
 mod counter;
 mod discovery;
+mod gateway_host;
 mod peers;
 mod process;
 mod servers;
@@ -20,6 +21,7 @@
 use crate::node_settings;
 use crate::record::{RecordedRequest, Recorder};
 use crate::world::{Action, GatewayState, ResponseDelay, World};
+use gateway_host::GatewayHost;
 use mio::net::{TcpListener, UdpSocket};
 use mio::{Events, Interest, Poll, Registry, Token};
 use nanorand::{Rng, WyRand};
@@ -123,6 +125,7 @@
     places: Slab<Place>,
     gateways: Vec<Gateway>,
     folder: Folder,
+    gateway_host: GatewayHost,
     program: GatewayProgram,
     told: toml::Table,
     logs: Option<PathBuf>,
@@ -183,6 +186,7 @@
         places: Slab::new(),
         gateways: Vec::new(),
         folder: Folder::new()?,
+        gateway_host: GatewayHost::claim().map_err(said)?,
         program: match &variant.gateway_program {
             Some(path) => GatewayProgram {
                 path: path.into(),
@@ -244,7 +248,8 @@
         registered.map_err(|error| error.to_string())?;
         self.world.begin_run();
         for gateway in 0..gateways {
-            let (listen, peer_listen) = (process::free_address()?, process::free_address()?);
+            let listen = self.gateway_address()?;
+            let peer_listen = self.gateway_address()?;
             self.gateways.push(Gateway {
                 process: Process::none(),
                 listen,
@@ -275,6 +280,11 @@
         Ok(())
     }
 
+    fn gateway_address(&mut self) -> Result<SocketAddr, String> {
+        let address = self.gateway_host.allocate();
+        address.map_err(|error| format!("no address for a gateway: {error}"))
+    }
+
     /// A door on a free port of loopback.
     fn door(
         &mut self,
--- a/lab/src/loopback/process.rs
+++ b/lab/src/loopback/process.rs
@@ -3,7 +3,6 @@
 use super::GatewayProgram;
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs;
-use std::net::SocketAddr;
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -140,9 +139,3 @@
         self.kill();
     }
 }
-
-/// An address on loopback that is free now.
-pub fn free_address() -> Result<SocketAddr, String> {
-    let free = std::net::TcpListener::bind("127.0.0.1:0").map_err(|error| error.to_string())?;
-    free.local_addr().map_err(|error| error.to_string())
-}
