--- a/lab/src/runs.rs
+++ b/lab/src/runs.rs
@@ -2,7 +2,7 @@
 
 use crate::error::LabError;
 use crate::experiment::{Engine, Experiment, Variant};
-use crate::metrics::Results;
+use crate::metrics::{Lateness, Results};
 use crate::record::{self, RecordedRequest};
 use crate::{loopback, simulated};
 use std::fs::{self, File};
@@ -96,7 +96,8 @@
     }
 }
 
-/// Plays a run on loopback; again, if the laboratory itself was late on it.
+/// Plays a run on loopback; again, if the laboratory itself was late on it. Of runs that were all late, the one counts
+/// on which it was late by the least, whatever came of it.
 fn play_on_loopback(
     experiment: &Experiment,
     variant: &Variant,
@@ -119,11 +120,22 @@
         if !results.lateness.excessive {
             break;
         }
-        results = play()?;
+        let rerun = play()?;
+        if is_less_late(&rerun.lateness, &results.lateness) {
+            results = rerun;
+        }
     }
     Ok(results)
 }
 
+/// Whether the first says less of the laboratory and more of the program.
+fn is_less_late(one: &Lateness, other: &Lateness) -> bool {
+    if one.excessive != other.excessive {
+        return other.excessive;
+    }
+    one.worst_ms < other.worst_ms
+}
+
 /// Plays all variants on all seeds. The results come in the order of variant and seed, whichever run ends first;
 /// `on_result` hears of each as it ends. After a run that can't be played no further one is begun.
 pub fn play_all(
@@ -209,3 +221,6 @@
     }
     Ok(results)
 }
+
+#[cfg(test)]
+mod tests;
