--- a/tool/tests/scenarios.rs
+++ b/tool/tests/scenarios.rs
@@ -22,7 +22,7 @@
 use scenario_runner::Scenario;
 use std::convert::Infallible;
 use std::fs;
-use std::io::{Read, Write};
+use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -44,6 +44,24 @@
     ended: Option<(i32, String)>,
 }
 
+/// Lines of the command that the client of a recording sends: the count of its words, and two for each of the four.
+const LINES_OF_COMMAND: usize = 9;
+
+/// Answers each command that a client sends, when it has come whole, as a gateway does. A gateway that answered
+/// sooner would let the client go on before the proxy has seen the end of the command.
+fn reject_each_command(mut socket: TcpStream) -> std::io::Result<()> {
+    let mut commands = BufReader::new(socket.try_clone()?).lines();
+    loop {
+        for _ in 0..LINES_OF_COMMAND {
+            match commands.next() {
+                Some(line) => drop(line?),
+                None => return Ok(()),
+            }
+        }
+        socket.write_all(b"-BUSY 5\r\n")?;
+    }
+}
+
 fn free() -> String {
     let free = TcpListener::bind("127.0.0.1:0").expect("a free port");
     free.local_addr().expect("an address").to_string()
@@ -220,11 +238,7 @@
         ));
         spawn(move || {
             for socket in gateway.incoming() {
-                let mut socket = socket.expect("a connection");
-                let mut bytes = [0; 4096];
-                while let Ok(1..) = socket.read(&mut bytes) {
-                    let _ = socket.write_all(b"-BUSY 5\r\n");
-                }
+                let _ = reject_each_command(socket.expect("a connection"));
             }
         });
         let mut client = None;
