--- a/lab/src/loopback/gateway_process.rs
+++ b/lab/src/loopback/gateway_process.rs
@@ -4,7 +4,6 @@
 use crate::error::LabError;
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs;
-use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -152,10 +151,3 @@
         });
     }
 }
-
-/// An address on loopback that is free now.
-pub(super) fn free_address() -> Result<SocketAddr, LabError> {
-    const OPERATION: &str = "no free address on loopback";
-    let free = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(LabError::system(OPERATION))?;
-    free.local_addr().map_err(LabError::system(OPERATION))
-}
--- a/lab/src/loopback/run.rs
+++ b/lab/src/loopback/run.rs
@@ -4,6 +4,7 @@
 use super::counter::CounterConnection;
 use super::discovery::DiscoveryConnection;
 use super::event_sources::{EventSource, EventSources, ListenerPurpose};
+use super::gateway_host::GatewayHost;
 use super::gateway_process::RunFolder;
 use super::gateways::GatewayNode;
 use super::peers::{Datagram, DatagramKey};
@@ -51,6 +52,7 @@
     pub(super) world: World,
     pub(super) gateways: Vec<GatewayNode>,
     pub(super) folder: RunFolder,
+    pub(super) gateway_host: GatewayHost,
     pub(super) program: GatewayProgram,
     /// Settings that gateways are given in place of the true ones.
     pub(super) settings_overrides: toml::Table,
@@ -109,6 +111,8 @@
             world,
             gateways: Vec::new(),
             folder: RunFolder::create()?,
+            gateway_host: GatewayHost::claim()
+                .map_err(LabError::system("no host for the gateways"))?,
             program: match &variant.gateway_program {
                 Some(path) => GatewayProgram::at_path(path),
                 None => options.gateway_program.clone(),
