--- a/lab/src/experiment/validation.rs
+++ b/lab/src/experiment/validation.rs
@@ -29,17 +29,25 @@
     }
 }
 
-/// A figure and the least and most that it may be.
-struct Bounds(f64, f64, f64);
+/// A figure, and the least and most that it may be.
+struct Bounded {
+    value: f64,
+    min: f64,
+    max: f64,
+}
+
+fn bounded(value: f64, min: f64, max: f64) -> Bounded {
+    Bounded { value, min, max }
+}
 
 /// A share from 0 to 1.
-fn share(value: f64) -> Bounds {
-    Bounds(value, 0.0, 1.0)
+fn share(value: f64) -> Bounded {
+    bounded(value, 0.0, 1.0)
 }
 
 /// A number of things.
-fn count(value: usize, min: f64, max: f64) -> Bounds {
-    Bounds(value as f64, min, max)
+fn count(value: usize, min: f64, max: f64) -> Bounded {
+    bounded(value as f64, min, max)
 }
 
 /// Everything that is wrong with an experiment.
@@ -82,8 +90,8 @@
     }
 
     /// Checks the fields of a section, by their names in a file.
-    fn check_fields<const N: usize>(&mut self, section: &str, fields: [(&str, Bounds); N]) {
-        for (field, Bounds(value, min, max)) in fields {
+    fn check_fields<const N: usize>(&mut self, section: &str, fields: [(&str, Bounded); N]) {
+        for (field, Bounded { value, min, max }) in fields {
             if !(min..=max).contains(&value) {
                 let message = format!("expected {min} to {max}, found {value}");
                 self.add(format!("{section}{field}"), message);
@@ -102,8 +110,8 @@
         self.check_fields(
             "",
             [
-                ("seconds", Bounds(*seconds, 1.0, 86_400.0)),
-                ("warm_up", Bounds(*warm_up, 0.0, max_warm_up)),
+                ("seconds", bounded(*seconds, 1.0, 86_400.0)),
+                ("warm_up", bounded(*warm_up, 0.0, max_warm_up)),
                 ("seeds", count(seeds.len(), 1.0, 1000.0)),
             ],
         );
@@ -122,19 +130,22 @@
                 ("kinds", count(fleet.machine_types.len(), 1.0, 50.0)),
                 ("queue", count(fleet.queue_capacity, 0.0, 1e6)),
                 ("connections", count(fleet.max_connections, 1.0, 1e6)),
-                ("handshake_ms", Bounds(fleet.handshake_ms, 0.0, 1000.0)),
-                ("idle_close", Bounds(fleet.idle_timeout, 0.0, 3600.0)),
-                ("cold_from", Bounds(fleet.slow_start_capacity, 0.01, 1.0)),
-                ("cold", Bounds(fleet.slow_start, 0.0, 600.0)),
-                ("fall_multiple", Bounds(fleet.overload_factor, 1.0, 1e6)),
-                ("overload_for", Bounds(fleet.overload_for, 0.05, 60.0)),
+                ("handshake_ms", bounded(fleet.handshake_ms, 0.0, 1000.0)),
+                ("idle_close", bounded(fleet.idle_timeout, 0.0, 3600.0)),
+                ("cold_from", bounded(fleet.slow_start_capacity, 0.01, 1.0)),
+                ("cold", bounded(fleet.slow_start, 0.0, 600.0)),
+                ("fall_multiple", bounded(fleet.overload_factor, 1.0, 1e6)),
+                ("overload_for", bounded(fleet.overload_for, 0.05, 60.0)),
                 (
                     "report_every",
-                    Bounds(fleet.load_report_interval, 0.0, 60.0),
+                    bounded(fleet.load_report_interval, 0.0, 60.0),
+                ),
+                ("max_tries", bounded(max_attempts, 1.0, 20.0)),
+                ("drain_grace", bounded(fleet.drain_grace, 0.05, 60.0)),
+                (
+                    "connect_timeout",
+                    bounded(fleet.connect_timeout, 0.01, 10.0),
                 ),
-                ("max_tries", Bounds(max_attempts, 1.0, 20.0)),
-                ("drain_grace", Bounds(fleet.drain_grace, 0.05, 60.0)),
-                ("connect_timeout", Bounds(fleet.connect_timeout, 0.01, 10.0)),
                 ("memory_mb", count(fleet.memory_mb, 4.0, 65_536.0)),
                 ("sockets", count(fleet.sockets, 40.0, 65_536.0)),
             ],
@@ -147,24 +158,24 @@
             "counter.",
             [
                 ("parts", count(counter.shards, 1.0, 64.0)),
-                ("bears", Bounds(counter.capacity, 1.0, 1e7)),
-                ("latency_ms", Bounds(counter.latency_ms, 0.0, 1000.0)),
-                ("timeout_ms", Bounds(counter.timeout_ms, 1.0, 60_000.0)),
+                ("bears", bounded(counter.capacity, 1.0, 1e7)),
+                ("latency_ms", bounded(counter.latency_ms, 0.0, 1000.0)),
+                ("timeout_ms", bounded(counter.timeout_ms, 1.0, 60_000.0)),
                 ("queue", count(counter.queue_capacity, 1.0, 1e7)),
             ],
         );
         let max_delay = self.experiment.discovery.max_delay;
-        self.check_fields("discovery.", [("late", Bounds(max_delay, 0.0, 60.0))]);
+        self.check_fields("discovery.", [("late", bounded(max_delay, 0.0, 60.0))]);
         let network = &self.experiment.network;
         let datagram_delay = network.datagram_max_delay_ms;
         self.check_fields(
             "network.",
             [
-                ("near_ms", Bounds(network.in_zone_delay_ms, 0.0, 1000.0)),
-                ("far_ms", Bounds(network.cross_zone_delay_ms, 0.0, 1000.0)),
+                ("near_ms", bounded(network.in_zone_delay_ms, 0.0, 1000.0)),
+                ("far_ms", bounded(network.cross_zone_delay_ms, 0.0, 1000.0)),
                 ("lost", share(network.datagram_loss)),
-                ("peer_late_ms", Bounds(datagram_delay, 0.0, 10_000.0)),
-                ("peer_rate", Bounds(network.datagram_rate, 0.0, 1e6)),
+                ("peer_late_ms", bounded(datagram_delay, 0.0, 10_000.0)),
+                ("peer_rate", bounded(network.datagram_rate, 0.0, 1e6)),
             ],
         );
     }
@@ -189,22 +200,22 @@
         self.check_fields(
             "load.",
             [
-                ("calls", Bounds(load.request_rate, 0.0, 1e6)),
-                ("use_usual", Bounds(load.typical_utilization, 0.01, 1.0)),
+                ("calls", bounded(load.request_rate, 0.0, 1e6)),
+                ("use_usual", bounded(load.typical_utilization, 0.01, 1.0)),
                 ("greedy_share", share(load.greedy_share)),
-                ("greedy_factor", Bounds(load.greedy_factor, 1.0, 100.0)),
+                ("greedy_factor", bounded(load.greedy_factor, 1.0, 100.0)),
                 ("spread", count(load.gateways_per_account, 1.0, gateways)),
-                ("shift_every", Bounds(load.shift_interval, 0.0, 86_400.0)),
-                ("units_top", Bounds(f64::from(load.max_units), 1.0, 1000.0)),
-                ("retries", Bounds(max_retries, 0.0, 100.0)),
-                ("retry_wait", Bounds(load.retry_delay, 0.0, 600.0)),
+                ("shift_every", bounded(load.shift_interval, 0.0, 86_400.0)),
+                ("units_top", bounded(f64::from(load.max_units), 1.0, 1000.0)),
+                ("retries", bounded(max_retries, 0.0, 100.0)),
+                ("retry_wait", bounded(load.retry_delay, 0.0, 600.0)),
                 ("heeds", share(load.retry_after_compliance)),
-                ("patience", Bounds(load.patience, 0.05, 1.0)),
+                ("patience", bounded(load.patience, 0.05, 1.0)),
                 (
                     "front_notices",
-                    Bounds(load.front_detection_delay, 0.0, 60.0),
+                    bounded(load.front_detection_delay, 0.0, 60.0),
                 ),
-                ("scale", Bounds(load.replay_scale, 0.01, 1000.0)),
+                ("scale", bounded(load.replay_scale, 0.01, 1000.0)),
             ],
         );
     }
@@ -213,9 +224,9 @@
         self.check_fields(
             &format!("fleet.kinds.{index}."),
             [
-                ("share", Bounds(machine_type.share, 0.0, 1e6)),
+                ("share", bounded(machine_type.share, 0.0, 1e6)),
                 ("cores", count(machine_type.cores, 1.0, 1024.0)),
-                ("speed", Bounds(machine_type.speed, 0.01, 100.0)),
+                ("speed", bounded(machine_type.speed, 0.01, 100.0)),
             ],
         );
     }
@@ -230,18 +241,18 @@
         self.check_fields(
             &format!("routes.{index}."),
             [
-                ("share", Bounds(route.share, 0.0, 1e6)),
-                ("work_ms", Bounds(route.work_ms, 0.0, 600_000.0)),
-                ("client_timeout", Bounds(timeout, 0.01, 600.0)),
+                ("share", bounded(route.share, 0.0, 1e6)),
+                ("work_ms", bounded(route.work_ms, 0.0, 600_000.0)),
+                ("client_timeout", bounded(timeout, 0.01, 600.0)),
                 (
                     "latency_target",
-                    Bounds(route.latency_target, 0.001, timeout),
+                    bounded(route.latency_target, 0.001, timeout),
                 ),
-                ("billed_value", Bounds(route.billed_value, 0.0, 1e6)),
+                ("billed_value", bounded(route.billed_value, 0.0, 1e6)),
                 ("late_worth", share(route.late_value_ratio)),
                 (
                     "memory",
-                    Bounds(route.deduplication_window, min_window, 3600.0),
+                    bounded(route.deduplication_window, min_window, 3600.0),
                 ),
             ],
         );
@@ -257,19 +268,19 @@
         self.check_fields(
             &format!("plans.{index}."),
             [
-                ("share", Bounds(plan.share, 0.0, 1e6)),
-                ("rate", Bounds(plan.rate, 0.0, 1e9)),
-                ("burst", Bounds(plan.burst, min_burst, 1e9)),
-                ("cap", Bounds(plan.concurrency_cap, 0.0, 1e6)),
-                ("price", Bounds(plan.price, 0.0, 1e6)),
-                ("over_cost", Bounds(plan.over_quota_cost, 0.0, 100.0)),
+                ("share", bounded(plan.share, 0.0, 1e6)),
+                ("rate", bounded(plan.rate, 0.0, 1e9)),
+                ("burst", bounded(plan.burst, min_burst, 1e9)),
+                ("cap", bounded(plan.concurrency_cap, 0.0, 1e6)),
+                ("price", bounded(plan.price, 0.0, 1e6)),
+                ("over_cost", bounded(plan.over_quota_cost, 0.0, 100.0)),
                 (
                     "ceiling_rate",
-                    Bounds(plan.ceiling_rate, min_ceiling_rate, 1e9),
+                    bounded(plan.ceiling_rate, min_ceiling_rate, 1e9),
                 ),
                 (
                     "ceiling_burst",
-                    Bounds(plan.ceiling_burst, min_ceiling_burst, 1e9),
+                    bounded(plan.ceiling_burst, min_ceiling_burst, 1e9),
                 ),
                 ("ceiling_slack", share(plan.ceiling_slack)),
             ],
@@ -282,10 +293,10 @@
         self.check_fields(
             &format!("troubles.{index}."),
             [
-                ("at", Bounds(fault.starts_at, 0.0, run_seconds)),
-                ("for", Bounds(fault.duration, 0.0, run_seconds)),
+                ("at", bounded(fault.starts_at, 0.0, run_seconds)),
+                ("for", bounded(fault.duration, 0.0, run_seconds)),
                 ("share", share(fault.share)),
-                ("factor", Bounds(fault.factor, 0.0, 1000.0)),
+                ("factor", bounded(fault.factor, 0.0, 1000.0)),
                 ("zone", count(fault.zone, 0.0, last_zone)),
             ],
         );
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod clock;
 pub mod decision_engine;
 pub mod error;
+mod event_queue;
 pub mod events;
 pub mod experiment;
 pub mod loopback;
--- a/lab/src/loopback/resp.rs
+++ b/lab/src/loopback/resp.rs
@@ -50,3 +50,6 @@
 pub(super) fn bulk_string(bytes: impl Into<Vec<u8>>) -> OwnedFrame {
     OwnedFrame::BulkString(bytes.into())
 }
+
+#[cfg(test)]
+mod tests;
--- a/lab/src/simulated/attempts.rs
+++ b/lab/src/simulated/attempts.rs
@@ -1,7 +1,7 @@
 //! Upstream attempts of a simulated run: over a gateway's connections to servers, and back.
 
 use super::defect::InjectedDefect;
-use super::event_queue::Event;
+use super::event::Event;
 use super::gateway::{AttemptKey, GatewayIncarnation, InFlightAttempt, RequestAttempt};
 use super::requests::{client_request, request_id};
 use super::run::SimulatedRun;
--- a/lab/src/simulated/connection_pool.rs
+++ b/lab/src/simulated/connection_pool.rs
@@ -81,3 +81,6 @@
             .flat_map(|(server, idle)| std::iter::repeat_n(*server, idle.len()))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/lab/src/simulated/counter_calls.rs
+++ b/lab/src/simulated/counter_calls.rs
@@ -1,6 +1,6 @@
 //! Calls on the shared counter in a simulated run.
 
-use super::event_queue::Event;
+use super::event::Event;
 use super::gateway::{CounterCall, CounterCallKey};
 use super::run::SimulatedRun;
 use crate::decision_engine::GatewayEvent;
--- a/lab/src/simulated/event_queue.rs
+++ b/lab/src/simulated/event.rs
@@ -4,7 +4,6 @@
 use crate::events::{AttemptId, ClientOutcome, ClientRequestId, ServerId};
 use crate::world::counter::CounterResponse;
 use crate::world::ServerResponse;
-use std::collections::BTreeMap;
 use std::time::Duration;
 use wellcrank::port::TimerToken;
 
@@ -67,37 +66,3 @@
     /// The gateways close connections that have been idle for too long.
     CloseStaleConnections,
 }
-
-/// Events by their moment; those of one moment in the order in which they were scheduled.
-#[derive(Default)]
-pub(super) struct EventQueue {
-    events: BTreeMap<EventKey, Event>,
-    last_serial: u64,
-}
-
-/// Ordered by the moment first.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct EventKey {
-    at: Duration,
-    serial: u64,
-}
-
-impl EventQueue {
-    /// Adds an event.
-    pub(super) fn schedule(&mut self, at: Duration, event: Event) {
-        self.last_serial += 1;
-        let serial = self.last_serial;
-        self.events.insert(EventKey { at, serial }, event);
-    }
-
-    /// The moment of the next event.
-    pub(super) fn next_time(&self) -> Option<Duration> {
-        self.events.keys().next().map(|key| key.at)
-    }
-
-    /// Takes out the first event that is due by `now`.
-    pub(super) fn pop_due(&mut self, now: Duration) -> Option<Event> {
-        let first = self.events.first_entry()?;
-        (first.key().at <= now).then(|| first.remove())
-    }
-}
--- a/lab/src/simulated/mod.rs
+++ b/lab/src/simulated/mod.rs
@@ -9,7 +9,7 @@
 mod connection_pool;
 mod counter_calls;
 mod defect;
-mod event_queue;
+mod event;
 mod gateway;
 mod requests;
 mod run;
--- a/lab/src/simulated/requests.rs
+++ b/lab/src/simulated/requests.rs
@@ -1,7 +1,7 @@
 //! Requests of a simulated run: from the client to its gateway, and the final answer back.
 
 use super::defect::InjectedDefect;
-use super::event_queue::Event;
+use super::event::Event;
 use super::gateway::OpenRequest;
 use super::run::{SimulatedRun, CLOCK_ORIGIN};
 use crate::decision_engine::GatewayEvent;
--- a/lab/src/simulated/run.rs
+++ b/lab/src/simulated/run.rs
@@ -2,10 +2,11 @@
 //! killed, and the endpoint list.
 
 use super::defect::InjectedDefect;
-use super::event_queue::{Event, EventQueue};
+use super::event::Event;
 use super::gateway::{AttemptKey, CounterCallKey, GatewayIncarnation, SimulatedGateway};
 use crate::decision_engine::{DecisionEngine, GatewayAction, GatewayEvent};
 use crate::error::LabError;
+use crate::event_queue::EventQueue;
 use crate::events::{AttemptId, ClientOutcome, ClientRequestId, CounterCallId, ServerId};
 use crate::experiment::Variant;
 use crate::metrics::Results;
@@ -35,7 +36,7 @@
     pub(super) world: World,
     engine: Box<dyn DecisionEngine + 'a>,
     pub(super) gateways: Vec<SimulatedGateway>,
-    events: EventQueue,
+    events: EventQueue<Event>,
     /// Since the start of the run.
     pub(super) now: Duration,
     /// Servers by the id under which gateways know them.
@@ -97,7 +98,7 @@
         while let Some(now) = self.next_moment().filter(|moment| *moment <= end) {
             self.now = now;
             self.advance_world()?;
-            while let Some(event) = self.events.pop_due(now) {
+            while let Some((_, event)) = self.events.pop_due(now) {
                 self.handle_event(event)?;
             }
             self.perform_gateway_actions()?;
@@ -108,7 +109,7 @@
     }
 
     fn next_moment(&self) -> Option<Duration> {
-        let moments = [self.events.next_time(), self.world.next_due()];
+        let moments = [self.events.next_due(), self.world.next_due()];
         moments.into_iter().flatten().min()
     }
 
--- a/lab/src/world/attempts.rs
+++ b/lab/src/world/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts of gateways at servers: how they arrive, are executed, answered and given up.
 
-use super::event_queue::WorldEvent;
 use super::server::{Admission, Health, LoadReport, Task};
 use super::span::seconds;
+use super::world_event::WorldEvent;
 use super::{Action, ServerResponse, World};
 use crate::events::{AttemptEnd, AttemptId, ClientRequestId, ServerId};
 use nanorand::Rng;
--- a/lab/src/world/endpoint_list.rs
+++ b/lab/src/world/endpoint_list.rs
@@ -1,8 +1,9 @@
 //! The endpoint list as discovery keeps it: its changes in order, and how far each gateway was notified of them.
 
-use super::event_queue::{EventQueue, WorldEvent};
 use super::server::ListingState;
 use super::span::{seconds, TimedValue};
+use super::world_event::WorldEvent;
+use crate::event_queue::EventQueue;
 use crate::events::ServerId;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
@@ -85,7 +86,7 @@
         now: Duration,
         change: usize,
         rng: &mut WyRand,
-        queue: &mut EventQueue,
+        queue: &mut EventQueue<WorldEvent>,
     ) {
         let extra_seconds = self.extra_delay.at(now);
         for (gateway, known) in self.gateways.iter_mut().enumerate() {
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -2,10 +2,10 @@
 
 use super::clients::{AccountScan, Surge};
 use super::counter::CounterMode;
-use super::event_queue::WorldEvent;
 use super::gateways::GatewayState;
 use super::server::{Health, ListingState, Server};
 use super::span::{seconds, TimedValue};
+use super::world_event::WorldEvent;
 use super::{Action, World};
 use crate::events::ServerId;
 use crate::experiment::{Fault, FaultKind as Kind};
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -13,7 +13,6 @@
 pub(crate) mod counter;
 mod deduplication;
 mod endpoint_list;
-mod event_queue;
 mod faults;
 mod gateways;
 mod network;
@@ -22,6 +21,7 @@
 pub(crate) mod server;
 mod span;
 mod token_bucket;
+mod world_event;
 
 pub(crate) use action::{Action, ServerResponse};
 pub(crate) use attempts::{Attempt, AttemptArrival};
@@ -29,6 +29,7 @@
 pub(crate) use gateways::GatewayState;
 pub(crate) use requests::ClientRequest;
 
+use crate::event_queue::EventQueue;
 use crate::events::{AttemptId, ClientRequestId, OperationId, ServerId};
 use crate::experiment::Experiment;
 use crate::metrics::{MetricsRecorder, Results, ServerLoad};
@@ -38,7 +39,6 @@
 use counter::CounterService;
 use deduplication::DeduplicationTable;
 use endpoint_list::EndpointList;
-use event_queue::{EventQueue, WorldEvent};
 use faults::FaultState;
 use gateways::Gateways;
 use nanorand::WyRand;
@@ -46,8 +46,8 @@
 use requests::Replay;
 use server::{ListingState, Server, ServerSpec};
 use span::seconds;
-
 use std::time::Duration;
+use world_event::WorldEvent;
 
 /// The rule checker forgets a request so long after its client timeout.
 const CHECKER_MEMORY: Duration = Duration::from_secs(30);
@@ -71,7 +71,7 @@
     pub(crate) rule_checker: RuleChecker,
     /// Counts and measures.
     pub(crate) metrics: MetricsRecorder,
-    event_queue: EventQueue,
+    event_queue: EventQueue<WorldEvent>,
     clients: Clients,
     /// Requests by their id.
     requests: Vec<ClientRequest>,
--- a/lab/src/world/platform.rs
+++ b/lab/src/world/platform.rs
@@ -3,9 +3,9 @@
 
 use super::counter::CallOutcome;
 use super::endpoint_list::{EndpointChange, Notification};
-use super::event_queue::WorldEvent;
 use super::gateways::GatewayState;
 use super::server::ListingState;
+use super::world_event::WorldEvent;
 use super::{Action, ResponseDelay, World};
 use crate::events::{CounterCallId, ServerId};
 use std::ops::Range;
--- a/lab/src/world/requests.rs
+++ b/lab/src/world/requests.rs
@@ -1,8 +1,8 @@
 //! Requests of clients: how they arrive, which gateway they go to, how they end and when they are sent again.
 
-use super::event_queue::WorldEvent;
 use super::gateways::GatewayState;
 use super::span::seconds;
+use super::world_event::WorldEvent;
 use super::{Action, World};
 use crate::events::{ClientOutcome, ClientRequestId, OperationId};
 use crate::record::RecordedRequest;
--- a/lab/src/world/event_queue.rs
+++ b/lab/src/world/world_event.rs
@@ -1,9 +1,6 @@
-//! What falls due in the world, ordered by time; what is due at the same moment keeps the order in which it was
-//! scheduled.
+//! What falls due in the world.
 
 use crate::events::{AttemptId, ClientRequestId, CounterCallId, OperationId, ServerId};
-use std::collections::BTreeMap;
-use std::time::Duration;
 
 /// Something that happens in the world at a known time.
 #[derive(Clone, Copy, Debug)]
@@ -49,30 +46,3 @@
     /// A gateway that was killed is started again.
     GatewayStart(usize),
 }
-
-/// Scheduled events, the earliest first.
-#[derive(Default)]
-pub(super) struct EventQueue {
-    events: BTreeMap<(Duration, u64), WorldEvent>,
-    last_serial: u64,
-}
-
-impl EventQueue {
-    /// Schedules an event.
-    pub(super) fn schedule(&mut self, due: Duration, event: WorldEvent) {
-        self.last_serial += 1;
-        self.events.insert((due, self.last_serial), event);
-    }
-
-    /// When the next event is due.
-    pub(super) fn next_due(&self) -> Option<Duration> {
-        self.events.keys().next().map(|(due, _)| *due)
-    }
-
-    /// Takes the next event that is due by now, with the time at which it was due.
-    pub(super) fn pop_due(&mut self, now: Duration) -> Option<(Duration, WorldEvent)> {
-        let first = self.events.first_entry()?;
-        let (due, _) = *first.key();
-        (due <= now).then(|| (due, first.remove()))
-    }
-}
