--- a/edge/src/client.rs
+++ b/edge/src/client.rs
@@ -4,7 +4,7 @@
 use crate::notification::Notification;
 use crate::reactor::{Reactor, Serial};
 use crate::requests::{request_id, OpenRequest, OpenRequests, RequestCommand, ResponseSlot};
-use crate::resp;
+use crate::resp::{self, ProtocolError};
 use crate::stream::BufferedStream;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -112,7 +112,7 @@
     /// Takes no further commands for now where the client is behind: it takes no answers, or has asked much and not been
     /// answered. Returns whether that is so. A client that has ended its sending is refused instead.
     pub(crate) fn pause_if_behind(&mut self) -> bool {
-        let is_behind = self.stream.pending_bytes() > resp::WHOLE
+        let is_behind = self.stream.pending_bytes() > resp::MAX_MESSAGE
             || self.pending_commands.len() >= MAX_PENDING_COMMANDS;
         let pauses = is_behind && !self.has_peer_closed();
         if pauses {
@@ -195,10 +195,10 @@
     }
 
     /// After what is no RESP2 nothing can be read any more: an error in its turn, then the end.
-    pub(crate) fn reject_input(&mut self, reactor: &mut Reactor, reason: &str) {
+    pub(crate) fn reject_input(&mut self, reactor: &mut Reactor, error: ProtocolError) {
         self.stop_reading();
         let number = self.push_command();
-        let line = format!("-ERR Protocol error: {reason}\r\n");
+        let line = format!("-ERR Protocol error: {error}\r\n");
         self.respond(reactor, number, |out| {
             out.extend_from_slice(line.as_bytes())
         });
--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -9,7 +9,7 @@
 use crate::reactor::{Reactor, Serial};
 use crate::readiness::Readiness;
 use crate::requests::{OpenRequests, ResponseSlot};
-use crate::resp;
+use crate::resp::{self, ProtocolError, MAX_MESSAGE};
 use crate::stream::BufferedStream;
 use listener::{Accepted, Listener};
 use mio::net::TcpStream;
@@ -39,7 +39,7 @@
 /// them may bring yet.
 fn is_full(reactor: &Reactor, requests: &OpenRequests) -> bool {
     let max_open = reactor.settings.limits.max_open_requests as usize;
-    let bytes_in_prospect = reactor.buffered_bytes() + requests.len() * resp::VALUE;
+    let bytes_in_prospect = reactor.buffered_bytes() + requests.len() * resp::MAX_VALUE;
     bytes_in_prospect > reactor.budget.bytes || (max_open > 0 && requests.len() >= max_open)
 }
 
@@ -184,7 +184,7 @@
                 return;
             }
             let was_empty = client.stream.input.is_empty();
-            if !client.stream.read(reactor, resp::WHOLE) {
+            if !client.stream.read(reactor, MAX_MESSAGE) {
                 return self.on_read_end(reactor, key, requests);
             }
             if was_empty && !client.stream.input.is_empty() {
@@ -217,11 +217,11 @@
         let mut consumed = 0;
         while !client.is_closing() && consumed < input.len() {
             let bytes = &input[consumed..];
-            match resp::command(bytes) {
+            match resp::parse_command(bytes) {
                 // What is no whole command yet must end within the size of one.
-                Ok(None) if bytes.len() < resp::WHOLE => break,
-                Ok(None) => client.reject_input(reactor, "too long a command"),
-                Err(reason) => client.reject_input(reactor, reason),
+                Ok(None) if bytes.len() < MAX_MESSAGE => break,
+                Ok(None) => client.reject_input(reactor, ProtocolError::CommandTooLong),
+                Err(error) => client.reject_input(reactor, error),
                 Ok(Some((words, length))) => {
                     if client.pause_if_behind() {
                         break;
@@ -400,7 +400,7 @@
             if client.stream.input.is_empty() {
                 self.end(reactor, key, requests);
             } else {
-                client.reject_input(reactor, "too slow a command");
+                client.reject_input(reactor, ProtocolError::CommandTooSlow);
             }
         }
     }
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -62,7 +62,7 @@
     if let Some(open) = requests.get_mut(request).filter(|open| !open.answered) {
         open.answered = true;
         reactor.metrics.served += 1;
-        clients.answer(reactor, open.slot, |out| resp::put_bulk(out, value));
+        clients.answer(reactor, open.slot, |out| resp::write_bulk(out, value));
     }
 }
 
@@ -213,7 +213,7 @@
             let is_fresh =
                 lifetime.is_none_or(|lifetime| reactor.now < connection.last_used + lifetime);
             if is_fresh
-                && connection.stream.read(reactor, resp::WHOLE)
+                && connection.stream.read(reactor, resp::MAX_MESSAGE)
                 && connection.stream.input.is_empty()
             {
                 return Some(key);
@@ -310,7 +310,7 @@
             return;
         };
         connection.stream.read_would_block = false;
-        let is_open = connection.stream.read(reactor, resp::WHOLE);
+        let is_open = connection.stream.read(reactor, resp::MAX_MESSAGE);
         let exceeds_a_response = !connection.stream.read_would_block;
         self.handle_input(reactor, key, requests, clients);
         if !self.connections.contains(key) {
@@ -343,7 +343,7 @@
         else {
             return self.fail_connection(reactor, key);
         };
-        let (reply, length) = match resp::reply(&connection.stream.input) {
+        let (reply, length) = match resp::parse_reply(&connection.stream.input) {
             Ok(Some(parsed)) => parsed,
             Ok(None) => return connection.await_rest_of_response(reactor, key),
             Err(_) => return self.end_malformed(reactor, key),
--- a/edge/src/pool/response.rs
+++ b/edge/src/pool/response.rs
@@ -18,9 +18,9 @@
     latency: Duration,
 ) -> AttemptResult {
     let (outcome, settled_units, load) = match reply {
-        Reply::Value { figures, load, .. } => {
+        Reply::Value { usage, load, .. } => {
             let most = max_request_units(&reactor.settings);
-            (AttemptOutcome::Success, settled_units(figures, most), load)
+            (AttemptOutcome::Success, settled_units(usage, most), load)
         }
         Reply::Busy { load } => (AttemptOutcome::Rejected, None, load),
         Reply::Failed { text, load } => {
@@ -42,15 +42,15 @@
 }
 
 /// The units that a response says it took, where it states a possible number of them.
-fn settled_units(figures: &str, most: f64) -> Option<f64> {
-    let (_, text) = resp::pairs(figures).find(|(name, _)| *name == SETTLED_UNITS)?;
+fn settled_units(usage: &str, most: f64) -> Option<f64> {
+    let (_, text) = resp::parse_pairs(usage).find(|(name, _)| *name == SETTLED_UNITS)?;
     let units: f64 = text.parse().ok()?;
     (units > 0.0 && units <= most).then_some(units)
 }
 
-/// The figures of a load report that can be read.
+/// The usage of a load report that can be read.
 fn load_figures(load: &str) -> BTreeMap<String, f64> {
-    resp::pairs(load)
+    resp::parse_pairs(load)
         .filter_map(|(name, text)| {
             let value: f64 = text.parse().ok()?;
             value.is_finite().then(|| (name.into(), value))
--- a/edge/src/requests/command.rs
+++ b/edge/src/requests/command.rs
@@ -168,16 +168,16 @@
 
     /// Writes the command for an endpoint: as it came, but for how long the gateway will wait.
     pub(crate) fn write_for_endpoint(&self, out: &mut Vec<u8>, timeout: Duration) {
-        resp::put_array(out, self.words.len());
+        resp::write_array_header(out, self.words.len());
         for (index, word) in self.words.iter().enumerate() {
             let word = &self.bytes[word.clone()];
             match index {
-                NAME_WORD => resp::put_bulk(out, &word.to_ascii_uppercase()),
+                NAME_WORD => resp::write_bulk(out, &word.to_ascii_uppercase()),
                 PARAMETERS_WORD => {
                     let list = std::str::from_utf8(word).unwrap_or_default();
-                    resp::put_bulk(out, with_timeout(list, timeout).as_bytes());
+                    resp::write_bulk(out, with_timeout(list, timeout).as_bytes());
                 }
-                _ => resp::put_bulk(out, word),
+                _ => resp::write_bulk(out, word),
             }
         }
     }
--- a/edge/src/requests/command/tests.rs
+++ b/edge/src/requests/command/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::resp::command as parse_words;
+use crate::resp::parse_command as parse_words;
 use serde_json::json;
 
 const CUSTOMER: &str = "000000000000000a";
@@ -21,9 +21,9 @@
 /// The bytes of a command on the wire.
 fn encode(words: &[&str]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    resp::put_array(&mut bytes, words.len());
+    resp::write_array_header(&mut bytes, words.len());
     for word in words {
-        resp::put_bulk(&mut bytes, word.as_bytes());
+        resp::write_bulk(&mut bytes, word.as_bytes());
     }
     bytes
 }
--- a/edge/src/resp/tests.rs
+++ b/edge/src/resp/tests.rs
@@ -7,30 +7,30 @@
 #[test]
 fn messages_are_taken_whole_or_not_at_all() {
     for end in 0..COMMAND.len() {
-        assert_eq!(command(&COMMAND[..end]), Ok(None));
+        assert_eq!(parse_command(&COMMAND[..end]), Ok(None));
     }
     assert_eq!(
-        command(COMMAND),
+        parse_command(COMMAND),
         Ok(Some((vec![8..11, 17..17, 23..27], COMMAND.len())))
     );
     for end in 0..REPLY.len() {
-        assert_eq!(reply(&REPLY[..end]), Ok(None));
+        assert_eq!(parse_reply(&REPLY[..end]), Ok(None));
     }
     let value = Reply::Value {
         value: b"hello",
-        figures: "used=37,cost=4",
+        usage: "used=37,cost=4",
         load: "",
     };
-    assert_eq!(reply(REPLY), Ok(Some((value, REPLY.len()))));
+    assert_eq!(parse_reply(REPLY), Ok(Some((value, REPLY.len()))));
     assert_eq!(
-        reply(b"-BUSY util=0.61\r\n"),
+        parse_reply(b"-BUSY util=0.61\r\n"),
         Ok(Some((Reply::Busy { load: "util=0.61" }, 17)))
     );
     let failed = Reply::Failed {
         text: "ERR failed",
         load: "",
     };
-    assert_eq!(reply(b"-ERR failed\r\n"), Ok(Some((failed, 13))));
+    assert_eq!(parse_reply(b"-ERR failed\r\n"), Ok(Some((failed, 13))));
 }
 
 #[test]
@@ -42,12 +42,14 @@
             let place = rng.generate_range(0..bytes.len());
             bytes[place] = b"*$-+0159\r\n\xff"[rng.generate_range(0..11)];
         }
-        for took in [
-            command(&bytes).map(|it| it.map(|it| it.1)),
-            reply(&bytes).map(|it| it.map(|it| it.1)),
+        for parsed_bytes in [
+            parse_command(&bytes).map(|parsed| parsed.map(|(_, length)| length)),
+            parse_reply(&bytes).map(|parsed| parsed.map(|(_, length)| length)),
         ] {
             assert!(
-                took.is_err() || took.is_ok_and(|took| took.is_none_or(|took| took <= bytes.len()))
+                parsed_bytes.is_err()
+                    || parsed_bytes
+                        .is_ok_and(|length| length.is_none_or(|length| length <= bytes.len()))
             );
         }
     }
