--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -32,7 +32,7 @@
     /// Paused connections that may go on.
     resumable: Vec<usize>,
     /// The gateway may say that it is ready: an endpoint list is known, or has not come for long.
-    pub(crate) ready: bool,
+    pub(crate) is_ready: bool,
 }
 
 /// Whether there is no room for further requests: too many are open, or the memory could not take the value that each of
@@ -53,7 +53,7 @@
             is_accept_paused: false,
             may_resume_accept: false,
             resumable: Vec::new(),
-            ready: false,
+            is_ready: false,
         })
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// The poll tells of a connection.
-    pub(crate) fn ready(
+    pub(crate) fn on_ready(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
@@ -229,7 +229,7 @@
                     // What there is no room for is refused: it may not wait for others to end, past its own client's
                     // time.
                     let gateway = GatewayStatus {
-                        is_ready: self.ready,
+                        is_ready: self.is_ready,
                         is_full: is_full(reactor, requests),
                     };
                     let command = &bytes[..length];
@@ -277,7 +277,7 @@
     }
 
     /// Writes an answer, now if all before it are answered.
-    pub(crate) fn answer(
+    pub(crate) fn respond(
         &mut self,
         reactor: &mut Reactor,
         slot: ResponseSlot,
@@ -334,7 +334,7 @@
     }
 
     /// The poll tells of a connection that the gateway has ended.
-    pub(crate) fn ending(&mut self, reactor: &mut Reactor, key: usize) {
+    pub(crate) fn on_lingering_ready(&mut self, reactor: &mut Reactor, key: usize) {
         self.lingering.discard_input(reactor, key);
         self.may_resume_accept = true;
     }
@@ -363,7 +363,11 @@
     /// Lets connections go on that an answer, a write or an end has made room for: those paused, and those not accepted
     /// yet. The one place for it: to accept may close a connection, which may not accept again from within. Returns whether
     /// there were any.
-    pub(crate) fn resume(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) -> bool {
+    pub(crate) fn resume_paused(
+        &mut self,
+        reactor: &mut Reactor,
+        requests: &mut OpenRequests,
+    ) -> bool {
         if std::mem::take(&mut self.may_resume_accept) && self.is_accept_paused {
             self.accept(reactor, requests);
             return true;
@@ -379,7 +383,7 @@
 
     /// At each tick: who has asked nothing that can be taken for so long, or has left a command unfinished, is told so and
     /// closed; so are clients between two requests, where they hold most of the connections.
-    pub(crate) fn sweep_idle(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
+    pub(crate) fn close_overdue(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         // Who waits to be accepted is looked at again: some may have stood idle for long enough by now to make room.
         self.may_resume_accept |= self.lingering.close_expired(reactor) || self.is_accept_paused;
         for (_, client) in &mut self.connections {
@@ -407,7 +411,7 @@
 
     /// Once a second: who does not take its answers for longer than any client waits is closed, and, when memory is short,
     /// the largest half commands of clients with nothing open; others that are paused get a new chance.
-    pub(crate) fn sweep(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
+    pub(crate) fn close_stuck(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         let now = reactor.now;
         // A client waits no longer for an answer.
         let patience = reactor.settings.longest_timeout().max(MAX_IDLE);
@@ -437,7 +441,11 @@
     }
 
     /// The gateway stops: connections with nothing open are ended, unless something has just come.
-    pub(crate) fn end_idle(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
+    pub(crate) fn end_idle_connections(
+        &mut self,
+        reactor: &mut Reactor,
+        requests: &mut OpenRequests,
+    ) {
         for key in self.keys(|client| client.is_idle(reactor)) {
             if self.connections.contains(key) && self.stays_idle(reactor, key, requests) {
                 self.end(reactor, key, requests);
@@ -447,7 +455,11 @@
 
     /// The gateway is at its end: what has come whole by now is taken, nothing is read any more, and each connection ends
     /// behind its last answer.
-    pub(crate) fn last_answers(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
+    pub(crate) fn end_after_last_answers(
+        &mut self,
+        reactor: &mut Reactor,
+        requests: &mut OpenRequests,
+    ) {
         for key in self.keys(|client| !client.is_closing()) {
             if self.connections.contains(key) {
                 self.take_unread(reactor, key, requests);
--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -241,7 +241,7 @@
     }
 
     /// The poll tells of a connection.
-    pub(crate) fn ready(&mut self, reactor: &mut Reactor, index: usize, readiness: Readiness) {
+    pub(crate) fn on_ready(&mut self, reactor: &mut Reactor, index: usize, readiness: Readiness) {
         let Some(stream) = self
             .connections
             .get_mut(index)
@@ -267,7 +267,7 @@
             }
             self.retire(reactor, index);
             if may_have_more && self.can_read(reactor, index) {
-                self.ready(reactor, index, readiness);
+                self.on_ready(reactor, index, readiness);
             }
         }
     }
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -110,16 +110,16 @@
         } = self;
         match Component::from_token(token) {
             (Component::Listener, _) => clients.accept(reactor, requests),
-            (Component::Client, key) => clients.ready(reactor, key, readiness, requests),
-            (Component::Lingering, key) => clients.ending(reactor, key),
-            (Component::Upstream, key) => pool.ready(reactor, key, readiness, requests, clients),
-            (Component::Counter, key) => self.counter.ready(reactor, key, readiness),
+            (Component::Client, key) => clients.on_ready(reactor, key, readiness, requests),
+            (Component::Lingering, key) => clients.on_lingering_ready(reactor, key),
+            (Component::Upstream, key) => pool.on_ready(reactor, key, readiness, requests, clients),
+            (Component::Counter, key) => self.counter.on_ready(reactor, key, readiness),
             (Component::Discovery, key) => {
                 if let Some(message) = self.discovery.ready(reactor, key, readiness) {
                     self.on_discovery_message(message);
                 }
             }
-            (Component::Peers, _) => self.peers.ready(reactor),
+            (Component::Peers, _) => self.peers.discard_incoming(reactor),
             (Component::Signals, _) => self.on_signals(),
         }
     }
@@ -165,11 +165,11 @@
                 "rev" => update.revision, "entries" => update.unreadable_entries.len(),
                 "first" => %first);
         }
-        self.pool.complete(&mut update);
+        self.pool.complete_update(&mut update);
         if update.is_snapshot || !update.endpoints.is_empty() {
             self.apply_update(update, since_last_update);
         }
-        self.clients.ready = true;
+        self.clients.is_ready = true;
     }
 
     /// Hands a complete update to the pool and to the admission controller.
@@ -190,7 +190,7 @@
             EndpointUpdate::Delta(endpoints)
         };
         self.pool
-            .listed(&mut self.reactor, update.is_snapshot, update.endpoints);
+            .apply_update(&mut self.reactor, update.is_snapshot, update.endpoints);
         self.reactor.check_wall_clock();
         let timing = UpdateTiming {
             unix_now: self.reactor.clock.unix_now(),
@@ -206,7 +206,7 @@
     pub(crate) fn on_deadline(&mut self, deadline: Deadline) {
         let reactor = &mut self.reactor;
         match deadline {
-            Deadline::Attempt { key, connection } => self.pool.due(reactor, key, connection),
+            Deadline::Attempt { key, connection } => self.pool.on_timeout(reactor, key, connection),
             Deadline::CounterCall { line, number } => {
                 self.counter.on_timeout(reactor, line, number)
             }
@@ -228,14 +228,14 @@
             ..
         } = self;
         if reactor.must_answer_now() {
-            clients.last_answers(reactor, requests);
+            clients.end_after_last_answers(reactor, requests);
             for request in requests.wanted() {
                 reactor.notify(Notification::ExpireRequest(request));
             }
         } else if reactor.is_draining() {
-            clients.end_idle(reactor, requests);
+            clients.end_idle_connections(reactor, requests);
         }
-        clients.sweep_idle(reactor, requests);
+        clients.close_overdue(reactor, requests);
         self.discovery.on_tick(reactor);
         if reactor.now >= self.next_slow_tick_at {
             self.slow_ticks += 1;
@@ -259,20 +259,20 @@
         } = self;
         reactor.check_wall_clock();
         reactor.violations.report(&reactor.log);
-        clients.sweep(reactor, requests);
-        pool.sweep(reactor);
+        clients.close_stuck(reactor, requests);
+        pool.close_expired_connections(reactor);
         self.counter.ping_idle(reactor);
     }
 
     /// Has the gateway be ready without an endpoint list where none has come for too long.
     fn stop_waiting_for_endpoints(&mut self) {
         let waits_until = self.started_at + MAX_WAIT_FOR_ENDPOINTS;
-        if self.reactor.now >= waits_until && !self.clients.ready {
+        if self.reactor.now >= waits_until && !self.clients.is_ready {
             slog::warn!(
                 self.reactor.log,
                 "no endpoint list yet, but ready: requests are rejected until it comes"
             );
-            self.clients.ready = true;
+            self.clients.is_ready = true;
         }
     }
 
@@ -320,7 +320,8 @@
 
     /// Goes on with clients' connections that were held up. Returns whether there were any.
     pub(crate) fn resume_clients(&mut self) -> bool {
-        self.clients.resume(&mut self.reactor, &mut self.requests)
+        self.clients
+            .resume_paused(&mut self.reactor, &mut self.requests)
     }
 
     /// Whether a request is open and its client waits for the answer.
@@ -342,7 +343,7 @@
             .map(|open| open.slot);
         self.close_request(request);
         if let Some(slot) = slot {
-            self.clients.answer(&mut self.reactor, slot, |out| {
+            self.clients.respond(&mut self.reactor, slot, |out| {
                 out.extend_from_slice(answer.as_bytes());
             });
         }
--- a/edge/src/gateway/socket_port.rs
+++ b/edge/src/gateway/socket_port.rs
@@ -45,7 +45,7 @@
         let deadline = attempt_deadline(open, reactor.now, timeout);
         let has_attempt_left = max_attempts == 0 || number.0 < max_attempts;
         if !open.is_wanted() || deadline <= reactor.now || !has_attempt_left {
-            return pool.not_sent(reactor, request, number);
+            return pool.report_not_sent(reactor, request, number);
         }
         let attempt = NewAttempt {
             request,
@@ -110,11 +110,11 @@
 
     fn close_idle_connections(&mut self, endpoint: &EndpointId) {
         let Gateway { reactor, pool, .. } = &mut *self.gateway.borrow_mut();
-        pool.release(reactor, endpoint);
+        pool.close_idle_connections(reactor, endpoint);
     }
 
     fn send_to_peer(&mut self, peer: Option<u32>, body: &[u8]) {
-        self.gateway.borrow().peers.tell(peer, body);
+        self.gateway.borrow().peers.send(peer, body);
     }
 
     fn log(&mut self, text: &str) {
--- a/edge/src/node.rs
+++ b/edge/src/node.rs
@@ -90,7 +90,7 @@
 
 /// The budget by the configured limits, as far as the system gives as many descriptors.
 fn derive_budget(limits: &Limits, log: &Logger) -> Budget {
-    let sockets = budget::descriptors(limits.sockets);
+    let sockets = budget::available_descriptors(limits.sockets);
     if sockets < limits.sockets {
         slog::warn!(log, "the system gives fewer descriptors than the limits say"; "given" => sockets);
     }
@@ -110,7 +110,7 @@
         return Ok(Peers::default());
     };
     startup::acquire(log, "the peers' socket", || {
-        Peers::listen(
+        Peers::open(
             reactor,
             address,
             config.peers.clone(),
--- a/edge/src/peers.rs
+++ b/edge/src/peers.rs
@@ -1,5 +1,5 @@
-//! Datagrams between gateways, where the settings allow them. The decisions send none today and are told of
-//! none: what comes is read and dropped, so that the socket's buffer does not stay full.
+//! Datagrams between gateways, where the settings allow them. The controller sends none today and is told of none: what
+//! comes is read and dropped, so that the socket's buffer does not stay full.
 
 use crate::component::Component;
 use crate::reactor::Reactor;
@@ -8,43 +8,55 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The longest datagram that may be sent.
-const LONGEST: usize = 256;
+/// The longest datagram that may be sent, in bytes.
+const MAX_DATAGRAM: usize = 256;
 
+/// The datagram socket and the addresses of the other gateways; without a socket nothing is sent.
 #[derive(Default)]
-pub struct Peers {
+pub(crate) struct Peers {
     socket: Option<UdpSocket>,
-    each: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
+    /// The gateways by their numbers.
+    addresses: Vec<SocketAddr>,
+    /// The address that reaches all of them.
+    broadcast: Option<SocketAddr>,
 }
 
 impl Peers {
-    pub fn listen(
+    /// Opens the socket.
+    pub(crate) fn open(
         reactor: &mut Reactor,
-        at: SocketAddr,
-        each: Vec<SocketAddr>,
-        all: Option<SocketAddr>,
+        listen: SocketAddr,
+        addresses: Vec<SocketAddr>,
+        broadcast: Option<SocketAddr>,
     ) -> io::Result<Peers> {
-        let mut socket = UdpSocket::bind(at)?;
+        let mut socket = UdpSocket::bind(listen)?;
+        let token = Component::Peers.token(0);
         reactor
             .registry
-            .register(&mut socket, Component::Peers.token(0), Interest::READABLE)?;
+            .register(&mut socket, token, Interest::READABLE)?;
         Ok(Peers {
             socket: Some(socket),
-            each,
-            all,
+            addresses,
+            broadcast,
         })
     }
 
-    /// To one gateway by its number, or to all. A datagram may be lost, also here.
-    pub fn tell(&self, peer: Option<u32>, body: &[u8]) {
-        let to = peer.map_or(self.all, |peer| self.each.get(peer as usize).copied());
-        if let (Some(socket), Some(to), true) = (&self.socket, to, body.len() <= LONGEST) {
-            let _ = socket.send_to(body, to);
+    /// Sends a datagram to one gateway by its number, or to all. It may be lost, also here.
+    pub(crate) fn send(&self, peer: Option<u32>, body: &[u8]) {
+        let address = match peer {
+            Some(number) => self.addresses.get(number as usize).copied(),
+            None => self.broadcast,
+        };
+        if body.len() > MAX_DATAGRAM {
+            return;
+        }
+        if let (Some(socket), Some(address)) = (&self.socket, address) {
+            let _ = socket.send_to(body, address);
         }
     }
 
-    pub fn ready(&mut self, reactor: &mut Reactor) {
+    /// Reads and drops what has come.
+    pub(crate) fn discard_incoming(&mut self, reactor: &mut Reactor) {
         if let Some(socket) = &self.socket {
             while socket.recv_from(&mut reactor.scratch).is_ok() {}
         }
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -62,7 +62,7 @@
     if let Some(open) = requests.get_mut(request).filter(|open| !open.answered) {
         open.answered = true;
         reactor.metrics.served += 1;
-        clients.answer(reactor, open.slot, |out| resp::write_bulk(out, value));
+        clients.respond(reactor, open.slot, |out| resp::write_bulk(out, value));
     }
 }
 
@@ -73,7 +73,7 @@
     }
 
     /// Reports that an attempt was not begun.
-    pub(crate) fn not_sent(
+    pub(crate) fn report_not_sent(
         &mut self,
         reactor: &mut Reactor,
         request: &RequestId,
@@ -84,13 +84,13 @@
     }
 
     /// Makes an update of the endpoint list one that the controller and the pool can follow.
-    pub(crate) fn complete(&self, update: &mut ParsedUpdate) {
-        self.endpoints.complete(update);
+    pub(crate) fn complete_update(&self, update: &mut ParsedUpdate) {
+        self.endpoints.complete_update(update);
     }
 
     /// Discovery has told: addresses are known, and what has not begun at an endpoint that drains or is gone is not
     /// begun any more.
-    pub(crate) fn listed(
+    pub(crate) fn apply_update(
         &mut self,
         reactor: &mut Reactor,
         is_snapshot: bool,
@@ -248,7 +248,7 @@
     }
 
     /// The time of an attempt is up, or that to connect for it, or that for its command to go out.
-    pub(crate) fn due(&mut self, reactor: &mut Reactor, key: usize, serial: Serial) {
+    pub(crate) fn on_timeout(&mut self, reactor: &mut Reactor, key: usize, serial: Serial) {
         let Some(connection) = self
             .connections
             .get_mut(key)
@@ -274,7 +274,7 @@
     }
 
     /// The poll tells of a connection.
-    pub(crate) fn ready(
+    pub(crate) fn on_ready(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
@@ -489,7 +489,7 @@
     }
 
     /// Closes the connections to an endpoint that carry nothing.
-    pub(crate) fn release(&mut self, reactor: &mut Reactor, endpoint: &EndpointId) {
+    pub(crate) fn close_idle_connections(&mut self, reactor: &mut Reactor, endpoint: &EndpointId) {
         let idle = self
             .endpoints
             .get_mut(endpoint)
@@ -500,7 +500,7 @@
     }
 
     /// Closes what has been idle for long, before the endpoint would.
-    pub(crate) fn sweep(&mut self, reactor: &mut Reactor) {
+    pub(crate) fn close_expired_connections(&mut self, reactor: &mut Reactor) {
         let Some(lifetime) = idle_lifetime(reactor) else {
             return;
         };
--- a/edge/src/pool/endpoint_table.rs
+++ b/edge/src/pool/endpoint_table.rs
@@ -28,7 +28,7 @@
 impl EndpointTable {
     /// An endpoint without an address that can be read keeps the one it has; one that never had one is left out. Where
     /// entries of a whole list can't be read, their endpoints stay as they are, so the list becomes a delta.
-    pub(super) fn complete(&self, update: &mut ParsedUpdate) {
+    pub(super) fn complete_update(&self, update: &mut ParsedUpdate) {
         update.endpoints.retain(|listed| {
             listed.address.is_some() || self.known.contains_key(&listed.endpoint.id)
         });
