--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -8,6 +8,7 @@
 mod counter;
 mod discovery;
 mod event_sources;
+mod gateway_host;
 mod gateway_process;
 mod gateways;
 mod peers;
