--- a/lab/src/loopback/gateway_host.rs
+++ b/lab/src/loopback/gateway_host.rs
@@ -1,5 +1,6 @@
 //! The loopback address of the gateways of one run.
 
+use crate::error::LabError;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -28,7 +29,7 @@
 
 impl GatewayHost {
     /// Claims an address that no other run has.
-    pub(super) fn claim() -> io::Result<Self> {
+    pub(super) fn claim() -> Result<Self, LabError> {
         static CLAIMS: AtomicU32 = AtomicU32::new(0);
         let mut tried = 0;
         loop {
@@ -45,20 +46,20 @@
                         _claim: claim,
                     })
                 }
-                Err(error) if tried == MAX_TRIED => return Err(error),
+                Err(error) if tried == MAX_TRIED => return Err(address_error(error)),
                 Err(_) => (),
             }
         }
     }
 
     /// An address for a gateway's listener or its datagrams; none is given twice.
-    pub(super) fn allocate(&mut self) -> io::Result<SocketAddr> {
+    pub(super) fn allocate(&mut self) -> Result<SocketAddr, LabError> {
         loop {
             let address = SocketAddr::from((self.address, self.next_port));
             self.next_port = self
                 .next_port
                 .checked_add(1)
-                .ok_or(io::ErrorKind::AddrNotAvailable)?;
+                .ok_or_else(|| address_error(io::ErrorKind::AddrNotAvailable.into()))?;
             // A program that listens on all addresses may have the port.
             let is_free = TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok();
             if is_free {
@@ -68,5 +69,12 @@
     }
 }
 
+fn address_error(source: io::Error) -> LabError {
+    LabError::System {
+        operation: "an address for gateways",
+        source,
+    }
+}
+
 #[cfg(test)]
 mod tests;
