--- a/edge/src/gateway/socket_port.rs
+++ b/edge/src/gateway/socket_port.rs
@@ -83,7 +83,7 @@
         let Gateway {
             reactor, counter, ..
         } = &mut *self.gateway.borrow_mut();
-        counter.count(reactor, name, amount, ttl);
+        counter.add(reactor, name, amount, ttl);
     }
 
     fn set_timer(&mut self, token: TimerToken, at: Duration) {
