--- a/lab/src/loopback/gateways.rs
+++ b/lab/src/loopback/gateways.rs
@@ -49,17 +49,11 @@
 }
 
 impl LoopbackRun {
-    /// An address for a gateway, on the host that is this run's own.
-    fn allocate_gateway_address(&mut self) -> Result<SocketAddr, LabError> {
-        let address = self.gateway_host.allocate();
-        address.map_err(LabError::system("no address for a gateway"))
-    }
-
     /// Opens all addresses that a new gateway meets, but those of its peers.
     pub(super) fn add_gateway(&mut self) -> Result<(), LabError> {
         let gateway = self.gateways.len();
-        let client_address = self.allocate_gateway_address()?;
-        let peer_address = self.allocate_gateway_address()?;
+        let client_address = self.gateway_host.allocate()?;
+        let peer_address = self.gateway_host.allocate()?;
         let node = GatewayNode {
             process: GatewayProcess::default(),
             client_address,
--- a/lab/src/loopback/run.rs
+++ b/lab/src/loopback/run.rs
@@ -50,9 +50,10 @@
     /// The clock at the current turn of the loop.
     pub(super) now: Duration,
     pub(super) world: World,
+    /// Where the gateways listen.
+    pub(super) gateway_host: GatewayHost,
     pub(super) gateways: Vec<GatewayNode>,
     pub(super) folder: RunFolder,
-    pub(super) gateway_host: GatewayHost,
     pub(super) program: GatewayProgram,
     /// Settings that gateways are given in place of the true ones.
     pub(super) settings_overrides: toml::Table,
@@ -109,10 +110,9 @@
             clock: Clock::start(),
             now: Duration::ZERO,
             world,
+            gateway_host: GatewayHost::claim()?,
             gateways: Vec::new(),
             folder: RunFolder::create()?,
-            gateway_host: GatewayHost::claim()
-                .map_err(LabError::system("no host for the gateways"))?,
             program: match &variant.gateway_program {
                 Some(path) => GatewayProgram::at_path(path),
                 None => options.gateway_program.clone(),
