--- a/tool/src/main.rs
+++ b/tool/src/main.rs
@@ -1,15 +1,17 @@
 //! `wellcrank`: the operators' command. Exit codes: 0 done, 1 fell short (a rule broken, a crash, a figure below
 //! what was wanted), 2 bad input.
 
+mod error;
 mod lab;
 
 use clap::{Parser, Subcommand, ValueEnum};
+use error::CommandError;
 use slog::{o, Drain, Logger};
 use std::process::ExitCode;
 use std::sync::Mutex;
-use wellcrank_lab::error::{ErrorChain, LabError};
+use wellcrank_lab::error::ErrorChain;
 
-/// A front door that meters many customers' use of one shared service.
+/// Meters many customers' use of one shared service: the gateway, and a laboratory for it.
 #[derive(Parser)]
 #[command(
     name = "wellcrank",
@@ -21,49 +23,32 @@
     after_help = "Exit codes: 0 done; 1 fell short: a rule broken, a crash, a figure below what was wanted; \
                         2 bad input."
 )]
-struct Wellcrank {
-    /// How log lines on standard error look.
+struct CommandLine {
+    /// The form of log lines on standard error.
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     log_format: LogFormat,
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
+/// The form of log lines.
 #[derive(Clone, Copy, ValueEnum)]
 enum LogFormat {
+    /// Plain text.
     Text,
     /// One JSON object a line.
     Json,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// The laboratory: an emulated platform, experiments, comparisons, reports.
     #[command(subcommand)]
-    Lab(lab::Lab),
+    Lab(lab::LabCommand),
     /// Runs one gateway, as wellcrank-edge does; BALANCER_CONFIG names its file.
     Edge,
 }
 
-/// Why a command did not do what it should.
-pub enum Short {
-    /// It ran, and what came of it falls short.
-    Fell(String),
-    Input(String),
-}
-
-impl From<LabError> for Short {
-    fn from(error: LabError) -> Short {
-        Short::Input(ErrorChain(&error).to_string())
-    }
-}
-
-impl From<String> for Short {
-    fn from(why: String) -> Short {
-        Short::Input(why)
-    }
-}
-
 fn logger(format: LogFormat) -> Logger {
     let drain: Box<dyn Drain<Ok = (), Err = slog::Never> + Send> = match format {
         LogFormat::Text => {
@@ -80,25 +65,26 @@
     Logger::root(Mutex::new(drain).ignore_res(), o!())
 }
 
-fn main() -> ExitCode {
-    let asked = Wellcrank::parse();
-    let log = logger(asked.log_format);
-    let done = match asked.what {
-        What::Lab(what) => lab::run(what, &log),
-        What::Edge => {
+fn run(command: Command, log: &Logger) -> Result<(), CommandError> {
+    match command {
+        Command::Lab(command) => lab::run(command, log),
+        Command::Edge => {
             wellcrank_edge::main();
             Ok(())
         }
+    }
+}
+
+fn main() -> ExitCode {
+    let command_line = CommandLine::parse();
+    let log = logger(command_line.log_format);
+    let Err(error) = run(command_line.command, &log) else {
+        return ExitCode::SUCCESS;
     };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(Short::Fell(why)) => {
-            slog::error!(log, "fell short"; "why" => why);
-            ExitCode::from(1)
-        }
-        Err(Short::Input(why)) => {
-            eprintln!("wellcrank: {why}");
-            ExitCode::from(2)
-        }
+    match &error {
+        // It ran to its end: what it found belongs to its log.
+        CommandError::Unmet(unmet) => slog::error!(log, "fell short"; "why" => %unmet),
+        other => eprintln!("wellcrank: {}", ErrorChain(other)),
     }
+    ExitCode::from(error.exit_code())
 }
