--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -158,11 +158,11 @@
         if readiness.is_broken() {
             return self.close(reactor, key, requests);
         }
-        let Some(client) = self.connections.get(key) else {
-            return;
-        };
         // Its end is told once. One that is not read any further must not be missed.
-        let is_unread = client.is_paused() || client.is_closing();
+        let is_unread = self
+            .connections
+            .get(key)
+            .is_some_and(|client| client.is_paused() || client.is_closing());
         if readiness.has_peer_stopped_sending() && is_unread {
             self.on_peer_closed(reactor, key, requests);
         }
@@ -247,18 +247,9 @@
     /// The client has ended its sending: what has come whole is refused, what is in flight is given up, and the connection
     /// ends behind the last answer.
     fn on_peer_closed(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
-        let Some(client) = self.connections.get_mut(key) else {
+        let Some(open) = self.note_peer_closed(key) else {
             return;
         };
-        if client.has_peer_closed() {
-            return;
-        }
-        client.take_last_commands();
-        let open: Vec<Serial> = client
-            .pending_commands
-            .iter()
-            .filter_map(|command| command.request)
-            .collect();
         self.take_commands(reactor, key, requests);
         let Some(client) = self.connections.get_mut(key) else {
             return;
@@ -276,6 +267,18 @@
         }
     }
 
+    /// Has a connection take its last commands. Returns the requests that were open before them; none where the client's
+    /// end was noticed before.
+    fn note_peer_closed(&mut self, key: usize) -> Option<Vec<Serial>> {
+        let client = self
+            .connections
+            .get_mut(key)
+            .filter(|client| !client.has_peer_closed())?;
+        client.take_last_commands();
+        let pending = client.pending_commands.iter();
+        Some(pending.filter_map(|command| command.request).collect())
+    }
+
     /// Writes an answer, now if all before it are answered.
     pub(crate) fn respond(
         &mut self,
--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -255,21 +255,25 @@
             }
             self.flush(reactor, index);
         }
+        if readiness.should_read() && self.read_replies(reactor, index) {
+            self.on_ready(reactor, index, readiness);
+        }
+    }
+
+    /// Reads and handles what has come. Returns whether more may have.
+    fn read_replies(&mut self, reactor: &mut Reactor, index: usize) -> bool {
         let Some(stream) = &mut self.connections[index].stream else {
-            return;
+            return false;
         };
-        if readiness.should_read() {
-            stream.read_would_block = false;
-            let is_open = stream.read(reactor, reactor.scratch.len());
-            let may_have_more = !stream.read_would_block;
-            if !self.handle_replies(reactor, index) || !is_open {
-                return self.disconnect(reactor, index);
-            }
-            self.retire(reactor, index);
-            if may_have_more && self.can_read(reactor, index) {
-                self.on_ready(reactor, index, readiness);
-            }
+        stream.read_would_block = false;
+        let is_open = stream.read(reactor, reactor.scratch.len());
+        let may_have_more = !stream.read_would_block;
+        if !self.handle_replies(reactor, index) || !is_open {
+            self.disconnect(reactor, index);
+            return false;
         }
+        self.retire(reactor, index);
+        may_have_more && self.can_read(reactor, index)
     }
 
     /// Whether a connection is there and its input has room.
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -263,9 +263,7 @@
         };
         let deadline = attempt.current_deadline();
         if !is_connected || reactor.now >= deadline {
-            return self.end_with(reactor, key, |attempt| {
-                attempt.outcome_on_timeout(is_connected)
-            });
+            return self.end_with(reactor, key, |ended| ended.outcome_on_timeout(is_connected));
         }
         if attempt.state == AttemptState::ReadingResponse {
             return self.end_malformed(reactor, key);
@@ -353,10 +351,10 @@
         }
         let latency = reactor.now.saturating_sub(attempt.started_at);
         let result = response::attempt_result(reactor, &reply, latency);
-        let Some(attempt) = self.detach_attempt(reactor, key) else {
+        let Some(ended) = self.detach_attempt(reactor, key) else {
             return;
         };
-        report_end(reactor, attempt.request, attempt.number, result);
+        report_end(reactor, ended.request, ended.number, result);
         self.recycle(reactor, key, length);
     }
 
@@ -377,10 +375,14 @@
 
     /// Writes what it can of a command.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
-        let Some(connection) = self.connections.get_mut(key) else {
+        let Some(is_unbegun) = self
+            .connections
+            .get(key)
+            .map(UpstreamConnection::has_unbegun_attempt)
+        else {
             return;
         };
-        if connection.has_unbegun_attempt() && !self.begin_attempt(reactor, key, requests) {
+        if is_unbegun && !self.begin_attempt(reactor, key, requests) {
             return;
         }
         let connection = &mut self.connections[key];
--- a/edge/src/requests/command/tests.rs
+++ b/edge/src/requests/command/tests.rs
@@ -36,32 +36,47 @@
     RequestCommand::parse(&bytes, ranges, &settings(), &OpenRequests::default())
 }
 
+fn query(parameters: &str) -> Result<RequestCommand, InvalidCommand> {
+    parse(&["SVC.QUERY", CUSTOMER, ID, parameters])
+}
+
+fn submit(parameters: &str) -> Result<RequestCommand, InvalidCommand> {
+    parse(&["SVC.SUBMIT", CUSTOMER, ID, parameters, "body"])
+}
+
+/// Checks that each command is refused, and with which error line.
+fn assert_refused(cases: &[(Result<RequestCommand, InvalidCommand>, &str)]) {
+    for (result, text) in cases {
+        let error = result.as_ref().expect_err(text);
+        assert_eq!(error.to_string(), *text);
+    }
+}
+
 #[test]
-fn each_thing_that_is_wrong_with_a_command_has_its_error_line() {
-    let query = |parameters| parse(&["SVC.QUERY", CUSTOMER, ID, parameters]).map(|_| ());
-    let submit = |parameters| parse(&["SVC.SUBMIT", CUSTOMER, ID, parameters, "body"]).map(|_| ());
-    let too_long = format!("c=read,t=basic,d=1,x={}", "y".repeat(1024));
+fn a_command_without_the_words_of_a_request_is_refused_with_what_is_missing() {
     let cases = [
+        (parse(&["SVC.QUERY", CUSTOMER, ID]), "wrong number of words"),
         (
-            parse(&["SVC.QUERY", CUSTOMER, ID]).map(|_| ()),
-            "wrong number of words",
-        ),
-        (
-            parse(&["SVC.SUBMIT", CUSTOMER, ID, "c=stamp"]).map(|_| ()),
+            parse(&["SVC.SUBMIT", CUSTOMER, ID, "c=stamp"]),
             "wrong number of words",
         ),
+        (parse(&["SVC.QUERY", "a", ID, "c=read"]), "no customer"),
         (
-            parse(&["SVC.QUERY", "a", ID, "c=read"]).map(|_| ()),
+            parse(&["SVC.QUERY", "f00000000000000a", ID, "c=read"]),
             "no customer",
         ),
         (
-            parse(&["SVC.QUERY", "f00000000000000a", ID, "c=read"]).map(|_| ()),
-            "no customer",
-        ),
-        (
-            parse(&["SVC.QUERY", CUSTOMER, "+0000000000000ff", "c=read"]).map(|_| ()),
+            parse(&["SVC.QUERY", CUSTOMER, "+0000000000000ff", "c=read"]),
             "no id",
         ),
+    ];
+    assert_refused(&cases);
+}
+
+#[test]
+fn parameters_that_cannot_be_meant_are_refused_with_what_is_wrong() {
+    let too_long = format!("c=read,t=basic,d=1,x={}", "y".repeat(1024));
+    let cases = [
         (query("c=read, t=basic"), "an unreadable list"),
         (query(&too_long), "an unreadable list"),
         (query(""), "not a list of names and values"),
@@ -87,10 +102,7 @@
         (query("c=read,t=basic"), "no time to answer"),
         (query("c=read,t=basic,d=1,first=0.5"), "no set of gateways"),
     ];
-    for (result, text) in cases {
-        let error = result.expect_err(text);
-        assert_eq!(error.to_string(), text);
-    }
+    assert_refused(&cases);
 }
 
 #[test]
