--- a/edge/src/discovery/tests.rs
+++ b/edge/src/discovery/tests.rs
@@ -171,8 +171,8 @@
         "entry 5 (no uid)",
     ];
     assert_eq!(update.unreadable_entries.len(), expected.len());
-    for (entry, expected) in update.unreadable_entries.iter().zip(expected) {
-        assert!(entry.to_string().starts_with(expected), "{entry}");
+    for (entry, beginning) in update.unreadable_entries.iter().zip(expected) {
+        assert!(entry.to_string().starts_with(beginning), "{entry}");
     }
 }
 
