--- a/edge/src/client.rs
+++ b/edge/src/client.rs
@@ -8,7 +8,7 @@
 use crate::stream::BufferedStream;
 use std::collections::VecDeque;
 use std::time::Duration;
-use wellcrank::port::*;
+use wellcrank::port::Request;
 
 /// So long a connection may stay with nothing open: from then on it may be closed.
 pub(crate) const MAX_IDLE: Duration = Duration::from_secs(2);
--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -13,7 +13,7 @@
 use std::io::Write;
 use std::net::SocketAddr;
 use std::time::Duration;
-use wellcrank::port::*;
+use wellcrank::port::{CounterName, CounterReply};
 
 /// The longest line that the counter has to say, in bytes.
 const MAX_REPLY_LINE: usize = 256;
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -21,7 +21,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use upstream_connection::{idle_lifetime, outcome_on_open_error, UpstreamConnection};
-use wellcrank::port::*;
+use wellcrank::port::{AttemptNumber, AttemptOutcome, EndpointId, RequestId};
 
 /// A second response to an attempt may come some milliseconds behind the first: only a connection that has been idle
 /// for so long is used again. Trade-off: a busy gateway opens a few connections more.
--- a/edge/src/pool/attempt.rs
+++ b/edge/src/pool/attempt.rs
@@ -5,7 +5,7 @@
 use crate::reactor::Reactor;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wellcrank::port::*;
+use wellcrank::port::{AttemptNumber, AttemptOutcome, AttemptResult, RequestId};
 
 /// The most of a client's time that may have passed before its command was read; where little is left, a quarter of
 /// that is assumed instead.
--- a/edge/src/pool/endpoint_table.rs
+++ b/edge/src/pool/endpoint_table.rs
@@ -4,7 +4,7 @@
 use crate::discovery::{ListedEndpoint, ParsedUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use wellcrank::port::*;
+use wellcrank::port::{Endpoint, EndpointId, EndpointState, UnixTime};
 
 /// An endpoint whose address is known.
 pub(super) struct KnownEndpoint {
--- a/edge/src/pool/response.rs
+++ b/edge/src/pool/response.rs
@@ -6,7 +6,7 @@
 use crate::resp::{self, Reply};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wellcrank::port::*;
+use wellcrank::port::{AttemptOutcome, AttemptResult};
 
 /// The name under which a response states the units that it took.
 const SETTLED_UNITS: &str = "cost";
--- a/edge/src/pool/upstream_connection.rs
+++ b/edge/src/pool/upstream_connection.rs
@@ -6,7 +6,7 @@
 use crate::stream::BufferedStream;
 use std::io::{self, ErrorKind};
 use std::time::Duration;
-use wellcrank::port::*;
+use wellcrank::port::{AttemptOutcome, EndpointId};
 
 /// One connection to an endpoint.
 pub(super) struct UpstreamConnection {
--- a/edge/src/requests.rs
+++ b/edge/src/requests.rs
@@ -8,7 +8,7 @@
 pub(crate) use command::{max_request_units, RequestCommand};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use wellcrank::port::*;
+use wellcrank::port::RequestId;
 
 /// Where an answer goes: a connection of a client, and the place of the command in the order there.
 #[derive(Clone, Copy, Debug)]
--- a/edge/src/requests/command.rs
+++ b/edge/src/requests/command.rs
@@ -8,7 +8,7 @@
 use crate::resp::{self, Words};
 use std::time::Duration;
 use thiserror::Error;
-use wellcrank::port::*;
+use wellcrank::port::{CustomerId, PlanName, RouteName};
 use wellcrank::settings::{Idempotency, Settings};
 
 /// The command of an idempotent route.
