--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -27,6 +27,6 @@
 use lab_scenario::LabScenario;
 
 #[test]
-fn every_scenario() {
+fn simulated_runs_do_what_every_scenario_expects() {
     scenario_runner::run_all::<LabScenario>();
 }
