--- a/tool/tests/command_scenario/mod.rs
+++ b/tool/tests/command_scenario/mod.rs
@@ -9,6 +9,7 @@
 use running_command::RunningCommand;
 use std::fs::{self, OpenOptions};
 use std::io::Write;
+use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -54,6 +55,19 @@
     }
 }
 
+/// Has the command start with the system's own handling of SIGINT. A shell that runs the tests in the background has
+/// them ignore it, and the command would too until it handles the signal itself.
+#[allow(unsafe_code)]
+fn reset_interrupt(command: &mut Command) {
+    // SAFETY: between fork and exec only calls are allowed that are safe in a signal handler; signal(2) is one.
+    unsafe {
+        command.pre_exec(|| {
+            libc::signal(libc::SIGINT, libc::SIG_DFL);
+            Ok(())
+        });
+    }
+}
+
 impl CommandScenario {
     /// The built command with these arguments, in the scenario's folder.
     fn command(&self, arguments: &[String]) -> Command {
@@ -62,6 +76,7 @@
             .args(arguments)
             .current_dir(&self.folder)
             .stdin(Stdio::null());
+        reset_interrupt(&mut command);
         command
     }
 
