--- a/src/control.rs
+++ b/src/control.rs
@@ -52,7 +52,7 @@
 
 use crate::port::{
     AttemptNumber, AttemptResult, CounterName, CounterReply, CustomerId, EndpointId,
-    EndpointUpdate, Port, Request, RequestId, TimerToken, UpdateTiming, DUE_TIMER, TICK_TIMER,
+    EndpointUpdate, Port, Request, RequestId, TimerToken, UpdateTiming, QUEUE_TIMER, TICK_TIMER,
 };
 use crate::settings::{DiscoveryMode, Settings};
 use context::Context;
@@ -287,7 +287,7 @@
 
     fn set_timer(&mut self, at: Duration, timer: Timer) {
         self.timers.schedule(at, timer);
-        self.context.port.set_timer(DUE_TIMER, at);
+        self.context.port.set_timer(QUEUE_TIMER, at);
     }
 
     /// What a step may take beyond the time that it was reckoned with.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! wellcrank's decisions ([`control`]), the interface by which they meet a protocol ([`port`]) and the settings that
-//! they read ([`settings`]).
+//! The decision logic of the wellcrank gateway: the admission controller ([`control`]), the interface between it and
+//! the protocol adapters ([`port`]) and the settings that it reads ([`settings`]).
 
 pub mod control;
 pub mod port;
--- a/src/port.rs
+++ b/src/port.rs
@@ -1,9 +1,10 @@
-//! The interface between the decisions and the adapters that carry them: the edge node on sockets, the
-//! simulator's wire, the laboratory's simulated time; later an external processor, external authorisation or
-//! plan-and-apply files.
+//! The interface between the admission controller and the adapters that connect it to a protocol. The adapters are the
+//! edge node on sockets, the simulator's protocol and the lab's simulated time. An external processor, external
+//! authorisation and plan-and-apply files may follow.
 //!
-//! An adapter turns its protocol's events into calls on [`crate::control::AdmissionController`] and implements
-//! [`Port`], by which the controller acts. All times are spans since the start of the adapter's clock.
+//! An adapter turns the events of its protocol into calls on [`crate::control::AdmissionController`] and implements
+//! [`Port`], through which the controller acts. All times are durations since the start of the adapter's clock, except
+//! [`UnixTime`].
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,7 +15,7 @@
         $(#[$doc])*
         #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
         pub struct $name(
-            /// The text as the adapter's protocol gives it.
+            /// The text of the id, as it stands in the adapter's protocol or in the settings.
             pub Rc<str>,
         );
 
@@ -27,11 +28,11 @@
 }
 
 text_id!(
-    /// One request of a client; a retry by the client is a request of its own.
+    /// The id of a client request. A retry by the client is a separate request.
     RequestId,
-    /// A machine that serves requests. It keeps its id when its process restarts.
+    /// The id of an endpoint, a machine that serves requests. It does not change when the endpoint's process restarts.
     EndpointId,
-    /// A customer, to whom the quotas of a plan apply.
+    /// The id of a customer. The quotas of the customer's plan apply to it.
     CustomerId,
     /// The name of a route in the settings.
     RouteName,
@@ -39,59 +40,60 @@
     PlanName,
 );
 
-/// The name of a number on the shared counter, below 2^63.
+/// The name of a value on the shared counter. It is below 2^63.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct CounterName(pub u64);
 
-/// One upstream attempt of a request, counted from 0.
+/// The number of an upstream attempt within its request, counted from 0.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct AttemptNumber(pub u32);
 
-/// What a timer is set with, and comes back with when it fires.
+/// Identifies a timer: set with the timer and passed back when the timer fires.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct TimerToken(pub u64);
 
-/// The one periodic timer of a controller, on which an adapter may hang periodic work of its own.
+/// The token of a controller's only periodic timer. An adapter may run its own periodic work when this timer fires.
 pub const TICK_TIMER: TimerToken = TimerToken(1);
 
-/// Any other timer: something in the controller's own timer queue is due.
-pub const DUE_TIMER: TimerToken = TimerToken(2);
+/// The token of all other timers: an entry of the controller's timer queue is due.
+pub const QUEUE_TIMER: TimerToken = TimerToken(2);
 
-/// The longest span that [`seconds`] gives: about thirty years, so that sums of spans stay sound.
-const MAX_SPAN_SECONDS: f64 = 1e9;
+/// The longest duration that [`seconds`] returns: about thirty years, so that sums of durations do not overflow.
+const MAX_DURATION_SECONDS: f64 = 1e9;
 
-/// A span of so many seconds; negative numbers and NaN give zero, large ones about thirty years.
+/// Converts a number of seconds into a duration. Negative numbers and NaN give zero; numbers above 10^9 give 10^9
+/// seconds (about thirty years).
 pub fn seconds(number: f64) -> Duration {
-    Duration::from_secs_f64(number.clamp(0.0, MAX_SPAN_SECONDS).max(0.0))
+    Duration::from_secs_f64(number.clamp(0.0, MAX_DURATION_SECONDS).max(0.0))
 }
 
 /// How an upstream attempt ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AttemptOutcome {
-    /// The endpoint answered with a value, which the client gets.
+    /// The endpoint answered with a value, which is passed on to the client.
     Success,
-    /// The endpoint answered with an error, or with something that can't be read; the request may have run.
+    /// The endpoint answered with an error or with a malformed response. The request may have run.
     ServerError,
-    /// The endpoint refused the attempt unseen, as it is full.
+    /// The endpoint was busy and rejected the attempt without running it.
     Rejected,
-    /// No answer came in time; the request may have run.
+    /// No answer came within the timeout. The request may have run.
     TimedOut,
-    /// The command did not go out whole: no connection came up, or it broke before.
+    /// The command was not sent completely, because no connection was established or the connection broke first.
     ConnectFailed,
-    /// The connection broke after the command had gone out; the request may have run.
+    /// The connection broke after the command had been sent. The request may have run.
     Reset,
-    /// The controller cancelled the attempt; the request may have run.
+    /// The controller cancelled the attempt. The request may have run.
     Cancelled,
-    /// The adapter did not begin the attempt.
+    /// The adapter did not start the attempt.
     NotSent,
 }
 
 /// The answer to one call on the shared counter.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum CounterReply {
-    /// The amount was added, and this is the total.
+    /// The amount was added; holds the new total.
     Total(f64),
-    /// The amount was added; the total could not be read.
+    /// The amount was added, but the total could not be read.
     Applied,
     /// The amount was not added.
     NotApplied,
@@ -100,8 +102,8 @@
 }
 
 impl CounterReply {
-    /// The total, or `assumed` where the amount was added but the total could not be read; none where the amount
-    /// may not have been added.
+    /// Returns the total, or `assumed` if the amount was added but the total could not be read. Returns `None` if the
+    /// amount was not added, or may not have been.
     pub fn total_or(self, assumed: f64) -> Option<f64> {
         match self {
             CounterReply::Total(total) => Some(total),
@@ -110,59 +112,59 @@
         }
     }
 
-    /// Whether the amount is known to have been added.
+    /// Returns whether the amount is known to have been added.
     pub fn is_applied(self) -> bool {
         matches!(self, CounterReply::Total(_) | CounterReply::Applied)
     }
 }
 
-/// What discovery says of an endpoint.
+/// The state of an endpoint according to discovery.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum EndpointState {
-    /// It may be sent attempts.
+    /// The endpoint accepts attempts.
     Ready,
-    /// It finishes what it has and is to get nothing new.
+    /// The endpoint finishes the attempts that it has and must get no new ones.
     Draining,
-    /// It is no longer there.
+    /// The endpoint no longer exists.
     Removed,
 }
 
-/// A moment of the wall clock, counted from the start of Unix time; in the simulator, of its one clock. It is no
-/// moment of the adapter's clock, by which spans are measured: the wall clock may be stepped.
+/// A wall-clock time, as a duration since the Unix epoch. Adapters with simulated time use their only clock instead. It
+/// must not be compared with times of the adapter's clock, which measures durations: the wall clock may be stepped.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct UnixTime(pub Duration);
 
-/// By what the ages of the endpoints in an update are reckoned.
+/// The times from which the ages of the endpoints in an update are computed.
 #[derive(Clone, Copy, Debug)]
 pub struct UpdateTiming {
-    /// The wall clock when the update came, as far as it is known.
+    /// The adapter's estimate of the wall-clock time at which the update was received.
     pub unix_now: UnixTime,
-    /// How long ago the update before came, if one has: an endpoint that is new since then has not started long
-    /// before.
+    /// The time since the previous update, or `None` if it is not known or there was none. An endpoint that the
+    /// previous update did not list can't have started long before it.
     pub since_last_update: Option<Duration>,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Which endpoint.
+    /// The endpoint's id.
     pub id: EndpointId,
-    /// What discovery says of it.
+    /// The endpoint's state according to discovery.
     pub state: EndpointState,
-    /// When its process started last; none: long ago.
+    /// When the endpoint's process last started; `None` means long ago.
     pub started_at: Option<UnixTime>,
-    /// The cell that it belongs to, the smallest deduplication scope.
+    /// The endpoint's cell. A cell is the smallest deduplication scope.
     pub cell: u64,
-    /// The zone that it stands in.
+    /// The endpoint's zone.
     pub zone: String,
-    /// The type of its machine.
+    /// The endpoint's machine type.
     pub machine_type: String,
-    /// Its size relative to others, as discovery states it.
+    /// The endpoint's size relative to other endpoints, from discovery.
     pub weight: f64,
 }
 
 impl Endpoint {
-    /// The entry of an endpoint that is no longer there.
+    /// Returns the entry of an endpoint that no longer exists.
     pub fn removed(id: EndpointId) -> Self {
         Endpoint {
             id,
@@ -176,56 +178,57 @@
     }
 }
 
-/// News from discovery.
+/// An update of the endpoint list from discovery.
 #[derive(Clone, Debug)]
 pub enum EndpointUpdate {
-    /// The whole list: what it doesn't name is gone.
+    /// The complete list. Endpoints that are not in it no longer exist.
     Snapshot(Vec<Endpoint>),
-    /// The entries that have changed.
+    /// Only the entries that have changed.
     Delta(Vec<Endpoint>),
 }
 
-/// A request as it comes in.
+/// A client request as the gateway receives it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Which request.
+    /// The request's id.
     pub id: RequestId,
-    /// Whose it is.
+    /// The customer that sent it.
     pub customer: CustomerId,
-    /// The plan of the customer.
+    /// The customer's plan.
     pub plan: PlanName,
-    /// The route that is asked for.
+    /// The requested route.
     pub route: RouteName,
-    /// The units it takes from the customer's quota; a guess where units are settled afterwards.
+    /// The units that it takes from the customer's quota; an estimate if the units are settled after the attempt.
     pub units: f64,
-    /// Until when the client waits for the final answer.
+    /// The time by which the client needs the final answer, on the adapter's clock.
     pub deadline: Duration,
-    /// The number of the first gateway that gets this customer's requests.
+    /// The index of the first gateway that receives this customer's requests.
     pub first_gateway: u32,
-    /// How many gateways in a row get them, counted round.
+    /// The number of consecutive gateways that receive this customer's requests, starting from `first_gateway`. The
+    /// last gateway is followed by gateway 0.
     pub gateway_count: u32,
 }
 
-/// The end of an upstream attempt.
+/// The result of an upstream attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// How long it took from its sending.
+    /// The time from sending the attempt to its end.
     pub latency: Duration,
-    /// The request has its final answer, through this outcome or before.
+    /// Whether the request is closed, because of this outcome or already before it: it needs no further answer.
     pub request_closed: bool,
-    /// The true units, where they are settled afterwards.
+    /// The units that the request actually took, if they are settled after the attempt.
     pub settled_units: Option<f64>,
-    /// The load that the endpoint reports, by the name of the figure.
+    /// The load that the endpoint reports, by metric name.
     pub load: BTreeMap<String, f64>,
 }
 
-/// What the controller may ask of its adapter.
+/// The actions that the controller requests from its adapter.
 pub trait Port {
-    /// Begins one upstream attempt. An answer is waited for until `timeout` has passed. The command must have gone
-    /// out whole by `send_by`, a moment of the adapter's clock (`Duration::MAX`: at any time); an attempt that has
-    /// not begun by then is not begun, and ends as [`AttemptOutcome::NotSent`].
+    /// Starts an upstream attempt, which times out after `timeout`. The command must be sent completely by `send_by`, a
+    /// time of the adapter's clock (`Duration::MAX`: no limit). An attempt that has not started by then is not started
+    /// and ends as [`AttemptOutcome::NotSent`].
     fn send(
         &mut self,
         request: &RequestId,
@@ -234,35 +237,35 @@
         send_by: Duration,
     );
 
-    /// Gives up an attempt in flight; its end is reported all the same.
+    /// Cancels an attempt in flight. Its end is still reported to the controller.
     fn cancel(&mut self, request: &RequestId, attempt: AttemptNumber);
 
-    /// The final answer that it is harmless to ask again, after `retry_after`.
+    /// Sends the final answer that the request was rejected: the client may safely retry it, after `retry_after`.
     fn reject(&mut self, request: &RequestId, retry_after: Duration);
 
-    /// The final answer of failure, which promises nothing.
+    /// Sends the final answer that the request failed. It does not say that a retry is safe.
     fn fail(&mut self, request: &RequestId);
 
-    /// Adds an amount to a number on the shared counter, which keeps the name for `ttl` from its first call on. The
-    /// replies for one name come in the order of the calls.
+    /// Adds an amount to a value on the shared counter, which keeps the value for `ttl` from the first call with its
+    /// name. The replies for one name must arrive in the order of the calls.
     fn add_to_counter(&mut self, name: CounterName, amount: f64, ttl: Duration);
 
-    /// Sets a timer; it can't be unset.
+    /// Sets a timer that fires at `at` on the adapter's clock. It can't be cancelled.
     fn set_timer(&mut self, token: TimerToken, at: Duration);
 
-    /// Asks an endpoint for its load.
+    /// Requests a load report from an endpoint.
     fn probe(&mut self, endpoint: &EndpointId);
 
-    /// Begins or ends the subscription to endpoint updates.
+    /// Starts or ends the subscription to endpoint updates.
     fn subscribe(&mut self, active: bool);
 
-    /// Asks for the whole endpoint list once.
+    /// Requests the complete endpoint list once.
     fn refetch_endpoints(&mut self);
 
     /// Closes the idle connections to an endpoint.
     fn close_idle_connections(&mut self, endpoint: &EndpointId);
 
-    /// Sends a datagram to one gateway, or to all.
+    /// Sends a datagram to the gateway with index `peer`, or to all gateways if `peer` is `None`.
     fn send_to_peer(&mut self, peer: Option<u32>, body: &[u8]);
 
     /// Writes a line to the log.
--- a/tests/controller_scenario/recorder.rs
+++ b/tests/controller_scenario/recorder.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use wellcrank::port::{
-    AttemptNumber, CounterName, EndpointId, Port, RequestId, TimerToken, DUE_TIMER,
+    AttemptNumber, CounterName, EndpointId, Port, RequestId, TimerToken, QUEUE_TIMER,
 };
 
 /// One thing that the controller has asked of its adapter.
@@ -95,7 +95,7 @@
     /// Whether a timer other than the periodic one is set.
     pub(crate) fn has_due_timer(&self) -> bool {
         let timers = &self.0.borrow().timers;
-        timers.iter().any(|timer| timer.1 == DUE_TIMER.0)
+        timers.iter().any(|timer| timer.1 == QUEUE_TIMER.0)
     }
 
     /// Takes the oldest amount that was added to a number on the counter and has no reply yet.
