--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -417,7 +417,7 @@
     pub(crate) fn close_stuck(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         let now = reactor.now;
         // A client waits no longer for an answer.
-        let patience = reactor.settings.longest_timeout().max(MAX_IDLE);
+        let patience = reactor.settings.max_client_timeout().max(MAX_IDLE);
         for key in self.keys(|client| client.is_stuck(now, patience)) {
             self.close(reactor, key, requests);
         }
--- a/edge/src/shutdown.rs
+++ b/edge/src/shutdown.rs
@@ -47,7 +47,7 @@
 
 /// By when everything must be answered after a shutdown was requested.
 fn answer_by(requested_at: Duration, settings: &Settings) -> Duration {
-    let client_timeout = settings.longest_timeout().min(MAX_CLIENT_TIMEOUT);
+    let client_timeout = settings.max_client_timeout().min(MAX_CLIENT_TIMEOUT);
     requested_at + client_timeout + (KILL_GRACE - ANSWER_MARGIN)
 }
 
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -84,7 +84,7 @@
         ..Route::default()
     };
     assert_eq!(settings.route(&"post".into()), &post);
-    assert_eq!(settings.longest_timeout(), Duration::from_millis(1200));
+    assert_eq!(settings.max_client_timeout(), Duration::from_millis(1200));
 }
 
 #[test]
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,57 +1,58 @@
-//! A deployment's settings as the decisions read them. Adapters decode them from their own formats; what is missing
-//! has a default that asks nothing: no limit, no rule, no quota.
+//! The settings of a deployment that the admission controller reads. Adapters decode them from their own formats. A
+//! limit, rule or quota that is missing does not apply, unless its field says otherwise.
 
 use crate::port::{PlanName, Request, RouteName};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// All settings of one gateway.
+/// The settings of one gateway.
 #[derive(Clone, Default, Debug, PartialEq)]
 pub struct Settings {
-    /// This gateway's number among all, from 0.
+    /// The index of this gateway among all gateways, from 0.
     pub gateway_index: u32,
-    /// How many gateways there are, as stated; [`Settings::gateway_count`] is never zero.
+    /// The number of gateways as configured, possibly 0. [`Settings::gateway_count`] returns at least 1.
     pub gateways: u32,
-    /// Events come at most this often.
+    /// The timer resolution of the deployment: the shortest interval at which events arrive.
     pub timer_resolution: Duration,
-    /// How endpoint updates come.
+    /// How endpoint updates are delivered.
     pub discovery: DiscoveryMode,
-    /// What the deployment permits.
+    /// The limits and the permitted actions of the deployment.
     pub limits: Limits,
-    /// Figures of the rules on drains and slow starts.
+    /// The parameters of the rules on draining endpoints and on endpoints in slow start.
     pub rules: Rules,
-    /// The shared counter.
+    /// The settings of the shared counter.
     pub counter: CounterSettings,
-    /// The plans by name.
+    /// The plans, by name.
     pub plans: BTreeMap<PlanName, Plan>,
-    /// The routes by name.
+    /// The routes, by name.
     pub routes: BTreeMap<RouteName, Route>,
 }
 
 impl Settings {
-    /// The plan of that name; one that is not stated has no quota and no price.
+    /// Returns the plan with this name. A plan that is not in the settings has no quota, and its price is 0.
     pub fn plan(&self, name: &PlanName) -> &Plan {
         self.plans.get(name).unwrap_or(&UNKNOWN_PLAN)
     }
 
-    /// The route of that name; one that is not stated is worth nothing and is never retried.
+    /// Returns the route with this name. Requests on a route that is not in the settings have no value and are treated
+    /// as non-idempotent.
     pub fn route(&self, name: &RouteName) -> &Route {
         self.routes.get(name).unwrap_or(&UNKNOWN_ROUTE)
     }
 
-    /// What a request is worth: the value of its route, times the price of its plan, times its units.
+    /// Returns the value of a request: the value of its route, times the price of its plan, times its units.
     pub fn value_of(&self, request: &Request) -> f64 {
         let price = self.plan(&request.plan).price;
         self.route(&request.route).value * price * request.units
     }
 
-    /// How many gateways share the quotas, the endpoints and the counter: this one at the least.
+    /// Returns the number of gateways that share the quotas, the endpoints and the counter. It is at least 1.
     pub fn gateway_count(&self) -> f64 {
         f64::from(self.gateways.max(1))
     }
 
-    /// The longest that a client of any route waits.
-    pub fn longest_timeout(&self) -> Duration {
+    /// Returns the longest client timeout of all routes, or zero if there are no routes.
+    pub fn max_client_timeout(&self) -> Duration {
         self.routes
             .values()
             .map(|route| route.client_timeout)
@@ -60,82 +61,82 @@
     }
 }
 
-/// How endpoint updates come.
+/// How endpoint updates are delivered.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Unasked.
+    /// Discovery pushes updates without a subscription.
     #[default]
     Push,
-    /// To those who have subscribed.
+    /// Discovery sends updates only to gateways that have subscribed.
     Subscribe,
 }
 
-/// What the deployment permits.
+/// The limits and the permitted actions of a deployment.
 #[derive(Clone, Default, Debug, PartialEq)]
 pub struct Limits {
-    /// Upstream attempts of one request; 0: no further one after the first.
+    /// The maximum number of upstream attempts of one request; 0 permits only the first attempt, as 1 does.
     pub max_attempts: u32,
-    /// Requests that may be open; 0: no limit.
+    /// The maximum number of open requests; 0 means no limit.
     pub max_open_requests: u32,
-    /// How long a connection may take to come up.
+    /// The time within which a connection must be established.
     pub connect_timeout: Duration,
-    /// An idle connection is closed after this.
+    /// The time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// Attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub may_cancel: bool,
-    /// Clients are told when to come again.
+    /// Whether a rejection tells the client when to retry.
     pub sends_retry_after: bool,
-    /// Gateways may send each other messages.
+    /// Whether gateways may send messages to each other.
     pub peer_messages: bool,
 }
 
-/// Figures of the rules on drains and slow starts.
+/// The parameters of the rules on draining endpoints and on endpoints in slow start.
 #[derive(Clone, Default, Debug, PartialEq)]
 pub struct Rules {
-    /// The share of its capacity at which an endpoint starts, or more.
+    /// The share of its full capacity that an endpoint has at least when it starts.
     pub slow_start_floor: f64,
-    /// How long after its start an endpoint has its full capacity at the latest.
+    /// The time after its start by which an endpoint has its full capacity.
     pub slow_start_window: Duration,
-    /// An endpoint in slow start falls over when it is sent this multiple of its present capacity; 0: there is no
+    /// An endpoint in slow start fails when it is sent this multiple of its current capacity; 0 means that there is no
     /// such rule.
     pub overload_factor: f64,
-    /// For how long it has to be sent that much.
+    /// The time for which an endpoint in slow start must be sent `overload_factor` times its capacity to fail.
     pub overload_window: Duration,
-    /// Sends to a draining endpoint may go on for this long after the gateway was notified.
+    /// The time after the gateway was notified of a drain during which it may still send attempts to the endpoint.
     pub drain_grace: Duration,
-    /// The endpoint list is to be asked for at least this often.
+    /// The longest interval between two requests for the endpoint list.
     pub list_refresh_interval: Duration,
 }
 
-/// The shared counter.
+/// The settings of the shared counter.
 #[derive(Clone, Default, Debug, PartialEq)]
 pub struct CounterSettings {
-    /// Whether there is one.
+    /// Whether the deployment has a shared counter.
     pub present: bool,
-    /// A call without an answer by then has failed.
+    /// The time after which a call without an answer has failed.
     pub timeout: Duration,
-    /// The most units of a request; 0: not stated.
+    /// The maximum number of units of a request; 0 means that none is configured.
     pub max_request_units: f64,
 }
 
-/// A plan: quotas that hold for each of its customers over all gateways together.
+/// A plan: quotas that apply to each of its customers over all gateways together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Units a second at which a customer's token bucket refills; 0: no such quota.
+    /// The refill rate of a customer's token bucket in units per second; 0 means that the plan has no rate quota.
     pub rate: f64,
-    /// Units that the bucket holds.
+    /// The capacity of the token bucket in units.
     pub burst: f64,
-    /// Upstream attempts in flight at once; 0: no such quota.
+    /// The maximum number of a customer's upstream attempts in flight; 0 means that the plan has no concurrency quota.
     pub concurrency_limit: f64,
-    /// Factor on the value of a route.
+    /// The factor by which the value of a route is multiplied.
     pub price: f64,
-    /// Units a second of the hard ceiling; 0: none.
+    /// The refill rate of the hard ceiling's token bucket in units per second; 0 means that there is no ceiling.
     pub ceiling_rate: f64,
-    /// Units that the ceiling's bucket holds.
+    /// The capacity of the ceiling's token bucket in units.
     pub ceiling_burst: f64,
 }
 
-/// What holds for a plan that is not stated: no quota and no price.
+/// Stands in for a plan that is not in the settings: it has no quota, and its price is 0.
 const UNKNOWN_PLAN: Plan = Plan {
     rate: 0.0,
     burst: 0.0,
@@ -151,26 +152,26 @@
     }
 }
 
-/// A route: what its requests are worth and how they may be retried.
+/// A route: the value of its requests and how they may be retried.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Whether a request may be sent again once it may have run.
+    /// Whether a request may be sent again after it may have run.
     pub idempotency: Idempotency,
-    /// Which endpoints recognise a repeated request by its key.
+    /// Which endpoints recognise a repeated request by its deduplication key.
     pub deduplication_scope: DeduplicationScope,
-    /// For how long they do, from the first attempt that may have run.
+    /// How long endpoints recognise the key, from the first attempt that may have run.
     pub deduplication_window: Duration,
-    /// An answer within this is worth all; zero: not stated.
+    /// The latency within which an answer has its full value; zero means that none is configured.
     pub latency_target: Duration,
-    /// How long a client waits; zero: not stated.
+    /// How long a client waits for the final answer; zero means that none is configured.
     pub client_timeout: Duration,
-    /// What an answer within the target is worth for each unit, before the plan's price.
+    /// The value per unit of an answer within the latency target, before it is multiplied by the plan's price.
     pub value: f64,
-    /// The share of the value that an answer past the target is worth.
+    /// The share of the value that an answer after the latency target still has.
     pub late_value_ratio: f64,
 }
 
-/// What holds for a route that is not stated: worth nothing and never retried.
+/// Stands in for a route that is not in the settings: its requests have no value and are non-idempotent.
 const UNKNOWN_ROUTE: Route = Route {
     idempotency: Idempotency::NonIdempotent,
     deduplication_scope: DeduplicationScope::Cell,
@@ -187,26 +188,26 @@
     }
 }
 
-/// Whether a request may be sent again once it may have run.
+/// Whether a request may be sent again after it may have run.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It carries a key by which the endpoints of one scope drop its repeats.
+    /// The request carries a key by which the endpoints of one deduplication scope recognise and drop repeats.
     Keyed,
-    /// It must never run twice.
+    /// The request must not run twice.
     #[default]
     NonIdempotent,
 }
 
-/// The endpoints that share what they know of keys.
+/// The set of endpoints that share their record of deduplication keys.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All endpoints.
     All,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Those of one cell.
+    /// The endpoints of one cell.
     #[default]
     Cell,
 }
