--- a/edge/src/discovery/follower.rs
+++ b/edge/src/discovery/follower.rs
@@ -167,7 +167,7 @@
             self.connection_number,
         );
         let Ok(stream) = opened else {
-            return self.on_failure(reactor, DiscoveryFailure::Timeout, "no connection");
+            return self.on_failure(reactor, DiscoveryFailure::NoResponse, "no connection");
         };
         self.connection = Some(Connection {
             stream,
@@ -197,7 +197,7 @@
             .record_failure(failure, ages.call_age, random);
         self.reconnect_at = reactor.now + delay;
         match failure {
-            DiscoveryFailure::Timeout if !policy_before.has_timed_out() => {
+            DiscoveryFailure::NoResponse if !policy_before.has_gone_unanswered() => {
                 slog::warn!(reactor.log, "discovery timed out, reconnecting"; "reason" => reason,
                     "rev" => self.revision, "connection" => self.connection_number,
                     "call_age" => ?ages.call_age, "list_age" => ?ages.list_age);
@@ -369,7 +369,7 @@
         } else {
             "an answer cut short"
         };
-        self.on_failure(reactor, DiscoveryFailure::Timeout, reason);
+        self.on_failure(reactor, DiscoveryFailure::NoResponse, reason);
     }
 
     /// Writes what is queued for a connection.
@@ -378,7 +378,11 @@
             return;
         };
         if connection.stream.flush(reactor).is_err() {
-            self.on_failure(reactor, DiscoveryFailure::Timeout, "the connection broke");
+            self.on_failure(
+                reactor,
+                DiscoveryFailure::NoResponse,
+                "the connection broke",
+            );
         }
     }
 
@@ -400,7 +404,7 @@
             } else {
                 "it never came up"
             };
-            self.on_failure(reactor, DiscoveryFailure::Timeout, reason);
+            self.on_failure(reactor, DiscoveryFailure::NoResponse, reason);
         }
         if reactor.now >= self.reconnect_at {
             self.connect(reactor);
--- a/fleet/src/backoff.rs
+++ b/fleet/src/backoff.rs
@@ -1,6 +1,8 @@
-//! When to call a shared service again after a call failed. A hundred gateways that were started, turned away or cut
-//! off together would otherwise come again together, at every doubling, and find it as full as before: each waits a
-//! random part of the whole doubling span ("full jitter"), so that their calls spread over it.
+//! Exponential backoff with full jitter for calls to a shared service.
+//!
+//! If a hundred gateways are started, rejected or disconnected at the same time, a backoff without jitter would make
+//! them all retry at the same time after each doubling, and overload the service again. Each gateway therefore waits a
+//! random part of the backoff interval, so that the calls spread over the interval.
 
 use std::time::Duration;
 
@@ -17,48 +19,52 @@
 /// The least wait, as a divisor of the first span: a gateway never calls again at once.
 const MIN_WAIT_DIVISOR: u32 = 4;
 
-/// The spans between calls after failures in a row.
+/// The backoff intervals after consecutive failures.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    /// The span after the first failure.
-    pub first: Duration,
-    /// The span does not grow past this.
-    pub max: Duration,
+    /// The interval after the first failure.
+    pub initial_interval: Duration,
+    /// The longest interval, unless `initial_interval` is longer.
+    pub max_interval: Duration,
 }
 
 impl Backoff {
-    /// For a service that a whole fleet of `gateways` calls alike, with `base` as the least first span and `max` as the
-    /// most at any time: where calls that are turned away cost the service too, a fleet that comes again faster than it
-    /// serves keeps it full for good, and only a first span that grows with the fleet lets it empty.
-    pub fn shared(base: Duration, gateways: f64, max: Duration) -> Backoff {
+    /// Returns the backoff for a service that a fleet of `gateways` calls, each in the same way. The initial interval
+    /// is at least `base`. No interval is longer than `max`, even if `base` is.
+    ///
+    /// Rejecting a call costs the service capacity too. A fleet that retries faster than the service can answer keeps
+    /// it overloaded indefinitely; it recovers only if the initial interval grows with the size of the fleet.
+    pub fn for_shared_service(base: Duration, gateways: f64, max: Duration) -> Backoff {
         let fleet_factor = (gateways / GATEWAYS_PER_BASE).clamp(1.0, MAX_FLEET_FACTOR);
         let first = base.min(max).mul_f64(fleet_factor);
         Backoff {
-            first: first.min(max),
-            max,
+            initial_interval: first.min(max),
+            max_interval: max,
         }
     }
 
-    /// The span in which the next call falls after `failures` in a row (none: no wait).
-    pub fn span(&self, failures: u32) -> Duration {
+    /// Returns the interval within which the next call is made after `failures` consecutive failures. It is zero if
+    /// there were none.
+    pub fn interval(&self, failures: u32) -> Duration {
         if failures == 0 {
             return Duration::ZERO;
         }
         let doublings = (failures - 1).min(MAX_DOUBLINGS);
-        self.first
+        self.initial_interval
             .saturating_mul(1 << doublings)
-            .min(self.max.max(self.first))
+            .min(self.max_interval.max(self.initial_interval))
     }
 
-    /// The wait before the next call, for a random number in [0, 1): anywhere in the span, but no sooner than a quarter
-    /// of the first span.
+    /// Returns how long to wait before the next call after `failures` consecutive failures. `random` is a random number
+    /// in [0, 1) that selects a point of the interval; the wait is at least a quarter of the initial interval. It is
+    /// zero if there were no failures.
     pub fn wait(&self, failures: u32, random: f64) -> Duration {
-        let span = self.span(failures);
+        let span = self.interval(failures);
         if span.is_zero() {
             return span;
         }
         span.mul_f64(random.clamp(0.0, 1.0))
-            .max(self.first / MIN_WAIT_DIVISOR)
+            .max(self.initial_interval / MIN_WAIT_DIVISOR)
     }
 }
 
--- a/fleet/src/backoff/tests.rs
+++ b/fleet/src/backoff/tests.rs
@@ -5,21 +5,21 @@
 #[test]
 fn spans_double_up_to_the_maximum() {
     let backoff = Backoff {
-        first: MS(250),
-        max: MS(4000),
+        initial_interval: MS(250),
+        max_interval: MS(4000),
     };
     let spans: Vec<u64> = (0..8)
-        .map(|failures| backoff.span(failures).as_millis() as u64)
+        .map(|failures| backoff.interval(failures).as_millis() as u64)
         .collect();
     assert_eq!(spans, [0, 250, 500, 1000, 2000, 4000, 4000, 4000]);
-    assert_eq!(backoff.span(u32::MAX), MS(4000));
+    assert_eq!(backoff.interval(u32::MAX), MS(4000));
 }
 
 #[test]
 fn waits_stay_in_the_span_and_spread_over_it() {
     let backoff = Backoff {
-        first: MS(250),
-        max: MS(4000),
+        initial_interval: MS(250),
+        max_interval: MS(4000),
     };
     assert_eq!(backoff.wait(0, 0.7), Duration::ZERO);
     assert_eq!(backoff.wait(5, 0.0), MS(62) + Duration::from_micros(500));
@@ -40,20 +40,26 @@
 #[test]
 fn first_span_grows_with_the_fleet() {
     let base = MS(250);
-    let first = |gateways| Backoff::shared(base, gateways, MS(20_000)).first;
+    let first = |gateways| Backoff::for_shared_service(base, gateways, MS(20_000)).initial_interval;
     assert_eq!([first(1.0), first(4.0), first(5.0)], [base; 3]);
     assert_eq!(first(100.0), MS(5000));
     assert_eq!(first(300.0), MS(15_000));
     assert_eq!(first(1024.0), MS(20_000), "the maximum");
-    assert_eq!(Backoff::shared(MS(9000), 100.0, MS(4000)).first, MS(4000));
-    assert_eq!(Backoff::shared(base, 100.0, MS(100)).first, MS(100));
+    assert_eq!(
+        Backoff::for_shared_service(MS(9000), 100.0, MS(4000)).initial_interval,
+        MS(4000)
+    );
+    assert_eq!(
+        Backoff::for_shared_service(base, 100.0, MS(100)).initial_interval,
+        MS(100)
+    );
 }
 
 #[test]
 fn first_span_beyond_the_maximum_is_kept() {
     let backoff = Backoff {
-        first: MS(500),
-        max: MS(100),
+        initial_interval: MS(500),
+        max_interval: MS(100),
     };
-    assert_eq!(backoff.span(3), MS(500));
+    assert_eq!(backoff.interval(3), MS(500));
 }
--- a/fleet/src/discovery_retry.rs
+++ b/fleet/src/discovery_retry.rs
@@ -1,9 +1,11 @@
-//! When to ask for the endpoint list again after a call for it failed, told apart by how it failed.
+//! When to request the endpoint list again after a call to discovery failed. The wait depends on how the call failed:
 //!
-//! *Timeout* (silence, a refused, reset or never opened connection): asking again soon adds no load to a service that
-//! hears nobody, and what it has at its return counts as notified at once, so the first answer must be in well within
-//! the drain grace. *Rejection* (an answer that is no list): a service that a fleet shares is overloaded, and asking
-//! again soon keeps it so.
+//! - [`DiscoveryFailure::NoResponse`] (a call without an answer, or a connection that was refused, reset or not
+//!   established): retrying soon adds no load, because the service is not receiving calls. When the service is back,
+//!   the gateway counts as notified at once of everything that the list contains, so the first answer must arrive well
+//!   within the drain grace.
+//! - [`DiscoveryFailure::Rejection`] (an answer that is not an endpoint list): a service that the fleet shares is
+//!   overloaded, and retrying soon keeps it overloaded.
 
 use crate::backoff::Backoff;
 use crate::phase::golden_ratio_phase;
@@ -12,19 +14,19 @@
 /// How a call to discovery failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryFailure {
-    /// No whole answer came.
-    Timeout,
-    /// An answer came that is no list.
+    /// No complete answer came: the connection was not established or broke, or the call timed out.
+    NoResponse,
+    /// The answer was not an endpoint list.
     Rejection,
 }
 
-/// After a call that failed, was rejected or given up, a change counts as notified so long after discovery had it and
-/// could be reached. Whatever the settings say, what a call may take, the wait before the next and the next one's answer
-/// fit into it.
-pub const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
+/// After a call failed, was rejected or was given up, a gateway counts as notified of a change at the latest this long
+/// after discovery had the change and could be reached. For all settings, the time that a call may take, the wait
+/// before the next call and the answer to it fit into this delay together.
+pub const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 
 /// The longest wait of a watch: what a watch misses that stops answering at once is found by the next call within
-/// [`NOTIFIED_WITHIN`].
+/// [`MAX_NOTIFICATION_DELAY`].
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(3);
 
 /// The longest time between the beginnings of two calls after timeouts.
@@ -39,7 +41,7 @@
 /// The same for a whole list; an overloaded service takes as long to reject a call.
 const MAX_LIST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest wait after rejections: with [`MAX_LIST_RESPONSE_TIMEOUT`] it fits into [`NOTIFIED_WITHIN`].
+/// The longest wait after rejections: with [`MAX_LIST_RESPONSE_TIMEOUT`] it fits into [`MAX_NOTIFICATION_DELAY`].
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
 /// An answer may take so many times the connect timeout at the most.
@@ -57,20 +59,21 @@
 /// How often the time for an answer is doubled at most.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// What the waits follow from.
+/// The settings from which the waits are computed.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryTiming {
-    /// How long a connection may take to come up.
+    /// The configured time within which a connection must be established.
     pub connect_timeout: Duration,
-    /// How long after a drain was notified sends to the endpoint may go on.
+    /// The time after the gateway was notified of a drain during which it may still send attempts to the endpoint.
     pub drain_grace: Duration,
-    /// The list is to be asked for at least so often.
+    /// The longest interval between two requests for the endpoint list.
     pub refresh_interval: Duration,
-    /// How many gateways ask, where they ask one service that they share; none where each asks an agent of its own.
+    /// The number of gateways that call the same discovery service, or `None` if each gateway calls an agent of its
+    /// own.
     pub sharing_gateways: Option<f64>,
 }
 
-/// The failures in a row, and the waits that follow from them.
+/// Counts the failures since the last endpoint list and computes timeouts and waits from them.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryRetryPolicy {
     timing: DiscoveryTiming,
@@ -79,7 +82,7 @@
 }
 
 impl DiscoveryRetryPolicy {
-    /// No failure yet.
+    /// Returns a policy that has recorded no failure.
     pub fn new(timing: DiscoveryTiming) -> DiscoveryRetryPolicy {
         DiscoveryRetryPolicy {
             timing,
@@ -88,50 +91,54 @@
         }
     }
 
-    /// Other figures from now on; failures since the last list stay counted.
+    /// Replaces the settings. The failures recorded since the last list are kept.
     pub fn set_timing(&mut self, timing: DiscoveryTiming) {
         self.timing = timing;
     }
 
-    /// Failures since the last list.
+    /// Returns the number of failures since the last list.
     pub fn failures(&self) -> u32 {
         self.timeouts.saturating_add(self.rejections)
     }
 
-    /// Whether a call has timed out since the last list.
-    pub fn has_timed_out(&self) -> bool {
+    /// Returns whether a call has failed as [`DiscoveryFailure::NoResponse`] since the last list.
+    pub fn has_gone_unanswered(&self) -> bool {
         self.timeouts > 0
     }
 
-    /// Whether a call was rejected since the last list.
+    /// Returns whether a call has failed as [`DiscoveryFailure::Rejection`] since the last list.
     pub fn was_rejected(&self) -> bool {
         self.rejections > 0
     }
 
-    /// A list has come.
+    /// Records a successful call, which resets the failures.
     pub fn record_success(&mut self) {
         self.timeouts = 0;
         self.rejections = 0;
     }
 
-    /// How long a watch may wait for news: half the time within which the list is to be asked for, and half of that
-    /// after which what a watch misses that fell silent at once counts as notified.
+    /// Returns how long a watch (a long poll) may wait for a change: half of the refresh interval, but at most half of
+    /// [`MAX_NOTIFICATION_DELAY`]. Discovery may stop answering as soon as a watch has begun; the next call must then
+    /// find what the watch missed before the gateway counts as notified of it. Without a usable refresh interval the
+    /// maximum applies.
     pub fn watch_wait(&self) -> Duration {
         let half = Some(self.timing.refresh_interval / 2).filter(|half| *half >= MIN_WAIT);
         half.unwrap_or(MAX_WATCH_WAIT).min(MAX_WATCH_WAIT)
     }
 
-    /// The least time between the beginnings of two calls: a quarter of the grace, so that the return of the service,
-    /// one such time, a connection and the answer all fit in it.
+    /// Returns the shortest time between the starts of two calls: a quarter of the drain grace, so that one such
+    /// interval, establishing a connection and the answer fit into the grace once the service is back. It is at most
+    /// the configured connect timeout, and between 10 ms and 125 ms.
     pub fn call_interval(&self) -> Duration {
         (self.timing.drain_grace / 4)
             .min(self.timing.connect_timeout)
             .clamp(MIN_CALL_INTERVAL, MAX_CALL_INTERVAL)
     }
 
-    /// How long a connection may take to come up: what asks for it may be lost while the service is away, and the
-    /// system asks again only after a second. No longer than half of the grace, unless that is less than a connection
-    /// may need.
+    /// Returns the time after which an attempt to connect is given up. The packet that opens a connection may be lost
+    /// while the service is unavailable, and the operating system retransmits it only after a second. The timeout is
+    /// the configured one, limited to half of the drain grace, but not to less than half of the configured one, which a
+    /// connection may need. It is between 100 ms and 500 ms.
     pub fn connect_timeout(&self) -> Duration {
         let fits = (self.timing.drain_grace / 2).max(self.timing.connect_timeout / 2);
         self.timing
@@ -140,9 +147,10 @@
             .clamp(MIN_WAIT, MAX_CONNECT_TIMEOUT)
     }
 
-    /// How long an answer may take beyond the wait that was asked for: twice as long after each failure, since the
-    /// service may be slow, up to a maximum. An overloaded service that gateways share is left the time that it takes to
-    /// reject a call: one given up before that has cost it as much.
+    /// Returns the time within which an answer must arrive, in addition to the wait of a watch. `whole_list` says
+    /// whether the call requests the complete list. The timeout doubles after each failure, since the service may be
+    /// slow, up to a maximum. A call for the complete list to a shared service always gets the maximum, which is as
+    /// long as an overloaded service takes to reject a call: a call that is given up earlier costs the service as much.
     pub fn response_timeout(&self, whole_list: bool) -> Duration {
         let (max_factor, max) = if whole_list {
             (MAX_LIST_RESPONSE_FACTOR, MAX_LIST_RESPONSE_TIMEOUT)
@@ -150,7 +158,7 @@
             (MAX_RESPONSE_FACTOR, MAX_RESPONSE_TIMEOUT)
         };
         let factor = (1u32 << self.failures().min(MAX_DOUBLINGS)).min(max_factor);
-        let wanted = self.timing.connect_timeout.min(NOTIFIED_WITHIN) * factor;
+        let wanted = self.timing.connect_timeout.min(MAX_NOTIFICATION_DELAY) * factor;
         let min = if whole_list && self.timing.sharing_gateways.is_some() {
             max
         } else {
@@ -159,33 +167,37 @@
         wanted.clamp(min, max)
     }
 
-    /// Whether a new connection's first call should ask for an answer at once, and only the next one wait: an agent of
-    /// the gateway's own answers at no cost, and of a watch on it that is silent from the start nothing is known for as
-    /// long as it waits. A shared service is spared the call.
+    /// Returns whether the first call on a new connection should request an answer at once, and only the next one
+    /// watch. The gateway's own agent answers such a call at no cost, whereas a watch that is never answered is
+    /// detected only after its whole wait. A shared service is spared the additional call.
     pub fn polls_before_watching(&self) -> bool {
         self.timing.sharing_gateways.is_none()
     }
 
-    /// How long a gateway that knows a list waits before its first call, by its number: where hundreds start together
-    /// and call a service that they share at one moment, most are turned away, and keep it overloaded.
+    /// Returns how long the gateway with this index (from 0) waits before its first call if it already knows a list. If
+    /// hundreds of gateways start together and call a shared service at the same time, most calls are rejected and keep
+    /// the service overloaded. The delay is zero if the gateway calls an agent of its own.
     pub fn first_call_delay(&self, gateway: u32) -> Duration {
         let span = self
             .timing
             .sharing_gateways
-            .map_or(Duration::ZERO, |gateways| self.backoff(gateways).first);
+            .map_or(Duration::ZERO, |gateways| {
+                self.backoff(gateways).initial_interval
+            });
         span.mul_f64(golden_ratio_phase(gateway))
     }
 
     /// The waits after rejections, over a fleet of so many gateways.
     fn backoff(&self, gateways: f64) -> Backoff {
-        Backoff::shared(
+        Backoff::for_shared_service(
             self.timing.connect_timeout.max(MIN_WAIT),
             gateways,
             MAX_BACKOFF,
         )
     }
 
-    /// A call that began `elapsed` ago failed; says how long to wait before the next, for a random number in [0, 1).
+    /// Records that a call failed which began `elapsed` ago, and returns how long to wait before the next call.
+    /// `random` is a random number in [0, 1).
     pub fn record_failure(
         &mut self,
         failure: DiscoveryFailure,
@@ -194,7 +206,7 @@
     ) -> Duration {
         match failure {
             DiscoveryFailure::Rejection => self.rejections = self.rejections.saturating_add(1),
-            DiscoveryFailure::Timeout => self.timeouts = self.timeouts.saturating_add(1),
+            DiscoveryFailure::NoResponse => self.timeouts = self.timeouts.saturating_add(1),
         }
         match (failure, self.timing.sharing_gateways) {
             (DiscoveryFailure::Rejection, Some(gateways)) => {
--- a/fleet/src/discovery_retry/tests.rs
+++ b/fleet/src/discovery_retry/tests.rs
@@ -27,7 +27,7 @@
                 for failure in 0..200 {
                     // A connection that is refused or reset at once, one that never came up, one that fell silent.
                     let ago = [MS(0), policy.connect_timeout(), policy.watch_wait()][failure % 3];
-                    let wait = policy.record_failure(DiscoveryFailure::Timeout, ago, draw);
+                    let wait = policy.record_failure(DiscoveryFailure::NoResponse, ago, draw);
                     assert!(
                         wait <= policy.call_interval(),
                         "{connect} {grace} {failure}: {wait:?}"
@@ -44,7 +44,7 @@
     let mut policy = DiscoveryRetryPolicy::new(timing(250, 500, Some(300.0)));
     for _ in 0..100 {
         assert!(
-            policy.record_failure(DiscoveryFailure::Timeout, MS(0), 0.0)
+            policy.record_failure(DiscoveryFailure::NoResponse, MS(0), 0.0)
                 >= policy.call_interval() / 2
         );
     }
@@ -64,7 +64,7 @@
     };
     assert_eq!(waits(&mut policy), [500, 1000, 2000, 2000, 2000]);
     // A timeout in between does not shorten the wait after a rejection, nor does it make the next call wait.
-    assert!(policy.record_failure(DiscoveryFailure::Timeout, MS(0), 0.5) < MS(125));
+    assert!(policy.record_failure(DiscoveryFailure::NoResponse, MS(0), 0.5) < MS(125));
     assert_eq!(
         policy.record_failure(DiscoveryFailure::Rejection, MS(0), 0.5),
         MS(2000)
@@ -120,7 +120,7 @@
         let timing = any_timing(&mut rng);
         let mut policy = DiscoveryRetryPolicy::new(timing);
         for _ in 0..rng.generate_range(0..12u32) {
-            let failure = [DiscoveryFailure::Timeout, DiscoveryFailure::Rejection]
+            let failure = [DiscoveryFailure::NoResponse, DiscoveryFailure::Rejection]
                 [rng.generate_range(0..2usize)];
             policy.record_failure(failure, MS(rng.generate_range(0..9000)), rng.generate());
         }
@@ -128,33 +128,34 @@
         // A watch that is silent from its start is given up, one connection more comes to nothing, the next answers.
         let silent = policy.watch_wait() + policy.response_timeout(false);
         let mut after = policy;
-        after.record_failure(DiscoveryFailure::Timeout, silent, rng.generate());
+        after.record_failure(DiscoveryFailure::NoResponse, silent, rng.generate());
         let again = after.call_interval() + after.connect_timeout() + after.response_timeout(false);
         assert!(
-            silent + again * 2 <= NOTIFIED_WITHIN + MS(250),
+            silent + again * 2 <= MAX_NOTIFICATION_DELAY + MS(250),
             "{timing:?}: {silent:?} {again:?}"
         );
         // So does a whole list.
         let whole = policy.response_timeout(true);
         assert!(
             whole + after.call_interval() + after.connect_timeout() + after.response_timeout(true)
-                <= NOTIFIED_WITHIN,
+                <= MAX_NOTIFICATION_DELAY,
             "{timing:?}"
         );
         // A call is refused, the next is answered within the time that a crowded service takes.
         let wait = policy.record_failure(DiscoveryFailure::Rejection, MS(0), rng.generate());
         assert!(
-            wait + NOTIFIED_WITHIN / 3 <= NOTIFIED_WITHIN,
+            wait + MAX_NOTIFICATION_DELAY / 3 <= MAX_NOTIFICATION_DELAY,
             "{timing:?}: {wait:?}"
         );
         assert!(
-            !shared || policy.response_timeout(true) >= NOTIFIED_WITHIN / 3,
+            !shared || policy.response_timeout(true) >= MAX_NOTIFICATION_DELAY / 3,
             "given up before it is turned away"
         );
         // And the first call of a gateway that starts.
         let first = policy.first_call_delay(rng.generate_range(0..1024u32));
         assert!(
-            first + NOTIFIED_WITHIN / 3 <= NOTIFIED_WITHIN && (shared || first.is_zero()),
+            first + MAX_NOTIFICATION_DELAY / 3 <= MAX_NOTIFICATION_DELAY
+                && (shared || first.is_zero()),
             "{timing:?}: {first:?}"
         );
         // Nothing is so short that it can't succeed, or calls come one upon another.
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,7 +1,9 @@
-//! What a gateway of hundreds needs to decide well without a message to the others: which endpoints are its own to use
-//! ([`subset`]), how much of an endpoint's slow start is its own ([`slow_start`]), and when to call a shared service
-//! again after a failure ([`backoff`], [`discovery_retry`]). No I/O, no clock, no random numbers: all is handed in.
-//! Spans are in seconds, rates are a second, unless a type says otherwise.
+//! Algorithms for a fleet of hundreds of gateways that coordinate without messages to each other: which endpoints a
+//! gateway uses ([`subset`]), how much it may send to an endpoint in slow start ([`slow_start`]), and when it calls a
+//! shared service again after a failure ([`backoff`], [`discovery_retry`]).
+//!
+//! This crate does no I/O, reads no clock and generates no random numbers; callers pass them in. Durations are in
+//! seconds and rates are per second, unless a type says otherwise.
 
 pub mod backoff;
 pub mod discovery_retry;
