--- a/fleet/src/slow_start.rs
+++ b/fleet/src/slow_start.rs
@@ -1,26 +1,27 @@
-//! How much a gateway may send to an endpoint in slow start, so that all gateways together stay within what the
-//! endpoint can take. Each gateway has a share of the endpoint's budget that follows from the settings and from what the
-//! gateway sees, without a message to others; the shares sum to no more than the budget, also where a share is a small
-//! part of a send.
+//! How much a gateway may send to an endpoint in slow start, so that all gateways together do not overload it. Each
+//! gateway computes its share of the endpoint's budget from the settings and from what it observes, without messages to
+//! other gateways. The shares add up to no more than the budget, even if a share is only a small fraction of a send.
 //!
-//! A share is paid out in permits: one for each whole send that has accumulated, fractions carried over. Gateways begin
-//! at fractions of a send that are spread evenly over them, else three hundred would hold their first permit at one
-//! moment; and a permit expires, else all that lay unused could be spent at one moment too.
+//! A gateway accumulates credit at the rate of its share and gets a permit for each whole send; fractions are carried
+//! over. The gateways start with credits that are spread evenly between 0 and 1: otherwise three hundred gateways would
+//! get their first permit at the same time. Permits expire: otherwise all unused permits could be used at the same
+//! time.
 
 use crate::phase::golden_ratio_phase;
 use std::time::Duration;
 
-/// What one gateway may send to one endpoint in slow start.
+/// The rate at which one gateway may send to one endpoint in slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartBudget {
-    /// Sends a second; below one for most gateways of a large fleet.
+    /// Sends per second; below one for most gateways of a large fleet.
     pub rate: f64,
-    /// How long a permit may be used.
+    /// How long a permit is valid.
     pub permit_lifetime: Duration,
 }
 
 impl SlowStartBudget {
-    /// The share of one of `gateways` alike that use an endpoint which can take `total_rate` sends a second in all.
+    /// Returns the budget of one gateway if `gateways` share equally an endpoint that accepts `total_rate` sends per
+    /// second in total.
     pub fn share_of(total_rate: f64, gateways: f64, permit_lifetime: Duration) -> SlowStartBudget {
         SlowStartBudget {
             rate: (total_rate / gateways.max(1.0)).max(0.0),
@@ -29,7 +30,7 @@
     }
 }
 
-/// The permits of one gateway for one endpoint.
+/// The permits of one gateway for one endpoint in slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartPermits {
     /// Sends that have accumulated by `updated_at`, with the fraction of the next.
@@ -38,8 +39,8 @@
 }
 
 impl SlowStartPermits {
-    /// The permits at `now` of the gateway of that number (from 0). `salt` differs by endpoint: a gateway that is early
-    /// at one is late at another.
+    /// Returns the initial permits, at `now`, of the gateway with this index (from 0). `salt` should differ between
+    /// endpoints, so that a gateway which gets its first permit early for one endpoint gets it late for another.
     pub fn new(gateway: u32, salt: u64, now: Duration) -> SlowStartPermits {
         // The upper 53 bits of the salt as a fraction of one: all that a double can hold.
         let salt = (salt >> 11) as f64 / (1u64 << 53) as f64;
@@ -60,13 +61,13 @@
         (credit.floor().min(unexpired).max(0.0), fraction)
     }
 
-    /// Whether a send is permitted.
-    pub fn allows_one(&self, now: Duration, budget: SlowStartBudget) -> bool {
+    /// Returns whether there is a valid permit for a send.
+    pub fn has_permit(&self, now: Duration, budget: SlowStartBudget) -> bool {
         self.available(now, budget).0 >= 1.0
     }
 
-    /// Uses a permit for a send.
-    pub fn take_one(&mut self, now: Duration, budget: SlowStartBudget) {
+    /// Uses up a permit for a send, if there is one. The fraction of the next permit is kept.
+    pub fn take_permit(&mut self, now: Duration, budget: SlowStartBudget) {
         let (permits, fraction) = self.available(now, budget);
         *self = SlowStartPermits {
             credit: (permits - 1.0).max(0.0) + fraction,
--- a/fleet/src/slow_start/tests.rs
+++ b/fleet/src/slow_start/tests.rs
@@ -22,8 +22,8 @@
         let at = f64::from(step) * 0.02;
         let now = start + Duration::from_secs_f64(at);
         for permits in permits_of_all.iter_mut().filter(|_| wants(at)) {
-            while permits.allows_one(now, budget) {
-                permits.take_one(now, budget);
+            while permits.has_permit(now, budget) {
+                permits.take_permit(now, budget);
                 sends.push(at + late * rng.generate::<f64>());
             }
         }
@@ -76,16 +76,16 @@
         updated_at: start,
     };
     let at = |ms| start + Duration::from_millis(ms);
-    assert!(!permits.allows_one(at(1999), budget));
-    assert!(permits.allows_one(at(2001), budget));
-    assert!(!permits.allows_one(at(2501), budget), "expired");
-    permits.take_one(at(2400), budget);
-    assert!(!permits.allows_one(at(5999), budget));
+    assert!(!permits.has_permit(at(1999), budget));
+    assert!(permits.has_permit(at(2001), budget));
+    assert!(!permits.has_permit(at(2501), budget), "expired");
+    permits.take_permit(at(2400), budget);
+    assert!(!permits.has_permit(at(5999), budget));
     assert!(
-        permits.allows_one(at(6001), budget),
+        permits.has_permit(at(6001), budget),
         "by its coming together, not by its use"
     );
-    assert!(!SlowStartPermits::new(7, 9, start).allows_one(
+    assert!(!SlowStartPermits::new(7, 9, start).has_permit(
         at(3_600_000),
         SlowStartBudget::share_of(0.0, 3.0, budget.permit_lifetime)
     ));
--- a/src/control/load_balancer.rs
+++ b/src/control/load_balancer.rs
@@ -148,7 +148,7 @@
         let record = self.endpoints.get_mut(endpoint)?;
         record.in_flight += 1;
         if let Some(budget) = budget {
-            record.permits.take_one(now, budget);
+            record.permits.take_permit(now, budget);
         }
         let sent = SentAttempt {
             at: now,
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -56,7 +56,7 @@
     /// Whether this gateway may send an endpoint one more attempt: always past slow start.
     pub(super) fn permits(&self, endpoint: &EndpointRecord) -> bool {
         self.budget(endpoint)
-            .is_none_or(|budget| endpoint.permits.allows_one(self.now, budget))
+            .is_none_or(|budget| endpoint.permits.has_permit(self.now, budget))
     }
 }
 
