--- a/fleet/src/subset/tests.rs
+++ b/fleet/src/subset/tests.rs
@@ -78,12 +78,16 @@
         (0.1, 60.0, 200, 30),
         (0.0, 0.0, 5, 5),
     ] {
-        let size = SubsetSize {
+        let sizing = SubsetSizing {
             attempt_rate,
-            idle_timeout: 20.0,
+            idle_timeout_seconds: 20.0,
             in_flight,
-            in_flight_each: 4.0,
+            max_in_flight_per_endpoint: 4.0,
         };
-        assert_eq!(size.of(endpoints), expected, "{attempt_rate} {in_flight}");
+        assert_eq!(
+            sizing.size(endpoints),
+            expected,
+            "{attempt_rate} {in_flight}"
+        );
     }
 }
--- a/src/control/endpoints.rs
+++ b/src/control/endpoints.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wellcrank_fleet::slow_start::SlowStartPermits;
-use wellcrank_fleet::subset::{self, SubsetSize};
+use wellcrank_fleet::subset::{self, SubsetSizing};
 
 /// A removed endpoint that is listed again within this time may not have started anew.
 const REMEMBER_REMOVED_FOR: Duration = Duration::from_secs(600);
@@ -251,14 +251,14 @@
         let idle_timeout = settings.limits.idle_timeout.as_secs_f64();
         let endpoints = self.ring.len();
         let limit_each = load.concurrency_limit / self.subset.len().max(1) as f64;
-        let needed = SubsetSize {
+        let needed = SubsetSizing {
             attempt_rate: load.attempt_rate,
-            idle_timeout,
+            idle_timeout_seconds: idle_timeout,
             in_flight: load.in_flight,
-            in_flight_each: limit_each.min(load.max_per_endpoint),
+            max_in_flight_per_endpoint: limit_each.min(load.max_per_endpoint),
         };
         let size = if idle_timeout > 0.0 {
-            needed.of(endpoints)
+            needed.size(endpoints)
         } else {
             endpoints
         };
