--- a/lab/src/event_queue/tests.rs
+++ b/lab/src/event_queue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn events_come_by_moment_and_then_in_the_order_of_scheduling() {
+fn events_are_popped_by_due_time_and_then_in_scheduling_order() {
     let at = Duration::from_secs;
     let mut queue = EventQueue::default();
     for (due, event) in [(2, 'c'), (1, 'a'), (2, 'd'), (1, 'b'), (3, 'e')] {
--- a/lab/src/events.rs
+++ b/lab/src/events.rs
@@ -1,88 +1,87 @@
-//! Identifiers of a run's requests, attempts and servers, and what the emulated platform observes about them.
+//! Identifiers of the requests, attempts and servers of a run, and the outcomes that the emulated platform observes.
 //!
-//! The world, the rule checker and the metrics all speak in these terms and depend on this module alone; it
-//! depends on none of them.
+//! The world, the rule checker and the metrics share these types. This module depends on none of them.
 
 use serde::{Deserialize, Serialize};
 
 macro_rules! id {
-    ($($(#[$about:meta])* $name:ident),* $(,)?) => {$(
-        $(#[$about])*
+    ($($(#[$doc:meta])* $name:ident),* $(,)?) => {$(
+        $(#[$doc])*
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
         pub struct $name(pub u32);
     )*};
 }
 
 id!(
-    /// One request as a client sends it; each retry by the client is a new one.
+    /// The id of a request that a client sends. Each retry by the client is a new request.
     ClientRequestId,
-    /// What a client wants done, however many requests it sends for it.
+    /// The id of an operation that a client wants done. A client may send several requests for one operation.
     OperationId,
-    /// One attempt of a gateway at a server, as the server sees it.
+    /// The id of an attempt that a gateway sends to a server.
     AttemptId,
-    /// One call on a counter.
+    /// The id of a call on a counter.
     CounterCallId,
-    /// A server by its index in the world; a replacement takes a new index.
+    /// The id of a server: its index in the world. A replacement server gets a new index.
     ServerId,
 );
 
-/// How an attempt ended, as its server saw it.
+/// How an attempt ended from the server's point of view.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AttemptEnd {
-    /// The server sent an answer of some kind.
+    /// The server sent a response other than a rejection.
     Answered,
-    /// The server rejected it unexecuted.
+    /// The server rejected the attempt without running it.
     Rejected,
-    /// Given up by the gateway, or its connection has gone.
+    /// The gateway cancelled the attempt, or its connection was closed.
     Abandoned,
 }
 
-/// A client's final answer, as the client saw it.
+/// How a request ended for its client.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ClientOutcome {
-    /// A value came back.
+    /// The client received a value.
     Served {
-        /// Whether it is the value that a server made for this request.
+        /// Whether the value is the one that a server returned for this request.
         correct: bool,
     },
-    /// The gateway declined to execute it; it may be sent again.
+    /// The gateway rejected the request. The client may safely send it again.
     Rejected,
     /// The gateway reported an error.
     Failed,
-    /// The gateway ended the connection with no whole answer.
+    /// The gateway closed the connection before a complete answer.
     Disconnected,
 }
 
-/// The five rules that every run is held to.
+/// The five rules that are checked in every run.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// One final answer, in time, and nothing sent afterwards.
+    /// A request gets exactly one final answer, in time, and no attempt is sent for it afterwards.
     OneAnswer,
-    /// No effect twice, and never two attempts in flight.
+    /// A request has no effect twice, and never more than one attempt in flight.
     NoEffectTwice,
-    /// No attempt at a server that a gateway knows to be draining or removed.
+    /// A gateway sends no attempt to a server that it knows to be draining or removed, once the drain grace is over.
     Drains,
-    /// No server that is still warming up is overloaded.
+    /// Gateways that know of a server's start do not overload it while it is still warming up.
     ColdServers,
-    /// No customer gets more units through than its hard ceiling.
+    /// A customer gets no more units through than its hard ceiling allows.
     Ceilings,
 }
 
-/// A broken rule, with what is needed to find the request in the gateways' logs.
+/// A violation of a rule, with the fields needed to find the request in the gateways' logs.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct RuleViolation {
-    /// The rule that was broken.
+    /// The violated rule.
     pub rule: Rule,
-    /// Seconds since the start of the run.
+    /// When the rule was violated, in seconds since the start of the run.
     #[serde(alias = "at")]
     pub at_seconds: f64,
-    /// The request that it was broken for, where it concerns one.
+    /// The id of the request, if the violation concerns one.
     #[serde(alias = "call")]
     pub request: Option<u32>,
-    /// The gateway that broke it, where it was one.
+    /// The index of the gateway that violated the rule, if it was a single one.
     pub gateway: Option<usize>,
-    /// What was observed, in words.
+    /// A description of what was observed.
     #[serde(alias = "what")]
     pub description: String,
 }
