--- a/src/control/ceiling.rs
+++ b/src/control/ceiling.rs
@@ -1,20 +1,20 @@
-//! The hard ceiling of a plan, which each gateway keeps alone for each customer.
+//! The hard ceiling of a plan. Each gateway enforces it for each customer on its own, without the shared counter.
 
 use super::token_bucket::{Refill, TokenBucket};
 use crate::settings::Plan;
 use std::time::Duration;
 
-/// What the hard ceiling of a customer's plan leaves to this gateway.
+/// The token bucket for the hard ceiling of one customer at this gateway.
 #[derive(Default)]
 pub(super) struct Ceiling {
-    /// None until the first request under a ceiling.
+    /// `None` until the first request under a plan with a ceiling.
     bucket: Option<TokenBucket>,
 }
 
 impl Ceiling {
-    /// Takes units from the ceiling of `plan`; says whether they were there, as they always are where the plan has no
-    /// ceiling. The bucket was empty when the gateway started (`started_at`), since an earlier process may have spent
-    /// it.
+    /// Takes units from the ceiling of `plan` and returns whether they were available, which they always are if the plan has
+    /// no ceiling. The bucket is assumed to have been empty when the gateway started (`started_at`), because a previous
+    /// process may have spent it.
     pub(super) fn try_take(
         &mut self,
         plan: &Plan,
--- a/src/control/concurrency_limit.rs
+++ b/src/control/concurrency_limit.rs
@@ -1,24 +1,25 @@
-//! The adaptive limit on this gateway's attempts in flight at all endpoints, learnt from their latency.
+//! The adaptive limit on this gateway's attempts in flight at all endpoints, adjusted by their latency.
 
 use crate::port::{AttemptOutcome, AttemptResult};
 use std::time::Duration;
 
-/// Attempts at one endpoint to start with, over all gateways.
+/// The initial limit in attempts in flight per endpoint, from all gateways together.
 pub(super) const INITIAL_LIMIT_PER_ENDPOINT: f64 = 16.0;
 
-/// An answer within this part of the latency target is quick.
-const QUICK_RATIO: f64 = 0.25;
+/// A response within this share of the latency target is fast.
+const FAST_LATENCY_RATIO: f64 = 0.25;
 
-/// Quick answers raise the limit only where more than this part of it is used.
-const RAISE_ABOVE_USE: f64 = 0.6;
+/// Fast responses raise the limit only if more than this share of it is in use.
+const MIN_USE_RATIO_TO_RAISE: f64 = 0.6;
 
-/// So many answers are a round, under a lower limit as many as it allows: one round moves the limit by one whole step.
-const ROUND_ANSWERS: f64 = 5.0;
+/// The number of full steps by which the limit moves while as many attempts end as it permits. A single attempt moves it
+/// by one full step at most.
+const STEPS_PER_ROUND: f64 = 5.0;
 
-/// A whole step down takes this part of the limit.
+/// A full step down reduces the limit by this share.
 const DECREASE_RATIO: f64 = 0.15;
 
-/// What an attempt's end does to the limit.
+/// The effect of an attempt's end on the limit.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Step {
     Raise,
@@ -26,24 +27,24 @@
     Lower,
 }
 
-/// The adaptive limit.
+/// Counts the attempts in flight and adjusts the limit on them.
 pub(super) struct ConcurrencyLimiter {
     in_flight: f64,
     /// Infinite until the first attempt ends.
     limit: f64,
 }
 
-/// How many endpoints share the limit, and this gateway's part of one.
+/// The number of endpoints and this gateway's share of their capacity.
 #[derive(Clone, Copy)]
 pub(super) struct FleetShare {
-    /// Endpoints that are listed.
+    /// The number of listed endpoints.
     pub(super) endpoints: f64,
-    /// One over the number of gateways.
+    /// One divided by the number of gateways.
     pub(super) gateway_share: f64,
 }
 
 impl ConcurrencyLimiter {
-    /// The limiter at the gateway's start.
+    /// Creates the limiter of a gateway that has just started, without a limit.
     pub(super) fn new() -> ConcurrencyLimiter {
         ConcurrencyLimiter {
             in_flight: 0.0,
@@ -51,22 +52,24 @@
         }
     }
 
-    /// Attempts in flight.
+    /// Returns the number of attempts in flight.
     pub(super) fn in_flight(&self) -> f64 {
         self.in_flight
     }
 
-    /// Attempts that may be in flight.
+    /// Returns the number of attempts that may be in flight.
     pub(super) fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     pub(super) fn on_attempt_start(&mut self) {
         self.in_flight += 1.0;
     }
 
-    /// An attempt has ended: the limit grows on quick answers and shrinks on slow ones, time-outs and full endpoints.
+    /// Records the end of an attempt. Fast responses raise the limit; a full step up is one attempt per endpoint, from all
+    /// gateways together. Responses that are not fast, timeouts, rejections by the endpoint and connection failures lower
+    /// it, down to one attempt per endpoint.
     pub(super) fn on_attempt_end(
         &mut self,
         result: &AttemptResult,
@@ -76,7 +79,7 @@
         if !self.limit.is_finite() {
             self.limit = INITIAL_LIMIT_PER_ENDPOINT * fleet.endpoints * fleet.gateway_share;
         }
-        let step_size = (ROUND_ANSWERS / self.limit).min(1.0);
+        let step_size = (STEPS_PER_ROUND / self.limit).min(1.0);
         match self.step(result, latency_target) {
             Step::Raise => self.limit += fleet.endpoints * fleet.gateway_share * step_size,
             Step::Lower => self.limit *= 1.0 - DECREASE_RATIO * step_size,
@@ -87,10 +90,11 @@
     }
 
     fn step(&self, result: &AttemptResult, latency_target: Duration) -> Step {
-        let is_quick = result.latency.as_secs_f64() < latency_target.as_secs_f64() * QUICK_RATIO;
+        let is_fast =
+            result.latency.as_secs_f64() < latency_target.as_secs_f64() * FAST_LATENCY_RATIO;
         match result.outcome {
-            AttemptOutcome::Success if is_quick => {
-                if self.in_flight > self.limit * RAISE_ABOVE_USE {
+            AttemptOutcome::Success if is_fast => {
+                if self.in_flight > self.limit * MIN_USE_RATIO_TO_RAISE {
                     Step::Raise
                 } else {
                     Step::Keep
--- a/src/control/concurrency_limit/tests.rs
+++ b/src/control/concurrency_limit/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use AttemptOutcome::{Cancelled, ConnectFailed, Rejected, ServerError, Success, TimedOut};
 
-/// Ends an attempt, with a latency target of 1 s; this gateway's part of all endpoints is five.
+/// Ends an attempt under a latency target of 1 s. This gateway's share of the 20 endpoints is 5.
 fn end_attempt(limiter: &mut ConcurrencyLimiter, outcome: AttemptOutcome, milliseconds: u64) {
     let fleet = FleetShare {
         endpoints: 20.0,
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn limit_starts_at_sixteen_attempts_an_endpoint_and_stays_above_one() {
+fn limit_starts_at_sixteen_attempts_per_endpoint_and_stays_at_one_or_more() {
     let mut limiter = ConcurrencyLimiter::new();
     assert!(limiter.limit().is_infinite());
     end_attempt(&mut limiter, Cancelled, 100);
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn limit_follows_the_ends_of_attempts() {
-    // At a limit of 10 an end moves it by half a step: up by half of five endpoints, down by half of 0.15.
+fn limit_depends_on_outcome_latency_and_use() {
+    // At a limit of 10 each attempt moves the limit by half a full step: up by half of 5, down by half of 15 %.
     const RAISED: f64 = 12.5;
     const LOWERED: f64 = 9.25;
     for (outcome, milliseconds, in_flight, limit) in [
--- a/src/control/counter_names.rs
+++ b/src/control/counter_names.rs
@@ -1,10 +1,10 @@
-//! Names of numbers on the shared counter, and the intervals of time that they stand for. All gateways reckon both
-//! alike, without a message to each other.
+//! The names of values on the shared counter, and the time intervals for which they count. All gateways compute the same
+//! names and intervals without messages between them.
 
 use crate::port::{CounterName, CustomerId};
 use std::time::Duration;
 
-/// What a hash is for: the same customer and number give other hashes in other domains.
+/// The purpose of a hash. The same customer and number have different hashes in different domains.
 #[derive(Clone, Copy)]
 enum HashDomain {
     Phase = 0,
@@ -15,38 +15,38 @@
 /// One of a customer's intervals of a fixed length: a lease period or a quota window.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) struct Interval {
-    /// Its number, 2 and up: the first ones stay free to stand for no interval.
+    /// The interval's number, at least [`FIRST_INTERVAL_NUMBER`].
     pub(super) number: u64,
-    /// When it began.
+    /// The start of the interval on the adapter's clock; not before zero.
     pub(super) starts_at: Duration,
 }
 
-/// Numbers below this are no interval's.
-const FIRST_INTERVAL: u64 = 2;
+/// The number of the first interval. Lower numbers are free for "no interval".
+const FIRST_INTERVAL_NUMBER: u64 = 2;
 
-/// The customer's interval of that length at a moment. Its edges fall at a phase of the customer's own, so that not all
-/// gateways renew the leases of all customers at one instant.
+/// Returns the customer's interval of the given length that contains the time `at`. Intervals of different customers start
+/// at different phases, so that the gateways do not renew the leases of all customers at the same time.
 pub(super) fn interval_at(customer: &CustomerId, length: Duration, at: Duration) -> Interval {
     let length = length.as_nanos() as u64;
     let phase = stable_hash(&customer.0, HashDomain::Phase, 0) % length;
     let number = (at.as_nanos() as u64 + phase) / length;
     Interval {
-        number: number + FIRST_INTERVAL,
+        number: number + FIRST_INTERVAL_NUMBER,
         starts_at: Duration::from_nanos((number * length).saturating_sub(phase)),
     }
 }
 
-/// The name that counts a customer's leases in a period.
+/// Returns the name under which a customer's leases are counted in a period.
 pub(super) fn lease_counter(customer: &CustomerId, period: u64) -> CounterName {
     CounterName(stable_hash(&customer.0, HashDomain::Leases, period))
 }
 
-/// The name that counts the units of a customer in a window.
+/// Returns the name under which a customer's units are counted in a quota window.
 pub(super) fn window_counter(customer: &CustomerId, window: u64) -> CounterName {
     CounterName(stable_hash(&customer.0, HashDomain::Window, window))
 }
 
-/// A hash (FNV-1a, its bits mixed once more) that is the same at every gateway and in every build, below 2^63.
+/// Returns a hash below 2^63 that is the same at every gateway and in every build: FNV-1a with an additional mixing step.
 fn stable_hash(text: &str, domain: HashDomain, number: u64) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/src/control/counter_names/tests.rs
+++ b/src/control/counter_names/tests.rs
@@ -13,13 +13,14 @@
         };
         assert_eq!(interval_at(&"ann".into(), LENGTH, next.starts_at), next);
     }
-    assert!(interval_at(&"ann".into(), LENGTH, Duration::ZERO).number >= FIRST_INTERVAL);
+    assert!(interval_at(&"ann".into(), LENGTH, Duration::ZERO).number >= FIRST_INTERVAL_NUMBER);
 }
 
 #[test]
 fn names_and_phases_are_the_same_in_every_build() {
-    // FNV-1a of the customer, the domain's byte and the number's eight bytes, low first; then hash ^ hash >> 29, halved;
-    // the phase is such a hash modulo the length. Computed by a program of its own.
+    // FNV-1a of the customer, the domain's byte and the eight bytes of the number in little-endian order, then
+    // (hash ^ (hash >> 29)) >> 1. The phase is such a hash modulo the length. The values were computed by a separate
+    // program.
     for (customer, leases, window, phase) in [
         ("ann", 0x43bba52d8fe44192, 0x30807ac2bfbad38d, 1675288886),
         ("bob", 0x48098bc711cdeb9e, 0x2ca499a0375f6e68, 752511919),
