--- a/src/control.rs
+++ b/src/control.rs
@@ -551,7 +551,7 @@
             .requests
             .get(id)
             .and_then(|open| self.balancer.baseline_latency(&open.request.route));
-        retry_after::until_lease_is_free(baseline, denial.ahead)
+        retry_after::until_lease_is_free(baseline, denial.excess_attempts)
     }
 
     /// What a client is advised to wait whose customer has spent its quota.
--- a/src/control/counter_client.rs
+++ b/src/control/counter_client.rs
@@ -1,5 +1,5 @@
-//! Calls on the shared counter: what each reply is awaited for, how often calls are made ([`RatePacer`]) and when none
-//! is made ([`CircuitBreaker`]).
+//! Calls on the shared counter. The client keeps the purpose of each unanswered call; [`RatePacer`] limits the rate of
+//! calls and [`CircuitBreaker`] suspends them during an outage.
 
 use super::circuit_breaker::CircuitBreaker;
 use super::context::Context;
@@ -12,47 +12,46 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// The part of the tokens that a call leaves in reserve which can be done without.
-const SPARE_CALL_RESERVE: f64 = 0.7;
+/// The share of the tokens that a call must leave in reserve if it is not strictly needed.
+const SPARE_CALL_RESERVE_RATIO: f64 = 0.7;
 
-/// The counter keeps the name of a window for so many windows.
+/// How long the counter keeps the value of a quota window, in windows.
 const WINDOW_TTL_WINDOWS: u32 = 3;
 
-/// What a call on the counter was made for, and what its reply is handed on to.
+/// The purpose of a call on the counter, which decides how its reply is handled.
 pub(super) enum CallPurpose {
-    /// A customer's lease is acquired.
+    /// Acquires a lease for an attempt of the customer.
     AcquireLease(CustomerId, LeaseAcquisition),
-    /// Open leases of a customer are added to a further period's name.
+    /// Adds open leases of a customer to the value of a further period.
     RenewLeases(LeaseRenewal),
-    /// A block of units is leased for a customer.
+    /// Leases a block of units for the customer.
     LeaseBlock(CustomerId, BlockAcquisition),
-    /// What was added before is taken off; nothing waits for the reply.
-    GiveBack,
+    /// Subtracts leases or units that were added before. Nothing waits for the reply.
+    Subtract,
 }
 
-/// Open leases that are added to a further period's name.
+/// Open leases that are added to the value of a further period.
 pub(super) struct LeaseRenewal {
-    /// Whose leases.
+    /// The customer that holds the leases.
     pub(super) customer: CustomerId,
-    /// Into which period.
+    /// The number of the period.
     pub(super) period: u64,
-    /// Which of them.
+    /// The leases that are added.
     pub(super) leases: Vec<LeaseId>,
 }
 
 /// One call on the counter.
 pub(super) struct CounterCall {
-    /// The number that is added to.
     name: CounterName,
-    /// What is added, below zero to take off.
+    /// The amount to add in leases or units; negative to subtract.
     amount: f64,
-    /// How long the counter keeps the name.
+    /// How long the counter keeps the value.
     ttl: Duration,
     purpose: CallPurpose,
 }
 
 impl CounterCall {
-    /// Adds so many leases of a customer to the name of a period.
+    /// Returns a call that adds `count` leases to the value of a customer and a lease period.
     pub(super) fn add_leases(
         customer: &CustomerId,
         period: u64,
@@ -67,7 +66,7 @@
         }
     }
 
-    /// Adds units of a customer to the name of a window of that number and length.
+    /// Returns a call that adds units to the value of a customer and a quota window; `window` is the window's number.
     pub(super) fn add_units(
         customer: &CustomerId,
         window: u64,
@@ -84,23 +83,23 @@
     }
 }
 
-/// A call that is not answered yet.
+/// A call that has not been answered yet.
 struct PendingCall {
     called_at: Duration,
     purpose: CallPurpose,
 }
 
-/// The gateway's side of the shared counter.
+/// This gateway's client of the shared counter.
 pub(super) struct CounterClient {
-    /// Calls that are not answered yet, in their order for each name.
+    /// The calls that have not been answered yet, by name, the oldest first.
     pending: BTreeMap<CounterName, VecDeque<PendingCall>>,
-    /// How often calls are made.
+    /// Limits the rate of calls.
     pub(super) pacer: RatePacer,
     circuit: CircuitBreaker,
 }
 
 impl CounterClient {
-    /// The client at the gateway's start.
+    /// Creates the client of a gateway that starts at `now`.
     pub(super) fn new(settings: &Settings, now: Duration) -> CounterClient {
         CounterClient {
             pending: BTreeMap::new(),
@@ -109,30 +108,31 @@
         }
     }
 
-    /// New settings say whether there is a counter.
+    /// Sets whether there is a counter, and closes the circuit breaker if so.
     pub(super) fn set_present(&mut self, has_counter: bool) {
         self.circuit = CircuitBreaker::new(has_counter);
     }
 
-    /// Whether the counter must not be called.
+    /// Returns whether calls are suspended.
     pub(super) fn is_circuit_open(&self, now: Duration) -> bool {
         self.circuit.is_open(now)
     }
 
-    /// Whether a call may be made that leaves that part of the tokens in reserve ([`RatePacer::reserve_ratio`]). Where
-    /// calls are scarce, valuable requests are so decided by the counter, the others by this gateway's share of the
-    /// quotas. The pacer is asked in any case, since that refills its tokens.
+    /// Returns whether a call that must leave this share of the tokens in reserve may be made; see
+    /// [`RatePacer::reserve_ratio`]. While calls are scarce, the reserve leaves them to valuable requests, and other
+    /// requests are decided by this gateway's share of the quotas. The pacer is asked even if the circuit breaker is open,
+    /// because that refills its tokens.
     pub(super) fn may_call(&mut self, now: Duration, reserve_ratio: f64) -> bool {
         let is_allowed = self.pacer.allows(now, reserve_ratio);
         !self.is_circuit_open(now) && is_allowed
     }
 
-    /// Whether calls are plenty enough for one that can be done without.
+    /// Returns whether a call that is not strictly needed may be made; if not, calls are scarce.
     pub(super) fn has_spare_calls(&mut self, now: Duration) -> bool {
-        self.may_call(now, SPARE_CALL_RESERVE)
+        self.may_call(now, SPARE_CALL_RESERVE_RATIO)
     }
 
-    /// Makes a call; its reply comes to [`CounterClient::on_reply`].
+    /// Makes a call. The adapter's reply must be passed to [`CounterClient::on_reply`].
     pub(super) fn call(&mut self, context: &mut Context, call: CounterCall) {
         self.pacer.record_call(context.now);
         let pending = PendingCall {
@@ -148,7 +148,8 @@
             .add_to_counter(call.name, call.amount, call.ttl);
     }
 
-    /// The oldest call on a name was answered: gives what it was made for.
+    /// Handles the reply to the oldest unanswered call on a name and returns the purpose of the call, or `None` if no call
+    /// on this name is unanswered.
     pub(super) fn on_reply(
         &mut self,
         context: &mut Context,
@@ -166,14 +167,16 @@
             let latency = now.saturating_sub(answered.called_at);
             self.pacer.record_success(latency, timeout);
         } else if self.pacer.record_error(now, timeout) {
-            self.trip_circuit(context, reply);
+            self.open_circuit(context, reply);
         }
         Some(answered.purpose)
     }
 
-    fn trip_circuit(&mut self, context: &mut Context, reply: CounterReply) {
+    fn open_circuit(&mut self, context: &mut Context, reply: CounterReply) {
         if let Some(open_for) = self.circuit.trip(context.now, reply) {
-            let line = format!("counter circuit open for {open_for:?}: {reply:?}");
+            let line = format!(
+                "counter circuit breaker open for {open_for:?}: expected the call to be applied, got {reply:?}"
+            );
             context.port.log(&line);
         }
     }
--- a/src/control/customer_quotas.rs
+++ b/src/control/customer_quotas.rs
@@ -1,12 +1,12 @@
-//! What each customer may do, kept on the shared counter: concurrency leases and the rate quota. A decision that needs the
-//! counter's reply comes back by [`CustomerQuotas::on_counter_reply`].
+//! Enforces the quotas of the customers' plans through the shared counter: the concurrency limit, by leases, and the rate
+//! quota. A decision that needs the counter's reply is returned by [`CustomerQuotas::on_counter_reply`].
 
 use super::context::Context;
 use super::counter_client::{CallPurpose, CounterCall, CounterClient, LeaseRenewal};
 use super::counter_names::interval_at;
 use super::customers::CustomerTable;
 use super::leases::{
-    LeaseAcquisition, LeaseDecision, LeaseId, LeasePurpose, LEASE_PERIOD, RENEW_AHEAD,
+    LeaseAcquisition, LeaseDecision, LeaseId, LeasePurpose, LEASE_PERIOD, RENEWAL_LEAD_TIME,
 };
 use super::rate_quota::{
     BlockAcquisition, CallBudget, CounterAccess, RateTerms, Reservation, WaitingRequest,
@@ -18,82 +18,79 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// The lease of an attempt; none where the plan states no cap.
+/// The lease of an attempt, or `None` if the plan has no concurrency limit.
 pub(super) type GrantedLease = Option<LeaseId>;
 
-/// The lease of an attempt, or why it gets none.
+/// The lease of an attempt, or the reason for which it was denied.
 pub(super) type LeaseOutcome = Result<GrantedLease, LeaseDenial>;
 
-/// A lease was denied: the customer's attempts have reached the cap.
+/// A lease was denied because the customer's attempts in flight have reached the concurrency limit.
 pub(super) struct LeaseDenial {
-    /// Attempts beyond the cap, which are ahead of this one.
-    pub(super) ahead: f64,
+    /// The number of attempts by which the limit would be exceeded, this attempt included. This many attempts must
+    /// end before this one can start.
+    pub(super) excess_attempts: f64,
 }
 
-/// What a reply of the counter has decided.
+/// A decision that was waiting for a reply of the counter.
 pub(super) enum Resumption {
-    /// The lease of a request.
+    /// The lease of a request's next attempt was granted or denied.
     Lease {
-        /// Which request.
         request: RequestId,
-        /// Whose it is.
         customer: CustomerId,
-        /// For which of its attempts.
         purpose: LeasePurpose,
-        /// The lease, or why there is none.
         outcome: LeaseOutcome,
     },
-    /// The block for which requests of a customer have waited.
+    /// The block of units for which requests of a customer have been waiting was granted or denied.
     Block {
-        /// Whose requests.
         customer: CustomerId,
-        /// The block was granted: they may reserve their units again. Else they are rejected.
+        /// If true, the requests try to reserve their units again; otherwise they are rejected.
         granted: bool,
-        /// Which requests.
+        /// The requests that have been waiting, in the order in which they came.
         waiting: Vec<WaitingRequest>,
     },
 }
 
-/// The leases and quotas of all customers at this gateway.
+/// The leases and the rate quotas of all customers at this gateway.
 pub(super) struct CustomerQuotas {
     customers: CustomerTable,
     counter: CounterClient,
     unit_reports: UnitReports,
-    last_lease: LeaseId,
+    last_lease_id: LeaseId,
 }
 
-/// The cap on a customer's attempts in flight at once; a plan may state none.
+/// Returns the limit on a customer's attempts in flight, or `None` if the plan has no such limit.
 fn concurrency_limit(plan: &Plan) -> Option<f64> {
     (plan.concurrency_limit > 0.0).then_some(plan.concurrency_limit)
 }
 
-/// The number of a customer's lease period at a moment.
+/// Returns the number of a customer's lease period at a time of the adapter's clock.
 fn lease_period_at(customer: &CustomerId, at: Duration) -> u64 {
     interval_at(customer, LEASE_PERIOD, at).number
 }
 
 impl CustomerQuotas {
-    /// No customer is known yet.
+    /// Creates the state of a gateway that has just started.
     pub(super) fn new(settings: &Settings, now: Duration) -> CustomerQuotas {
         CustomerQuotas {
             customers: CustomerTable::default(),
             counter: CounterClient::new(settings, now),
             unit_reports: UnitReports::default(),
-            last_lease: LeaseId(0),
+            last_lease_id: LeaseId(0),
         }
     }
 
-    /// New settings say whether there is a counter.
+    /// Sets whether there is a shared counter, after a change of the settings.
     pub(super) fn set_counter_present(&mut self, is_present: bool) {
         self.counter.set_present(is_present);
     }
 
-    /// Whether the counter must not be called.
+    /// Returns whether calls on the counter are suspended.
     pub(super) fn is_circuit_open(&self, now: Duration) -> bool {
         self.counter.is_circuit_open(now)
     }
 
-    /// Records what a request asks for; says whether its customer's quota is known to be spent.
+    /// Records the demand of a new request. Returns whether the customer's quota is known to be spent, so that the request
+    /// can be rejected without a call on the counter.
     pub(super) fn record_request(&mut self, context: &Context, request: &Request) -> bool {
         let settings = &context.settings;
         let plan = settings.plan(&request.plan);
@@ -107,8 +104,8 @@
             concurrency_limit(plan).unwrap_or(f64::INFINITY)
         };
         let customer = self.customers.get_or_insert(&request.customer);
-        customer.record_request(context.now, request, gateway_rank, terms.window);
-        let even_split = quota / customer.place.count;
+        customer.record_request(context.now, request, gateway_rank, terms.window_seconds);
+        let even_split = quota / customer.place.gateway_count;
         let has_small_quota = even_split < request.units;
         self.counter
             .pacer
@@ -116,15 +113,16 @@
         customer.quota.rejected_until() > context.now
     }
 
-    /// Until when a customer's requests are rejected, as far as that is known.
+    /// Returns the time until which the customer's requests are rejected, or zero for an unknown customer.
     pub(super) fn rejected_until(&self, customer: &CustomerId) -> Duration {
         self.customers
             .get(customer)
             .map_or(Duration::ZERO, |known| known.quota.rejected_until())
     }
 
-    /// Acquires a lease for a request's next attempt: adds one on the counter and waits for the total, unless it is
-    /// decided without the counter. `baseline_latency` is that of the route, in seconds.
+    /// Acquires a lease for a request's next attempt. Adds the lease to the counter and returns `Pending` until the total
+    /// arrives, or decides at once if the counter is not called. `baseline_latency` is the route's baseline latency in
+    /// seconds.
     pub(super) fn acquire_lease(
         &mut self,
         context: &mut Context,
@@ -150,7 +148,7 @@
             period: lease_period_at(customer_id, now),
             limit,
             units: request.units,
-            window: terms.window,
+            window_seconds: terms.window_seconds,
             seconds_per_unit: baseline_latency.unwrap_or(0.0) / request.units.max(1.0),
             skips_counter,
         };
@@ -166,13 +164,14 @@
     }
 
     fn next_lease(&mut self) -> LeaseId {
-        self.last_lease = LeaseId(self.last_lease.0 + 1);
-        self.last_lease
+        self.last_lease_id = LeaseId(self.last_lease_id.0 + 1);
+        self.last_lease_id
     }
 
-    /// Whether a lease is left uncounted to save calls: where calls are scarce and quotas small, until the units seen in
-    /// this window could fill the cap. Two calls for each lease would leave none to ask for the units. Trade-off:
-    /// attempts of other gateways are seen late.
+    /// Returns whether a lease is granted without the counter in order to save calls. This is done while quotas are small
+    /// and calls are scarce, because the two calls for each lease would leave none for the rate quota. It ends when the
+    /// units that the counter has shown for the current window reach the concurrency limit. Trade-off: attempts through
+    /// other gateways are noticed late.
     fn should_skip_counter(
         &mut self,
         now: Duration,
@@ -187,14 +186,15 @@
             return false;
         }
         let window = interval_at(customer, terms.window_length(), now).number;
-        let could_be_full = self
+        let may_have_reached_limit = self
             .customers
             .get(customer)
-            .is_some_and(|known| known.quota.has_seen(window, limit));
-        !could_be_full && !self.counter.has_spare_calls(now)
+            .is_some_and(|known| known.quota.window_total_reaches(window, limit));
+        !may_have_reached_limit && !self.counter.has_spare_calls(now)
     }
 
-    /// Decides on a lease by the counter's reply, or by [`CounterReply::NotApplied`] where it was not asked.
+    /// Grants or denies a lease according to the counter's reply. `reply` is [`CounterReply::NotApplied`] if the counter
+    /// was not called.
     fn decide_lease(
         &mut self,
         context: &mut Context,
@@ -206,7 +206,7 @@
         let customer = self.customers.get_or_insert(customer_id);
         let local_limit = acquisition.local_limit(
             customer.place,
-            customer.demand_without(acquisition.units, acquisition.window),
+            customer.total_demand_without(acquisition.units, acquisition.window_seconds),
             period,
         );
         let decision = customer
@@ -219,16 +219,19 @@
                 }
                 Ok(Some(acquisition.lease))
             }
-            LeaseDecision::Denied { ahead, was_counted } => {
+            LeaseDecision::Denied {
+                excess_attempts,
+                was_counted,
+            } => {
                 if was_counted {
-                    self.take_off_leases(context, customer_id, acquisition.period, 1.0);
+                    self.subtract_leases(context, customer_id, acquisition.period, 1.0);
                 }
-                Err(LeaseDenial { ahead })
+                Err(LeaseDenial { excess_attempts })
             }
         }
     }
 
-    /// Counts leases in a further period too.
+    /// Adds leases that are already held to the counter's value of a further period.
     fn add_leases(
         &mut self,
         context: &mut Context,
@@ -246,7 +249,7 @@
         self.counter.call(context, call);
     }
 
-    /// Leases were added to a further period's name; those that have ended since are taken off again.
+    /// Handles the reply to a renewal. Leases that have ended since the call are subtracted again.
     fn on_renewal_reply(
         &mut self,
         context: &mut Context,
@@ -259,29 +262,29 @@
         let customer = self.customers.get_or_insert(&renewal.customer);
         let ended = customer.leases.on_renewed(&renewal.leases, renewal.period);
         if ended > 0 {
-            self.take_off_leases(context, &renewal.customer, renewal.period, ended as f64);
+            self.subtract_leases(context, &renewal.customer, renewal.period, ended as f64);
         }
     }
 
-    fn take_off_leases(
+    fn subtract_leases(
         &mut self,
         context: &mut Context,
         customer: &CustomerId,
         period: u64,
         count: f64,
     ) {
-        let call = CounterCall::add_leases(customer, period, -count, CallPurpose::GiveBack);
+        let call = CounterCall::add_leases(customer, period, -count, CallPurpose::Subtract);
         self.counter.call(context, call);
     }
 
-    /// Adds the open leases to the next period's name shortly before that period begins, once, uncounted ones too. Waits
-    /// while calls are scarce.
+    /// Adds the open leases to the counter's value of the next period, once, shortly before that period begins. Leases
+    /// that were granted without the counter are included. The renewal is postponed while calls are scarce.
     pub(super) fn renew_leases(&mut self, context: &mut Context) {
         if !self.counter.has_spare_calls(context.now) {
             return;
         }
         for id in self.customers.lease_holders() {
-            let period = lease_period_at(&id, context.now + RENEW_AHEAD);
+            let period = lease_period_at(&id, context.now + RENEWAL_LEAD_TIME);
             let customer = self.customers.get_or_insert(&id);
             let leases = customer.leases.start_renewal(period);
             if !leases.is_empty() {
@@ -290,7 +293,8 @@
         }
     }
 
-    /// Ends a lease: takes it off every name in which it was counted and that has not expired, and off no other.
+    /// Ends a lease: subtracts it from the value of each period in which it is counted, except periods that are over and
+    /// no longer read.
     pub(super) fn release_lease(
         &mut self,
         context: &mut Context,
@@ -308,13 +312,13 @@
         }
         for period in periods {
             if period >= current_period {
-                self.take_off_leases(context, customer_id, period, 1.0);
+                self.subtract_leases(context, customer_id, period, 1.0);
             }
         }
     }
 
-    /// Reserves the units of a request that has its lease: from the block in hand, from a new block, or from the local
-    /// quota.
+    /// Reserves the units of a request that has its lease: from the units already leased, from a new block, or from the
+    /// local quota.
     pub(super) fn reserve_units(
         &mut self,
         context: &mut Context,
@@ -342,8 +346,8 @@
         reservation
     }
 
-    /// Whether the counter can be asked for the units of a request. One block pays for several requests of a customer
-    /// that asks often, and is worth so much more.
+    /// Returns whether the counter may be called to lease units for a request. For a customer with frequent requests one
+    /// block serves several of them, so the call is valued as that many requests.
     fn counter_access(
         &mut self,
         context: &Context,
@@ -355,7 +359,7 @@
             .get(&request.customer)
             .map_or(0.0, |known| known.demand);
         let requests_per_block =
-            (demand * terms.window * SCARCE_BLOCK_WINDOWS / request.units).max(1.0);
+            (demand * terms.window_seconds * SCARCE_BLOCK_WINDOWS / request.units).max(1.0);
         let value = context.settings.value_of(request);
         let reserve_ratio = self.counter.pacer.reserve_ratio(value, requests_per_block);
         let has_spare_calls = self.counter.has_spare_calls(context.now);
@@ -368,7 +372,8 @@
         }
     }
 
-    /// One add to the window's name leases a block; what the customer's bucket can't give goes back.
+    /// Calls the counter to lease a block of units. Units that the customer's bucket does not hold are returned when the
+    /// reply arrives.
     fn lease_block(
         &mut self,
         context: &mut Context,
@@ -385,21 +390,22 @@
         customer
             .quota
             .enter_window(context.now, window.number, terms);
-        let unreported = self.unit_reports.report_block(size, has_spare_calls);
+        let unreported_units = self.unit_reports.report_block(size, has_spare_calls);
         let block = BlockAcquisition {
-            units,
+            request_units: units,
             size,
-            unreported,
+            unreported_units,
             terms: *terms,
             window,
         };
         let purpose = CallPurpose::LeaseBlock(customer_id.clone(), block);
-        let amount = size + unreported;
+        let amount = size + unreported_units;
         let call = CounterCall::add_units(customer_id, window.number, length, amount, purpose);
         self.counter.call(context, call);
     }
 
-    /// The counter has replied about a block: units beyond the quota go back. Says whether the block was granted.
+    /// Handles the reply to a lease of a block: units beyond the quota are returned to the counter. Returns whether the
+    /// block was granted.
     fn on_block_reply(
         &mut self,
         context: &mut Context,
@@ -417,22 +423,23 @@
             .on_block_reply(context.now, block, reply, calls);
         if !decision.granted {
             self.unit_reports
-                .offset_unreported(decision.left_on_counter);
+                .offset_unreported(decision.units_left_on_counter);
         }
-        if decision.give_back > 0.0 {
+        if decision.returned_units > 0.0 {
             let call = CounterCall::add_units(
                 customer_id,
                 block.window.number,
                 block.terms.window_length(),
-                -decision.give_back,
-                CallPurpose::GiveBack,
+                -decision.returned_units,
+                CallPurpose::Subtract,
             );
             self.counter.call(context, call);
         }
         decision.granted
     }
 
-    /// The counter has answered the oldest call on a name: gives what is decided by it, if anything waits for it.
+    /// Handles the reply to the oldest unanswered call on a counter name. Returns the decision that was waiting for it, if
+    /// any.
     pub(super) fn on_counter_reply(
         &mut self,
         context: &mut Context,
@@ -462,11 +469,11 @@
                 self.on_renewal_reply(context, &renewal, reply);
                 None
             }
-            CallPurpose::GiveBack => None,
+            CallPurpose::Subtract => None,
         }
     }
 
-    /// Charges `units` more (below zero: gives them back), against what the request was charged to.
+    /// Charges additional units to the quota that the request was charged to; a negative number is a refund.
     pub(super) fn settle_units(&mut self, customer: &CustomerId, units: f64, is_uncounted: bool) {
         self.customers
             .get_or_insert(customer)
@@ -474,8 +481,9 @@
             .settle(units, is_uncounted);
     }
 
-    /// Takes a request's units from the hard ceiling of its plan, if there is one; says whether they were there. A request
-    /// that the counter does not count is charged for all of the customer's gateways. `started_at` is when the gateway
+    /// Takes a request's units from the hard ceiling of its plan and returns whether they were available, which they always
+    /// are without a ceiling. The units of a request that the counter does not count are charged once for each of the
+    /// customer's gateways, because the other gateways can't see them. `started_at` is the time at which the gateway
     /// started.
     pub(super) fn try_pass_ceiling(
         &mut self,
@@ -487,7 +495,7 @@
         let plan = context.settings.plan(&request.plan);
         let customer = self.customers.get_or_insert(&request.customer);
         let charged = if is_uncounted {
-            request.units * customer.place.count
+            request.units * customer.place.gateway_count
         } else {
             request.units
         };
@@ -496,7 +504,7 @@
             .try_take(plan, charged, started_at, context.now)
     }
 
-    /// Forgets the customers that have not been heard of for long.
+    /// Removes the state of customers that have been idle for a minute and hold no lease.
     pub(super) fn forget_idle_customers(&mut self, now: Duration) {
         self.customers.forget_idle(now);
     }
--- a/src/control/customers.rs
+++ b/src/control/customers.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of each customer: its demand, its leases, its quota and its ceiling.
+//! The state that a gateway keeps for each customer: demand, leases, rate quota and hard ceiling.
 
 use super::ceiling::Ceiling;
 use super::leases::{CustomerLeases, GatewayPlace};
@@ -7,78 +7,80 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A customer that has not been heard of for so long, and has nothing open, is forgotten.
+/// The state of a customer without open leases is removed after this time without a request.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// One customer, as this gateway sees it.
+/// The state of one customer at this gateway.
 #[derive(Default)]
 pub(super) struct Customer {
-    /// This gateway's place among those that the customer's requests come through.
+    /// The position of this gateway among those that receive the customer's requests.
     pub(super) place: GatewayPlace,
-    /// Recent demand here, in units a second.
+    /// Recent demand at this gateway in units per second; decays with a time constant of one quota window.
     pub(super) demand: f64,
     last_request_at: Duration,
-    /// Leases of attempts in flight through this gateway.
+    /// The leases of attempts in flight from this gateway.
     pub(super) leases: CustomerLeases,
-    /// The rate quota.
+    /// The rate quota of the customer's plan.
     pub(super) quota: RateQuota,
-    /// What a hard ceiling leaves to this gateway.
+    /// The hard ceiling of the customer's plan.
     pub(super) ceiling: Ceiling,
 }
 
 impl Customer {
-    /// A request came in, under a quota with windows of so many seconds.
+    /// Records a request that this gateway has received. `gateway_rank` is the index of this gateway among those that
+    /// receive the customer's requests, `window_seconds` the length of a quota window.
     pub(super) fn record_request(
         &mut self,
         now: Duration,
         request: &Request,
         gateway_rank: f64,
-        window: f64,
+        window_seconds: f64,
     ) {
         self.place = GatewayPlace {
             rank: gateway_rank,
-            count: f64::from(request.gateway_count.max(1)),
+            gateway_count: f64::from(request.gateway_count.max(1)),
         };
-        let idle = now.saturating_sub(self.last_request_at).as_secs_f64();
-        self.demand = self.demand * (-idle / window).exp() + request.units / window;
+        let idle_seconds = now.saturating_sub(self.last_request_at).as_secs_f64();
+        self.demand =
+            self.demand * (-idle_seconds / window_seconds).exp() + request.units / window_seconds;
         self.last_request_at = now;
     }
 
-    /// The customer's demand over all its gateways without a request of so many units, if they ask alike; in units a
-    /// second.
-    pub(super) fn demand_without(&self, units: f64, window: f64) -> f64 {
-        (self.demand - units / window) * self.place.count
+    /// Returns an estimate of the customer's demand at all its gateways without the latest request, which asked for `units`,
+    /// in units per second. It assumes that the demand is the same at each gateway.
+    pub(super) fn total_demand_without(&self, units: f64, window_seconds: f64) -> f64 {
+        (self.demand - units / window_seconds) * self.place.gateway_count
     }
 
-    /// What a request of so many units adds to.
+    /// Returns the demand for a request of this many units, which is already included in [`Customer::demand`].
     pub(super) fn unit_demand(&self, units: f64, terms: &RateTerms) -> UnitDemand {
         UnitDemand {
             units,
-            here: self.demand,
-            before: self.demand_without(units, terms.window),
-            gateway_count: self.place.count,
+            local_demand: self.demand,
+            previous_total_demand: self.total_demand_without(units, terms.window_seconds),
+            gateway_count: self.place.gateway_count,
         }
     }
 }
 
-/// The customers by id.
+/// The state of all customers, by id.
 #[derive(Default)]
 pub(super) struct CustomerTable {
     by_id: BTreeMap<CustomerId, Customer>,
 }
 
 impl CustomerTable {
-    /// A customer, if it is known.
+    /// Returns the state of a customer, or `None` if it has none.
     pub(super) fn get(&self, id: &CustomerId) -> Option<&Customer> {
         self.by_id.get(id)
     }
 
-    /// A customer; one that is not known begins with nothing.
+    /// Returns the state of a customer and creates it if necessary.
     pub(super) fn get_or_insert(&mut self, id: &CustomerId) -> &mut Customer {
         self.by_id.entry(id.clone()).or_default()
     }
 
-    /// The customers that hold leases.
+    /// Returns the ids of the customers that hold leases, in ascending order.
     pub(super) fn lease_holders(&self) -> Vec<CustomerId> {
         self.by_id
             .iter()
@@ -87,7 +89,7 @@
             .collect()
     }
 
-    /// Forgets the customers that have not been heard of for long and hold no lease.
+    /// Removes the customers that have sent no request for [`FORGET_AFTER`] and hold no lease.
     pub(super) fn forget_idle(&mut self, now: Duration) {
         self.by_id.retain(|_, customer| {
             !customer.leases.is_empty() || now < customer.last_request_at + FORGET_AFTER
--- a/src/control/leases.rs
+++ b/src/control/leases.rs
@@ -1,72 +1,76 @@
-//! Concurrency leases: the cap on a customer's upstream attempts in flight at once.
+//! Concurrency leases, which enforce the limit on a customer's upstream attempts in flight.
 //!
-//! A lease is an addition of one to the counter name of the customer and the current period. Names expire by themselves,
-//! so leases of a crashed gateway do too; open leases are renewed into the next period's name before the edge.
+//! Time is divided into periods, and the shared counter keeps one value for each customer and period. Acquiring a lease
+//! adds one to the value of the current period. Shortly before a period ends, the open leases are added to the value of
+//! the next one. The counter drops values after [`LEASE_TTL`], so the leases of a crashed gateway expire.
 
 use crate::port::{CounterReply, RequestId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The length of a period, after which a lease that was not renewed has expired.
+/// The length of a period. A lease that is not renewed into the next period is no longer counted.
 pub(super) const LEASE_PERIOD: Duration = Duration::from_secs(3);
 
-/// So long before the period's edge open leases are renewed into the next name.
-pub(super) const RENEW_AHEAD: Duration = Duration::from_millis(100);
+/// How long before the end of a period the open leases are renewed.
+pub(super) const RENEWAL_LEAD_TIME: Duration = Duration::from_millis(100);
 
-/// How long the counter keeps a period's name.
+/// How long the counter keeps the value of a period: two periods.
 pub(super) const LEASE_TTL: Duration = Duration::from_secs(6);
 
-/// Who asks for less than this share of its cap or rate has left its quota alone.
+/// A customer's demand is low if it is below this share of the concurrency limit or of the rate. Such a customer is
+/// assumed to have unused quota.
 pub(super) const LOW_DEMAND_RATIO: f64 = 0.2;
 
-/// A gateway's place among the gateways that a customer's requests come through.
+/// The position of this gateway among the gateways that receive a customer's requests.
 #[derive(Clone, Copy, Default)]
 pub(super) struct GatewayPlace {
-    /// Its number among them, from 0.
+    /// The index of this gateway among them, from 0.
     pub(super) rank: f64,
-    /// How many they are.
-    pub(super) count: f64,
+    /// The number of these gateways.
+    pub(super) gateway_count: f64,
 }
 
-/// One lease of this gateway.
+/// Identifies a lease of this gateway. Ids are assigned in ascending order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct LeaseId(pub(super) u64);
 
-/// What a lease is acquired for.
+/// The attempt for which a lease is acquired.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum LeasePurpose {
-    /// The first attempt: the request is charged once it has the lease.
+    /// The first attempt. The request's units are reserved once it has the lease.
     FirstAttempt,
-    /// A further attempt, whose units are charged already.
+    /// A further attempt. The request's units were reserved for the first one.
     Retry,
 }
 
-/// A lease that is being acquired.
+/// A lease that is being acquired, with the terms under which it is decided.
 pub(super) struct LeaseAcquisition {
-    /// For which request.
+    /// The request that needs the lease.
     pub(super) request: RequestId,
-    /// For which of its attempts.
+    /// The attempt that needs the lease.
     pub(super) purpose: LeasePurpose,
-    /// The lease that is granted in the end.
+    /// The id of the lease if it is granted.
     pub(super) lease: LeaseId,
-    /// The period in whose name it is counted.
+    /// The number of the period in which the lease is counted.
     pub(super) period: u64,
-    /// The customer's cap on attempts in flight at once.
+    /// The limit on the customer's attempts in flight.
     pub(super) limit: f64,
     /// The units of the request.
     pub(super) units: f64,
     /// The length of the customer's quota window, in seconds.
-    pub(super) window: f64,
-    /// How long a unit of demand is in flight, in seconds: the route's baseline latency for each unit.
+    pub(super) window_seconds: f64,
+    /// The time for which a unit of demand is in flight, in seconds: the route's baseline latency divided by the units of
+    /// the request.
     pub(super) seconds_per_unit: f64,
-    /// The counter is not asked, to save a call, as the units that were seen can't fill the cap.
+    /// Whether the counter is not called in order to save a call: the units known to be used in this window are too few
+    /// to reach the limit.
     pub(super) skips_counter: bool,
 }
 
 impl LeaseAcquisition {
-    /// How many attempts this gateway may have in flight where the counter gives no total: its part of the cap, and at
-    /// least one for a customer of low demand before this request (`demand_before`, in units a second over all
-    /// gateways).
+    /// Returns the number of attempts that this gateway may have in flight while the counter is not available. This is the
+    /// gateway's share of the limit, and at least one for a customer of low demand. `demand_before` is the customer's
+    /// demand before this request, over all its gateways, in units per second.
     pub(super) fn local_limit(
         &self,
         place: GatewayPlace,
@@ -79,33 +83,39 @@
     }
 }
 
-/// What became of an acquisition.
+/// The decision on an acquisition.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) enum LeaseDecision {
-    /// The lease is held. Where leases were renewed into a later period meanwhile, it has to be added there too.
+    /// The lease is held. `renew_into` is a later period into which leases were renewed in the meantime, or which has
+    /// begun; the lease must be counted there too.
     Granted { renew_into: Option<u64> },
-    /// The cap is full, by so many attempts. Where the reply had counted the lease, it has to be taken off again.
-    Denied { ahead: f64, was_counted: bool },
+    /// The limit is reached; `excess_attempts` is the number of attempts by which it would be exceeded, this attempt
+    /// included. If `was_counted`, the counter has added the lease and it must be subtracted again.
+    Denied {
+        excess_attempts: f64,
+        was_counted: bool,
+    },
 }
 
 /// The leases of one customer at this gateway.
 #[derive(Default)]
 pub(super) struct CustomerLeases {
-    /// The open leases, each with the periods in whose names it is counted; none: uncounted.
+    /// The periods in which each open lease is counted. The list is empty if the counter does not count the lease.
     periods: BTreeMap<LeaseId, Vec<u64>>,
-    /// The period into which leases were last renewed.
+    /// The number of the period into which leases were last renewed.
     renewed_into: u64,
 }
 
 impl CustomerLeases {
-    /// Whether no lease is open.
     pub(super) fn is_empty(&self) -> bool {
         self.periods.is_empty()
     }
 
-    /// The reply to an acquisition, or [`CounterReply::NotApplied`] where the counter was not asked. Without a total
-    /// the gateway's own attempts stay within `local_limit`, else an outage would admit all; where the call was saved,
-    /// within the cap. Trade-off: a customer that uses its gateways unevenly is rejected at the busy one.
+    /// Decides on an acquisition after the counter's reply, or with [`CounterReply::NotApplied`] if the counter was not
+    /// called. If the counter is not known to have added the lease, this gateway's own attempts are limited to
+    /// `local_limit`, because otherwise every attempt would be admitted during an outage; if the call was skipped, they
+    /// are limited to the whole concurrency limit. Trade-off: a customer that uses its gateways unevenly is rejected at
+    /// the busy one.
     pub(super) fn on_acquire_reply(
         &mut self,
         acquisition: &LeaseAcquisition,
@@ -115,7 +125,7 @@
     ) -> LeaseDecision {
         match reply {
             CounterReply::Total(total) if total > acquisition.limit => LeaseDecision::Denied {
-                ahead: total - acquisition.limit,
+                excess_attempts: total - acquisition.limit,
                 was_counted: true,
             },
             CounterReply::Total(_) | CounterReply::Applied => {
@@ -134,7 +144,7 @@
                 };
                 if self.periods.len() as f64 >= limit {
                     return LeaseDecision::Denied {
-                        ahead: 1.0,
+                        excess_attempts: 1.0,
                         was_counted: false,
                     };
                 }
@@ -144,7 +154,8 @@
         }
     }
 
-    /// Begins the renewal into a period, once: gives the leases that are not counted in its name yet.
+    /// Starts the renewal into a period and returns the leases that are not counted in it yet. Each period is renewed only
+    /// once; further calls return nothing.
     pub(super) fn start_renewal(&mut self, period: u64) -> Vec<LeaseId> {
         if self.renewed_into >= period {
             return Vec::new();
@@ -161,7 +172,8 @@
         missing
     }
 
-    /// Leases were added to a period's name: gives how many of them have ended since and have to be taken off again.
+    /// Records that leases were added to the value of a period. Returns the number of those that have ended in the
+    /// meantime and must be subtracted again.
     pub(super) fn on_renewed(&mut self, leases: &[LeaseId], period: u64) -> usize {
         let mut ended = 0;
         for lease in leases {
@@ -173,19 +185,19 @@
         ended
     }
 
-    /// Ends a lease: gives the periods in whose names it was counted (it is taken off those, and off no other).
+    /// Ends a lease and returns the periods in which it is counted; it must be subtracted from these and no others.
     pub(super) fn release(&mut self, lease: LeaseId) -> Vec<u64> {
         self.periods.remove(&lease).unwrap_or_default()
     }
 }
 
-/// A gateway's part of a customer's cap: the parts of all gateways sum to the cap, and the remainder goes round by
-/// period.
+/// Returns a gateway's share of a customer's limit. The shares of all gateways add up to the limit; the remainder of the
+/// division rotates among the gateways from period to period.
 fn local_share(limit: f64, place: GatewayPlace, period: u64) -> f64 {
-    let turn = (place.rank + period as f64) % place.count;
-    let remainder = limit % place.count;
-    let extra = if turn < remainder { 1.0 } else { 0.0 };
-    (limit / place.count).floor() + extra
+    let position = (place.rank + period as f64) % place.gateway_count;
+    let remainder = limit % place.gateway_count;
+    let extra = if position < remainder { 1.0 } else { 0.0 };
+    (limit / place.gateway_count).floor() + extra
 }
 
 #[cfg(test)]
--- a/src/control/rate_quota.rs
+++ b/src/control/rate_quota.rs
@@ -1,8 +1,9 @@
-//! The rate quota of a customer: blocks of units that are leased from the counter, and the local quota that stands in
-//! where the counter can't be asked.
+//! The rate quota of a customer: blocks of units that are leased from the shared counter, and a local quota that is used
+//! when the counter can't be called.
 //!
-//! One add to the name of the customer and the current window (burst over rate long) leases a block of units, sized by
-//! recent demand. The customer's token bucket, which all gateways share, is followed from the totals.
+//! Time is divided into windows with a length of burst divided by rate, and the counter keeps one value for each customer
+//! and window. One addition to that value leases a block of units, whose size follows recent demand. All gateways draw
+//! from one token bucket for the customer; its level is estimated from the totals that the counter returns.
 
 use super::counter_names::Interval;
 use super::leases::{LeaseId, LOW_DEMAND_RATIO};
@@ -12,54 +13,54 @@
 use crate::settings::Plan;
 use std::time::Duration;
 
-/// The shortest window, in seconds, whatever the settings say.
-const MIN_WINDOW: f64 = 0.1;
+/// The minimum length of a window, in seconds; shorter ones in the settings are extended.
+const MIN_WINDOW_SECONDS: f64 = 0.1;
 
-/// The longest window, in seconds, whatever the settings say.
-const MAX_WINDOW: f64 = 1e6;
+/// The maximum length of a window, in seconds; longer ones in the settings are shortened.
+const MAX_WINDOW_SECONDS: f64 = 1e6;
 
-/// The window of a plan without a rate, in seconds: demand is measured by it.
-const DEFAULT_WINDOW: f64 = 1.0;
+/// The window length of a plan without a rate, in seconds. Demand is averaged over this time.
+const DEFAULT_WINDOW_SECONDS: f64 = 1.0;
 
-/// The part of a window whose recent demand makes a block while calls on the counter are scarce.
+/// While calls on the counter are scarce, a block covers the demand of this many windows.
 pub(super) const SCARCE_BLOCK_WINDOWS: f64 = 0.5;
 
-/// The least rejection of a customer whose bucket can't hold the units yet, in seconds.
-const MIN_REJECTION: f64 = 0.01;
+/// The shortest time for which a customer is rejected until its bucket has refilled, in seconds.
+const MIN_REJECTION_SECONDS: f64 = 0.01;
 
-/// The longest such rejection, as a part of the window.
+/// The longest time for which a customer is rejected until its bucket has refilled, in windows.
 const MAX_REJECTION_WINDOWS: f64 = 0.5;
 
 /// The terms of a plan's rate quota.
 #[derive(Clone, Copy)]
 pub(super) struct RateTerms {
-    /// Units a second; 0: no such quota.
+    /// The rate in units per second; 0 means that there is no rate quota.
     pub(super) rate: f64,
-    /// Units that the customer's bucket holds.
+    /// The capacity of the customer's bucket in units.
     pub(super) burst: f64,
-    /// The length of a window in seconds: burst over rate.
-    pub(super) window: f64,
-    /// The plan has a hard ceiling, which is never to be passed: what is not known is taken to be spent.
+    /// The length of a window in seconds: burst divided by rate, within bounds.
+    pub(super) window_seconds: f64,
+    /// Whether the plan has a hard ceiling, which must never be exceeded. Usage that is not known is then assumed to be the
+    /// whole quota.
     pub(super) has_ceiling: bool,
 }
 
 impl RateTerms {
-    /// The terms of a plan.
     pub(super) fn of(plan: &Plan) -> RateTerms {
-        let window = if plan.rate > 0.0 {
-            (plan.burst / plan.rate).clamp(MIN_WINDOW, MAX_WINDOW)
+        let window_seconds = if plan.rate > 0.0 {
+            (plan.burst / plan.rate).clamp(MIN_WINDOW_SECONDS, MAX_WINDOW_SECONDS)
         } else {
-            DEFAULT_WINDOW
+            DEFAULT_WINDOW_SECONDS
         };
         RateTerms {
             rate: plan.rate,
             burst: plan.burst,
-            window,
+            window_seconds,
             has_ceiling: plan.ceiling_rate > 0.0,
         }
     }
 
-    /// How the customer's bucket refills over all gateways.
+    /// Returns the refill of the bucket that all gateways share.
     fn refill(&self) -> Refill {
         Refill {
             rate: self.rate,
@@ -67,117 +68,119 @@
         }
     }
 
-    /// The length of a window.
     pub(super) fn window_length(&self) -> Duration {
-        Duration::from_secs_f64(self.window)
+        Duration::from_secs_f64(self.window_seconds)
     }
 }
 
-/// A request that waits for a block, with the lease that it holds.
+/// A request that waits for a block of units while it holds its lease.
 pub(super) struct WaitingRequest {
-    /// Which request.
+    /// The request's id.
     pub(super) request: RequestId,
-    /// Its lease; none where the plan has no cap.
+    /// The request's lease, or `None` if the plan has no concurrency limit.
     pub(super) lease: Option<LeaseId>,
 }
 
-/// How a request's units were reserved.
+/// The result of reserving a request's units.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum Reservation {
-    /// From a block that the counter counts, or under a plan without a rate quota.
+    /// The units are reserved from a block that the counter counts, or the plan has no rate quota.
     Counted,
-    /// From the local quota: the counter does not count them.
+    /// The request may be sent without the counter counting its units: the local quota holds them, or the customer's demand
+    /// is low.
     Uncounted,
-    /// The counter could not be asked and the local quota is spent.
+    /// The counter can't be called and the local quota does not hold the units.
     Denied,
-    /// Not yet: a block has to be leased from the counter.
+    /// The units are not reserved yet: a block must be leased from the counter first.
     AwaitsBlock,
 }
 
-/// Whether the counter can be asked for the units of a request.
+/// Whether the counter may be called to lease units for a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum CounterAccess {
-    /// It can't: it is down, or the request is worth too little for one of few calls.
+    /// No: the circuit breaker is open, or the request's value is too low for one of the few calls.
     Unavailable,
-    /// It can, but calls are few: only for what the local quota can't give.
+    /// Yes, but calls are scarce: only for units that the local quota does not hold.
     Scarce,
-    /// It can.
+    /// Yes.
     Available,
 }
 
-/// What a customer asks for, as the reservation of its units needs it.
+/// The units that a request needs and the recent demand of its customer.
 #[derive(Clone, Copy)]
 pub(super) struct UnitDemand {
     /// The units of the request.
     pub(super) units: f64,
-    /// The customer's recent demand at this gateway, in units a second.
-    pub(super) here: f64,
-    /// The customer's recent demand without this request, over all its gateways, in units a second.
-    pub(super) before: f64,
-    /// How many gateways the customer comes through.
+    /// The customer's recent demand at this gateway, this request included, in units per second.
+    pub(super) local_demand: f64,
+    /// The customer's estimated recent demand at all its gateways without this request, in units per second.
+    pub(super) previous_total_demand: f64,
+    /// The number of gateways that receive the customer's requests.
     pub(super) gateway_count: f64,
 }
 
 /// A block that is being leased.
 pub(super) struct BlockAcquisition {
-    /// The units of the request that it was leased for.
-    pub(super) units: f64,
-    /// The units of the block.
+    /// The units of the request that caused the call.
+    pub(super) request_units: f64,
+    /// The size of the block in units.
     pub(super) size: f64,
-    /// Units beside them that stand for what was sent without a report.
-    pub(super) unreported: f64,
-    /// The terms under which it was leased.
+    /// Units that are added in the same call to account for units that were used without being reported.
+    pub(super) unreported_units: f64,
+    /// The terms at the time of the call.
     pub(super) terms: RateTerms,
-    /// The window in whose name it is counted.
+    /// The window in which the block is counted.
     pub(super) window: Interval,
 }
 
-/// What a reply about a block leads to.
+/// The decision on a block after the counter's reply.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) struct BlockDecision {
-    /// The requests that wait may go on; else they are rejected.
+    /// Whether the waiting requests may proceed; otherwise they are rejected.
     pub(super) granted: bool,
-    /// Units that go back to the counter.
-    pub(super) give_back: f64,
-    /// Units left on the counter by a block that was not granted: they stand for unreported ones.
-    pub(super) left_on_counter: f64,
+    /// Units that must be subtracted from the counter again.
+    pub(super) returned_units: f64,
+    /// Units of a block that was not granted and that stay on the counter. They account for unreported units.
+    pub(super) units_left_on_counter: f64,
 }
 
-/// How calls on the counter stand when a reply about a block comes.
+/// The state of the calls on the counter when the reply about a block arrives.
 #[derive(Clone, Copy)]
 pub(super) struct CallBudget {
-    /// Calls are plenty enough to give units back.
+    /// Whether a call can be spared to return units.
     pub(super) has_spare_calls: bool,
-    /// Most customers' even split is less than a request.
+    /// Whether an even split of the quota over the gateways is less than a request for most requests.
     pub(super) quotas_are_small: bool,
 }
 
 /// The rate quota of one customer at this gateway.
 #[derive(Default)]
 pub(super) struct RateQuota {
-    /// Units in hand, leased from a window's name.
+    /// Units that were leased from the counter and not used yet. Negative after a settlement above the reserved units.
     leased_units: f64,
     bucket: ObservedBucket,
-    /// Requests that wait for a block; the first of them has asked for it.
+    /// Requests that wait for a block, in the order in which they came. The first one has caused the call.
     waiting: Vec<WaitingRequest>,
     rejected_until: Duration,
-    /// The even split of the quota over the customer's gateways, used where the counter can't be asked.
+    /// This gateway's even share of the quota, for use while the counter can't be called. `None` until the first request
+    /// under a rate quota.
     local_quota: Option<TokenBucket>,
 }
 
 impl RateQuota {
-    /// Until when the customer's requests are rejected at once.
+    /// Returns the time until which the customer's requests are rejected without a call on the counter.
     pub(super) fn rejected_until(&self) -> Duration {
         self.rejected_until
     }
 
-    /// Whether the units that were seen in that window reach `units`.
-    pub(super) fn has_seen(&self, window: u64, units: f64) -> bool {
-        self.bucket.has_seen(window, units)
+    /// Returns whether the last known total of a window is at least `units`.
+    pub(super) fn window_total_reaches(&self, window: u64, units: f64) -> bool {
+        self.bucket.total_reaches(window, units)
     }
 
-    /// Reserves a request's units from the block in hand, or from the local quota where the counter can't be asked or
-    /// is better not asked. Counted units are taken from the local quota too, so that an outage gives no new burst here.
+    /// Reserves a request's units from the units already leased. If they do not suffice, requires a new block, or uses the
+    /// local quota if the counter can't be called or if calls are scarce. Counted units are taken from the local quota
+    /// too, so that a later outage of the counter does not permit an additional burst at this gateway.
     pub(super) fn reserve(
         &mut self,
         now: Duration,
@@ -212,11 +215,13 @@
             CounterAccess::Available => false,
         };
         if !is_decided_locally {
-            local_quota.give_back(if fits_locally { units } else { 0.0 });
+            local_quota.refund(if fits_locally { units } else { 0.0 });
             return Reservation::AwaitsBlock;
         }
-        // The even split over many gateways may be less than a unit, so a customer of low demand passes beyond it.
-        let has_low_demand = !terms.has_ceiling && demand.before < terms.rate * LOW_DEMAND_RATIO;
+        // With many gateways the even split may be less than one unit. Customers of low demand may exceed it, because
+        // otherwise none of their requests could pass.
+        let has_low_demand =
+            !terms.has_ceiling && demand.previous_total_demand < terms.rate * LOW_DEMAND_RATIO;
         if fits_locally || has_low_demand {
             Reservation::Uncounted
         } else {
@@ -224,30 +229,31 @@
         }
     }
 
-    /// Has a request wait for a block; says whether it is the first one, which leases it.
+    /// Adds a request to those that wait for a block. Returns whether it is the first one and the block must be leased.
     pub(super) fn wait_for_block(&mut self, request: WaitingRequest) -> bool {
         self.waiting.push(request);
         self.waiting.len() == 1
     }
 
-    /// Those that have waited for a block.
+    /// Removes and returns the requests that wait for a block.
     pub(super) fn take_waiting(&mut self) -> Vec<WaitingRequest> {
         std::mem::take(&mut self.waiting)
     }
 
-    /// The units of a block that is to be leased for a request: a window's recent demand, but no more than the even
-    /// split, which is also the first block; while calls are scarce, half a window's demand. Units in hand count.
+    /// Returns the size of the block to lease for a request, in whole units. It is the recent demand of one window, limited
+    /// to the even split over the gateways; the first block is the even split. While calls are scarce, it is the demand
+    /// of half a window. It covers at least the request, and units that are already leased are deducted.
     pub(super) fn block_size(
         &self,
         terms: &RateTerms,
         demand: UnitDemand,
         has_spare_calls: bool,
     ) -> f64 {
-        let window_demand = demand.here * terms.window_length().as_secs_f64();
+        let window_demand = demand.local_demand * terms.window_length().as_secs_f64();
         let even_split = terms.burst / demand.gateway_count;
         let wanted = if !has_spare_calls {
             window_demand * SCARCE_BLOCK_WINDOWS
-        } else if self.bucket.is_followed() {
+        } else if self.bucket.has_entered_window() {
             even_split.min(window_demand)
         } else {
             even_split
@@ -255,16 +261,17 @@
         (wanted.max(demand.units) - self.leased_units).ceil()
     }
 
-    /// Follows the customer's bucket into the window of that number. A bucket that was not followed through the last one
-    /// is taken to be full, or empty under a hard ceiling.
+    /// Enters a window of the counter. If the previous window was not observed, the customer's bucket is assumed to be
+    /// full, or empty under a hard ceiling.
     pub(super) fn enter_window(&mut self, now: Duration, window: u64, terms: &RateTerms) {
         let assumed_level = if terms.has_ceiling { 0.0 } else { terms.burst };
         self.bucket
             .enter_window(window, terms.window_length(), assumed_level, now);
     }
 
-    /// The reply about a block: units that the customer's bucket can't give go back. Without a reply the waiting requests
-    /// go on, and find that the counter can't be asked.
+    /// Decides on a block after the counter's reply. Units that the customer's bucket does not hold are returned to the
+    /// counter if a call can be spared. If the block is not known to have been added, the waiting requests proceed without
+    /// it and reserve their units again.
     pub(super) fn on_block_reply(
         &mut self,
         now: Duration,
@@ -272,43 +279,45 @@
         reply: CounterReply,
         calls: CallBudget,
     ) -> BlockDecision {
-        let Some(total) = reply.total_or(self.bucket.total() + block.size + block.unreported)
+        let Some(total) = reply.total_or(self.bucket.total() + block.size + block.unreported_units)
         else {
             return BlockDecision {
                 granted: true,
-                give_back: 0.0,
-                left_on_counter: 0.0,
+                returned_units: 0.0,
+                units_left_on_counter: 0.0,
             };
         };
-        let total_before = total - block.size - block.unreported;
-        self.bucket.follow(total_before, now, block.terms.refill());
+        let total_before = total - block.size - block.unreported_units;
+        self.bucket
+            .update_from_total(total_before, now, block.terms.refill());
         let available = self.bucket.level().floor().clamp(0.0, block.size);
-        let granted = self.leased_units + available >= block.units;
+        let granted = self.leased_units + available >= block.request_units;
         let taken = if granted { available } else { 0.0 };
-        let give_back = if calls.has_spare_calls {
+        let returned_units = if calls.has_spare_calls {
             block.size - taken
         } else {
             0.0
         };
         self.leased_units += taken;
-        self.bucket.take(taken, total - give_back);
+        self.bucket.take(taken, total - returned_units);
         if !granted {
             self.rejected_until = self.rejection_end(now, block, calls);
         }
-        let left_on_counter = if granted {
+        let units_left_on_counter = if granted {
             0.0
         } else {
-            block.size + block.unreported - give_back
+            block.size + block.unreported_units - returned_units
         };
         BlockDecision {
             granted,
-            give_back,
-            left_on_counter,
+            returned_units,
+            units_left_on_counter,
         }
     }
 
-    /// Until when a customer is rejected whose bucket can't hold the units yet: until it does, half a window at most;
-    /// where calls are scarce and the split is less than a request, until the window's end.
+    /// Returns the time until which a customer is rejected whose bucket does not hold the units: until the bucket has
+    /// refilled, but for no more than half a window. If calls are scarce and the even split is less than a request, until
+    /// the end of the window.
     fn rejection_end(
         &self,
         now: Duration,
@@ -319,13 +328,16 @@
         if !calls.has_spare_calls && calls.quotas_are_small {
             return block.window.starts_at + window;
         }
-        let missing = block.units - self.leased_units - self.bucket.level();
-        let wait = (missing / block.terms.rate)
-            .clamp(MIN_REJECTION, window.as_secs_f64() * MAX_REJECTION_WINDOWS);
+        let missing = block.request_units - self.leased_units - self.bucket.level();
+        let wait = (missing / block.terms.rate).clamp(
+            MIN_REJECTION_SECONDS,
+            window.as_secs_f64() * MAX_REJECTION_WINDOWS,
+        );
         now + Duration::from_secs_f64(wait)
     }
 
-    /// Charges `units` more (below zero: gives them back), against what the request was charged to.
+    /// Charges additional units to the local quota if the request was uncounted, otherwise to the leased units. A negative
+    /// number is a refund.
     pub(super) fn settle(&mut self, units: f64, is_uncounted: bool) {
         match self.local_quota.as_mut().filter(|_| is_uncounted) {
             Some(local_quota) => local_quota.take_unchecked(units),
--- a/src/control/rate_quota/tests.rs
+++ b/src/control/rate_quota/tests.rs
@@ -4,25 +4,25 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-/// 2 units a second and a burst of 8, so windows of 4 s.
+/// 2 units per second and a burst of 8 units, hence windows of 4 s.
 const TERMS: RateTerms = RateTerms {
     rate: 2.0,
     burst: 8.0,
-    window: 4.0,
+    window_seconds: 4.0,
     has_ceiling: false,
 };
 
-/// Demand at one of two gateways, so with an even split of 4 units.
-fn demand(units: f64, before: f64, here: f64) -> UnitDemand {
+/// The demand at one of two gateways, whose even split is 4 units.
+fn demand(units: f64, previous_total_demand: f64, local_demand: f64) -> UnitDemand {
     UnitDemand {
         units,
-        here,
-        before,
+        local_demand,
+        previous_total_demand,
         gateway_count: 2.0,
     }
 }
 
-/// The quota of a customer with so many units in hand, whose bucket is followed from now on.
+/// The quota of a customer with `leased_units` left, whose bucket is observed from now on.
 fn quota_with(leased_units: f64) -> RateQuota {
     let mut quota = RateQuota {
         leased_units,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn units_come_from_the_block_in_hand_or_a_new_one_or_the_local_quota() {
+fn units_come_from_leased_units_or_a_new_block_or_the_local_quota() {
     for (leased_units, units, access, expected) in [
         (3.0, 3.0, Available, Counted),
         (2.9, 3.0, Available, AwaitsBlock),
@@ -54,8 +54,8 @@
 
 #[test]
 fn local_quota_lets_customers_of_low_demand_pass_but_not_under_a_ceiling() {
-    // Low demand is less than a fifth of the rate; under a ceiling the local quota starts empty.
-    for (units, before, has_ceiling, expected) in [
+    // Low demand is less than a fifth of the rate. Under a ceiling the local quota is initially empty.
+    for (units, previous_total_demand, has_ceiling, expected) in [
         (5.0, 0.39, false, Uncounted),
         (5.0, 0.4, false, Denied),
         (5.0, 0.0, true, Denied),
@@ -65,15 +65,18 @@
             has_ceiling,
             ..TERMS
         };
-        let asked = demand(units, before, 1.0);
+        let asked = demand(units, previous_total_demand, 1.0);
         let reservation = RateQuota::default().reserve(NOW, &terms, asked, Unavailable);
-        assert_eq!(reservation, expected, "{units} {before} {has_ceiling}");
+        assert_eq!(
+            reservation, expected,
+            "{units} {previous_total_demand} {has_ceiling}"
+        );
     }
 }
 
 #[test]
-fn counted_units_are_taken_from_the_local_quota_too_but_not_while_they_wait() {
-    // Four units at first; a counted request that is larger than what is left leaves none.
+fn local_quota_is_charged_for_counted_units_but_not_for_those_awaiting_a_block() {
+    // The local quota holds 4 units. A counted request that is larger than the rest of it leaves none.
     for (leased_units, first, left) in [(0.0, AwaitsBlock, 4.0), (3.0, Counted, 1.0)] {
         let mut quota = quota_with(leased_units);
         assert_eq!(reserve(&mut quota, 3.0, Available), first);
@@ -87,29 +90,30 @@
 
 #[test]
 fn block_is_sized_by_demand_within_the_even_split() {
-    for (quota, here, has_spare_calls, size) in [
-        // The even split at first; then the demand of a window of 4 s, 4 units at most and no less than the request.
+    for (quota, local_demand, has_spare_calls, size) in [
+        // The first block is the even split. Later ones are the demand of a window of 4 s, limited to 4 units, but they
+        // cover the request of 3 units.
         (RateQuota::default(), 0.1, true, 4.0),
         (quota_with(0.0), 0.9, true, 4.0),
         (quota_with(0.0), 9.0, true, 4.0),
         (quota_with(0.0), 0.1, true, 3.0),
-        // Half a window's demand while calls are scarce.
+        // The demand of half a window while calls are scarce.
         (quota_with(0.0), 9.0, false, 18.0),
-        // What is in hand is not leased again: 4 - 2.5, in whole units.
+        // Units that are already leased are deducted: 4 - 2.5, rounded up.
         (quota_with(2.5), 9.0, true, 2.0),
     ] {
-        let actual = quota.block_size(&TERMS, demand(3.0, 0.0, here), has_spare_calls);
-        assert_eq!(actual, size, "{here} {has_spare_calls}");
+        let actual = quota.block_size(&TERMS, demand(3.0, 0.0, local_demand), has_spare_calls);
+        assert_eq!(actual, size, "{local_demand} {has_spare_calls}");
     }
 }
 
-/// The quota and the decision after the reply about a block of 4 units, and one unreported unit, for a request of 3, in a
-/// window that began at 99 s.
+/// Returns the quota and the decision after the reply to a call that leases 4 units for a request of 3 units and reports
+/// one unreported unit. The window began at 99 s.
 fn reply_to_block(reply: CounterReply, has_spare_calls: bool) -> (RateQuota, BlockDecision) {
     let block = BlockAcquisition {
-        units: 3.0,
+        request_units: 3.0,
         size: 4.0,
-        unreported: 1.0,
+        unreported_units: 1.0,
         terms: TERMS,
         window: Interval {
             number: 7,
@@ -126,9 +130,9 @@
 }
 
 #[test]
-fn block_is_granted_as_far_as_the_bucket_holds_it() {
-    // The bucket is taken to hold 8 units; the total beyond the 5 is what other gateways took.
-    for (reply, give_back, units_in_hand, total) in [
+fn granted_block_is_limited_to_the_level_of_the_bucket() {
+    // The bucket is assumed to hold 8 units. A total above 5 shows the units that other gateways took.
+    for (reply, returned_units, leased_units, total) in [
         (CounterReply::Total(9.0), 0.0, 4.0, 9.0),
         (CounterReply::Total(10.0), 1.0, 3.0, 9.0),
         (CounterReply::Applied, 0.0, 4.0, 5.0),
@@ -136,37 +140,41 @@
     ] {
         let (quota, decision) = reply_to_block(reply, true);
         assert!(decision.granted, "{reply:?}");
-        assert_eq!(decision.give_back, give_back, "{reply:?}");
-        assert_eq!(quota.leased_units, units_in_hand, "{reply:?}");
+        assert_eq!(decision.returned_units, returned_units, "{reply:?}");
+        assert_eq!(quota.leased_units, leased_units, "{reply:?}");
         assert_eq!(quota.bucket.total(), total, "{reply:?}");
     }
 }
 
 #[test]
-fn refused_block_rejects_until_the_bucket_holds_the_units() {
-    // Of 8 units others took 6, so one of three is missing, for half a second; or 20, which is limited to half a window.
-    // Where calls are scarce nothing goes back, and the rejection lasts for the window.
-    for (others, has_spare_calls, left_on_counter, seconds) in [
+fn denied_block_rejects_until_the_bucket_holds_the_units() {
+    // The bucket holds 8 units. If other gateways took 6, one of three units is missing and refills in 0.5 s. If they took
+    // 20, the time is limited to half a window. While calls are scarce, no units are returned and the rejection lasts to
+    // the end of the window.
+    for (taken_by_others, has_spare_calls, units_left_on_counter, seconds) in [
         (6.0, true, 1.0, 0.5),
         (20.0, true, 1.0, 2.0),
         (6.0, false, 5.0, 3.0),
     ] {
-        let reply = CounterReply::Total(others + 5.0);
+        let reply = CounterReply::Total(taken_by_others + 5.0);
         let (quota, decision) = reply_to_block(reply, has_spare_calls);
-        assert!(!decision.granted, "{others}");
-        assert_eq!(decision.left_on_counter, left_on_counter, "{others}");
+        assert!(!decision.granted, "{taken_by_others}");
+        assert_eq!(
+            decision.units_left_on_counter, units_left_on_counter,
+            "{taken_by_others}"
+        );
         let rejected_until = NOW + Duration::from_secs_f64(seconds);
-        assert_eq!(quota.rejected_until(), rejected_until, "{others}");
+        assert_eq!(quota.rejected_until(), rejected_until, "{taken_by_others}");
     }
 }
 
 #[test]
-fn units_are_settled_where_they_were_reserved() {
+fn settlement_goes_to_the_quota_that_was_charged() {
     let mut quota = quota_with(3.0);
     reserve(&mut quota, 3.0, Available);
     quota.settle(-2.0, false);
     assert_eq!(quota.leased_units, 2.0);
-    // One of 4 units is left in the local quota; two that were given back suffice for three.
+    // The local quota has 1 of 4 units left. With the refund of 2 it suffices for 3.
     quota.settle(-2.0, true);
     assert_eq!(reserve(&mut quota, 3.0, Unavailable), Uncounted);
 }
--- a/src/control/token_bucket.rs
+++ b/src/control/token_bucket.rs
@@ -1,26 +1,26 @@
-//! A token bucket: units that refill with time up to a capacity.
+//! A token bucket of units, refilled at a constant rate up to a capacity.
 
 use std::time::Duration;
 
-/// How a bucket refills.
+/// The refill rate and the capacity of a bucket. They are passed to each call because settings can change them.
 #[derive(Clone, Copy)]
 pub(super) struct Refill {
-    /// Units a second.
+    /// The rate in units per second.
     pub(super) rate: f64,
-    /// The most units that the bucket holds.
+    /// The maximum number of units that the bucket holds.
     pub(super) capacity: f64,
 }
 
-/// Units that refill with time.
+/// A token bucket.
 ///
-/// The laboratory's rule checker has a bucket of its own on purpose: it shares no code with what it checks.
+/// The lab's rule checker deliberately has its own implementation, so that it shares no code with what it checks.
 pub(super) struct TokenBucket {
     units: f64,
     updated_at: Duration,
 }
 
 impl TokenBucket {
-    /// A bucket that holds `units` at `now`.
+    /// Creates a bucket that holds `units` at `now`.
     pub(super) fn new(units: f64, now: Duration) -> TokenBucket {
         TokenBucket {
             units,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Refills the bucket and takes `amount`, if it is there; says whether it was.
+    /// Refills the bucket up to `now`. Takes `amount` units if the bucket holds them, and returns whether it did.
     pub(super) fn try_take(&mut self, now: Duration, refill: Refill, amount: f64) -> bool {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         self.units = (self.units + elapsed * refill.rate).min(refill.capacity);
@@ -40,17 +40,17 @@
         fits
     }
 
-    /// Puts units back.
-    pub(super) fn give_back(&mut self, units: f64) {
+    /// Puts units back, without regard to the capacity until the next refill.
+    pub(super) fn refund(&mut self, units: f64) {
         self.units += units;
     }
 
-    /// Takes units also where they are not there, so that the bucket owes them.
+    /// Takes units even if the bucket does not hold them; its level is negative then.
     pub(super) fn take_unchecked(&mut self, units: f64) {
         self.units -= units;
     }
 
-    /// Leaves nothing in the bucket.
+    /// Empties the bucket.
     pub(super) fn clear(&mut self) {
         self.units = 0.0;
     }
--- a/src/control/token_bucket/tests.rs
+++ b/src/control/token_bucket/tests.rs
@@ -2,14 +2,14 @@
 
 const START: Duration = Duration::from_secs(10);
 
-/// Whether a bucket of so many units gives `amount` after so many milliseconds, at 2 units a second and 5 at the most.
+/// Returns whether the bucket gives `amount` units after `milliseconds`. It refills at 2 units per second up to 5 units.
 fn gives(mut bucket: TokenBucket, milliseconds: u64, amount: f64) -> bool {
     let refill = Refill {
         rate: 2.0,
         capacity: 5.0,
     };
     let now = START + Duration::from_millis(milliseconds);
-    // What does not suffice is not taken.
+    // The first attempt must fail and must not take anything.
     bucket.try_take(now, refill, amount + 100.0) || bucket.try_take(now, refill, amount)
 }
 
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn bucket_owes_what_was_taken_unchecked() {
-    // The bucket owes 3 units, which refill in 1.5 s.
+fn level_is_negative_after_unchecked_take() {
+    // The level is -3 units, which takes 1.5 s to refill.
     for (milliseconds, expected) in [(1499, false), (1500, true)] {
         let mut bucket = TokenBucket::new(1.0, START);
         bucket.take_unchecked(4.0);
