--- a/tests/controller_scenario/mod.rs
+++ b/tests/controller_scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the steps of a scenario against a controller whose port is a recorder.
+//! Runs the steps of a scenario against a controller and compares its actions with the expected ones.
 
 mod recorder;
 mod step;
@@ -20,18 +20,18 @@
 
 /// The seed of every controller under test.
 const SEED: u64 = 7;
-/// How far the clock moves at a time while a scenario waits for an action.
+/// The step by which the clock advances while a scenario waits for an action.
 const WAIT_STEP: Duration = Duration::from_millis(10);
 
-/// A controller under test, its clock and what the scenario knows of it.
+/// A controller under test, its clock and its recorded actions.
 #[derive(Default)]
 pub(crate) struct ControllerScenario {
     settings: Settings,
     recorder: Recorder,
-    /// Started when the clock is set for the first time.
+    /// Created when the clock is set for the first time.
     controller: Option<AdmissionController>,
     now: Duration,
-    /// When the latest attempt of each request was sent.
+    /// The time at which the latest attempt of each request was sent.
     sent_at: BTreeMap<String, Duration>,
     /// The counter names to which the labels of the scenario are bound.
     counter_names: BTreeMap<String, u64>,
@@ -65,7 +65,10 @@
             }
             Step::AdvanceTo(time) => self.advance_to(*time),
             Step::AdvanceUntilAction => self.advance_until_action(),
-            Step::ExpectNoTimer => assert!(!self.recorder.has_due_timer(), "a timer is set"),
+            Step::ExpectNoTimer => assert!(
+                !self.recorder.has_queue_timer(),
+                "expected no timer but the periodic one"
+            ),
             Step::UpdateEndpoints(update) => self.update_endpoints(update.clone()),
             Step::Request(arguments) => self.request(arguments),
             Step::ReplyFromCounter { label, reply } => self.reply_from_counter(label, *reply),
@@ -90,20 +93,22 @@
 
 impl ControllerScenario {
     fn controller(&mut self) -> &mut AdmissionController {
-        self.controller.as_mut().expect("'at' comes first")
+        self.controller
+            .as_mut()
+            .expect("expected a step `at` before this one")
     }
 
-    /// Sets every setting of a file, one name and value a line.
+    /// Applies the settings of a file, which has one name and value per line.
     fn use_settings(&mut self, file: &str) {
         let path = format!("tests/scenarios/{file}.set");
-        let text = std::fs::read_to_string(path).expect("a settings file");
+        let text = std::fs::read_to_string(path).expect("expected a readable settings file");
         for line in text.lines().filter(|line| !line.is_empty()) {
-            let (name, value) = line.split_once(' ').expect("a name and a value");
+            let (name, value) = line.split_once(' ').expect("expected a name and a value");
             named_settings::set(&mut self.settings, name, value.trim());
         }
     }
 
-    /// Moves the clock, firing the timers on the way.
+    /// Advances the clock to `time` and fires the timers that are due by then. Creates the controller at the first call.
     fn advance_to(&mut self, time: Duration) {
         let settings = &self.settings;
         let recorder = &self.recorder;
@@ -126,7 +131,7 @@
     }
 
     fn update_endpoints(&mut self, update: EndpointUpdate) {
-        // In the scenarios all clocks are one.
+        // The scenarios use one clock for all purposes.
         let timing = UpdateTiming {
             unix_now: UnixTime(self.now),
             since_last_update: None,
@@ -148,23 +153,23 @@
         self.controller().on_request(request);
     }
 
-    /// Replies to the oldest open add on a number. Before it, what was taken off the number is replied to.
+    /// Replies to the oldest unanswered addition to a value on the counter. Subtractions before it are answered with a total
+    /// of 0 first.
     fn reply_from_counter(&mut self, label: &str, reply: CounterReply) {
         let name = *self
             .counter_names
             .get(label)
-            .unwrap_or_else(|| panic!("label {label} was not seen yet"));
+            .unwrap_or_else(|| panic!("expected an earlier `> add {label}`, found none"));
         let name = CounterName(name);
         loop {
-            let amount = self
-                .recorder
-                .take_unanswered_add(name)
-                .expect("an add on this number without a reply");
+            let amount = self.recorder.take_unanswered_add(name).unwrap_or_else(|| {
+                panic!("expected an unanswered addition to {label}, found none")
+            });
             if amount >= 0.0 {
                 break;
             }
-            let total = CounterReply::Total(0.0);
-            self.controller().on_counter_reply(name, total);
+            self.controller()
+                .on_counter_reply(name, CounterReply::Total(0.0));
         }
         self.controller().on_counter_reply(name, reply);
     }
@@ -191,11 +196,17 @@
 
     /// Compares the controller's next action with the expected one.
     fn expect_action(&mut self, expected: &ExpectedAction) {
-        let action = self.recorder.next_action().expect("nothing was done");
+        let action = self
+            .recorder
+            .next_action()
+            .unwrap_or_else(|| panic!("expected {expected:?}, but the controller did nothing"));
         if let Action::Send(attempt) = &action {
             self.sent_at.insert(attempt.request.clone(), self.now);
         }
-        assert!(self.is_as_expected(&action, expected), "got: {action:?}");
+        assert!(
+            self.is_as_expected(&action, expected),
+            "expected {expected:?}, got {action:?}"
+        );
     }
 
     fn is_as_expected(&mut self, action: &Action, expected: &ExpectedAction) -> bool {
@@ -220,16 +231,16 @@
                     label,
                     amount: expected_amount,
                 },
-            ) => self.is_bound(label, *name) && expected_amount.matches(*amount),
+            ) => self.label_matches(label, *name) && expected_amount.matches(*amount),
             _ => false,
         }
     }
 
-    /// Whether the label is bound to the counter name. A new label is bound to the name that it meets, unless another
-    /// one is already.
-    fn is_bound(&mut self, label: &str, name: u64) -> bool {
-        let is_taken = self.counter_names.values().any(|bound| *bound == name);
-        if !is_taken && !self.counter_names.contains_key(label) {
+    /// Returns whether the label is bound to the counter name. A new label is bound to the name first, unless another
+    /// label is bound to it already.
+    fn label_matches(&mut self, label: &str, name: u64) -> bool {
+        let has_label = self.counter_names.values().any(|bound| *bound == name);
+        if !has_label && !self.counter_names.contains_key(label) {
             self.counter_names.insert(label.to_string(), name);
         }
         self.counter_names.get(label) == Some(&name)
--- a/tests/controller_scenario/recorder.rs
+++ b/tests/controller_scenario/recorder.rs
@@ -1,4 +1,5 @@
-//! The port of a controller under test: records what the controller does, to be compared with what a scenario expects.
+//! The port of a controller under test. It records the controller's actions, to be compared with those that a scenario
+//! expects.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -8,79 +9,82 @@
     AttemptNumber, CounterName, EndpointId, Port, RequestId, TimerToken, QUEUE_TIMER,
 };
 
-/// One thing that the controller has asked of its adapter.
+/// An action that the controller has requested from its adapter.
 #[derive(Debug)]
 pub(crate) enum Action {
-    /// To begin an attempt.
+    /// Start an attempt.
     Send(SentAttempt),
-    /// To give an attempt up.
+    /// Cancel an attempt.
     Cancel { request: String, attempt: u32 },
-    /// To answer that it is harmless to ask again.
+    /// Reject a request, which the client may safely retry.
     Reject(Rejection),
-    /// To answer that the request has failed.
+    /// Fail a request.
     Fail { request: String },
-    /// To add to a number on the shared counter.
+    /// Add an amount to a value on the shared counter.
     AddToCounter { name: u64, amount: f64 },
-    /// To begin or end the subscription to endpoint updates. No scenario expects it.
+    /// Start or end the subscription to endpoint updates. No scenario expects this action.
     #[allow(
         dead_code,
-        reason = "its field is printed where the action is not expected"
+        reason = "the field is printed when the action fails a scenario"
     )]
     Subscribe { active: bool },
 }
 
-/// An attempt that the controller began.
+/// An attempt that the controller has started.
 #[derive(Debug)]
 pub(crate) struct SentAttempt {
-    /// Of which request.
+    /// The request's id.
     pub(crate) request: String,
-    /// To which endpoint.
+    /// The endpoint's id.
     pub(crate) endpoint: String,
-    /// By when the command must have gone out whole, if it must.
+    /// The time by which the command must be sent completely, or `None` without a limit.
     pub(crate) send_by: Option<Duration>,
 }
 
-/// The answer to a client that it is harmless to ask again.
+/// The answer to a client that it may safely retry its request.
 #[derive(Debug)]
 pub(crate) struct Rejection {
-    /// Which request is rejected.
+    /// The request's id.
     pub(crate) request: String,
-    /// After how long the client may ask again.
+    /// The time after which the client may retry.
     pub(crate) retry_after: Duration,
 }
 
-/// What has been recorded and not been consumed yet.
+/// The recorded actions and timers that have not been consumed yet.
 #[derive(Default)]
 struct Recording {
     actions: VecDeque<Action>,
-    /// When each timer fires, and its token.
+    /// The time at which each timer fires, and its token.
     timers: Vec<(Duration, u64)>,
-    /// The amounts added to each number on the counter for which no reply has come, oldest first.
+    /// The amounts added to each counter name without a reply so far, the oldest first.
     unanswered_adds: BTreeMap<u64, VecDeque<f64>>,
 }
 
-/// Records the controller's actions. Clones share one recording, as the controller owns its port.
+/// Records the controller's actions. Clones share one recording, because the controller owns its port.
 #[derive(Clone, Default)]
 pub(crate) struct Recorder(Rc<RefCell<Recording>>);
 
 impl Recorder {
-    /// The oldest action that has not been consumed yet.
+    /// Removes and returns the oldest recorded action.
     pub(crate) fn next_action(&self) -> Option<Action> {
         self.0.borrow_mut().actions.pop_front()
     }
 
-    /// Whether an action has been recorded that has not been consumed yet.
+    /// Returns whether there is an action that has not been consumed yet.
     pub(crate) fn has_action(&self) -> bool {
         !self.0.borrow().actions.is_empty()
     }
 
-    /// Panics where an action has been recorded that has not been consumed yet.
+    /// Panics if there is an action that has not been consumed yet.
     pub(crate) fn assert_no_action(&self) {
         let actions = &self.0.borrow().actions;
-        assert!(actions.is_empty(), "not expected: {actions:?}");
+        assert!(
+            actions.is_empty(),
+            "expected no further action, got {actions:?}"
+        );
     }
 
-    /// Takes the timer that fires first, if it does so by the given time.
+    /// Removes and returns the timer that fires first, if that is by the given time.
     pub(crate) fn take_due_timer(&self, now: Duration) -> Option<(Duration, TimerToken)> {
         let timers = &mut self.0.borrow_mut().timers;
         let first = timers
@@ -92,13 +96,13 @@
         Some((first.0, TimerToken(first.1)))
     }
 
-    /// Whether a timer other than the periodic one is set.
-    pub(crate) fn has_due_timer(&self) -> bool {
+    /// Returns whether a timer other than the periodic one is set.
+    pub(crate) fn has_queue_timer(&self) -> bool {
         let timers = &self.0.borrow().timers;
         timers.iter().any(|timer| timer.1 == QUEUE_TIMER.0)
     }
 
-    /// Takes the oldest amount that was added to a number on the counter and has no reply yet.
+    /// Removes and returns the oldest amount that was added to a counter name and has no reply yet.
     pub(crate) fn take_unanswered_add(&self, name: CounterName) -> Option<f64> {
         let adds = &mut self.0.borrow_mut().unanswered_adds;
         adds.get_mut(&name.0)?.pop_front()
--- a/tests/controller_scenario/step.rs
+++ b/tests/controller_scenario/step.rs
@@ -1,4 +1,4 @@
-//! The steps of the controller's scenarios, and how they are read. `tests/scenarios.rs` describes the notation.
+//! The steps of the controller's scenarios and their parser. `tests/scenarios.rs` describes the notation.
 
 use super::recorder::{Rejection, SentAttempt};
 use crate::step_arguments::{invalid, parse_value, Arguments, StepError};
@@ -10,23 +10,23 @@
 /// One step of a scenario.
 #[derive(Debug)]
 pub(crate) enum Step {
-    /// Reads the settings of a file.
+    /// Applies the settings of a file.
     UseSettings { file: String },
     /// Changes one setting.
     SetSetting { name: String, value: String },
-    /// Gives the controller the settings as they are by now.
+    /// Gives the current settings to the controller.
     Reconfigure,
-    /// Moves the clock to a time.
+    /// Advances the clock to a time.
     AdvanceTo(Duration),
-    /// Moves the clock until the controller does something.
+    /// Advances the clock until the controller does something.
     AdvanceUntilAction,
-    /// Expects that only the periodic timer is set.
+    /// Expects that no timer but the periodic one is set.
     ExpectNoTimer,
-    /// Discovery tells of endpoints.
+    /// Discovery sends an update of the endpoint list.
     UpdateEndpoints(EndpointUpdate),
-    /// A request comes in.
+    /// A request arrives.
     Request(RequestArguments),
-    /// The counter replies to an add.
+    /// The counter replies to the oldest unanswered addition to the value with this label.
     ReplyFromCounter { label: String, reply: CounterReply },
     /// An attempt ends.
     EndAttempt {
@@ -35,40 +35,39 @@
         outcome: AttemptOutcome,
         settled_units: Option<f64>,
     },
-    /// The client of a request has left.
+    /// The client of a request disconnects.
     Disconnect { request: String },
-    /// Expects this as the controller's next action.
+    /// Expects this action as the controller's next one.
     Expect(ExpectedAction),
 }
 
-/// A request that comes in.
+/// The arguments of a step `request`.
 #[derive(Debug)]
 pub(crate) struct RequestArguments {
-    /// Its id.
+    /// The request's id.
     pub(crate) request: String,
-    /// Whose it is.
+    /// The customer that sent it.
     pub(crate) customer: String,
     /// The customer's plan.
     pub(crate) plan: String,
-    /// Its route.
+    /// The requested route.
     pub(crate) route: String,
-    /// How long the client waits.
+    /// The client's timeout.
     pub(crate) timeout: Duration,
-    /// Its units, where they are not one.
+    /// The request's units, or `None` for 1.
     pub(crate) units: Option<f64>,
 }
 
 /// A value that a scenario expects, or `*` for any.
 #[derive(Debug)]
 pub(crate) enum Expected<T> {
-    /// Any value.
     Any,
-    /// This one.
+    /// This value only.
     Exactly(T),
 }
 
 impl Expected<String> {
-    /// Whether a text is as expected.
+    /// Returns whether a text is as expected.
     pub(crate) fn matches(&self, actual: &str) -> bool {
         match self {
             Expected::Any => true,
@@ -78,7 +77,7 @@
 }
 
 impl Expected<f64> {
-    /// Whether a number is the same to the bit.
+    /// Returns whether a number is as expected; compares all bits.
     pub(crate) fn matches(&self, actual: f64) -> bool {
         match self {
             Expected::Any => true,
@@ -87,17 +86,17 @@
     }
 }
 
-/// An attempt that a scenario expects to begin.
+/// An attempt that a scenario expects to be started.
 #[derive(Debug)]
 pub(crate) struct ExpectedAttempt {
     request: String,
     endpoint: Expected<String>,
-    /// In seconds; none: at any time.
+    /// The time in seconds by which it must be sent, or `None` without a limit.
     send_by: Option<f64>,
 }
 
 impl ExpectedAttempt {
-    /// Whether an attempt is as expected.
+    /// Returns whether an attempt is as expected.
     pub(crate) fn matches(&self, attempt: &SentAttempt) -> bool {
         let send_by = attempt.send_by.map(|send_by| send_by.as_secs_f64());
         self.request == attempt.request
@@ -110,12 +109,12 @@
 #[derive(Debug)]
 pub(crate) struct ExpectedRejection {
     request: String,
-    /// In seconds.
+    /// The time in seconds after which the client may retry.
     retry_after: Expected<f64>,
 }
 
 impl ExpectedRejection {
-    /// Whether a rejection is as expected.
+    /// Returns whether a rejection is as expected.
     pub(crate) fn matches(&self, rejection: &Rejection) -> bool {
         self.request == rejection.request
             && self
@@ -127,15 +126,15 @@
 /// An action that a scenario expects.
 #[derive(Debug)]
 pub(crate) enum ExpectedAction {
-    /// An attempt begins.
+    /// An attempt is started.
     Send(ExpectedAttempt),
-    /// An attempt is given up.
+    /// An attempt is cancelled.
     Cancel { request: String, attempt: u32 },
     /// A request is rejected.
     Reject(ExpectedRejection),
     /// A request fails.
     Fail { request: String },
-    /// An amount is added to the number on the counter to which the label is bound.
+    /// An amount is added to the value on the counter to which the label is bound.
     AddToCounter {
         label: String,
         amount: Expected<f64>,
@@ -143,7 +142,7 @@
 }
 
 impl Step {
-    /// Reads one step.
+    /// Parses one step.
     pub(crate) fn parse(text: &str) -> Result<Step, StepError> {
         let mut arguments = Arguments::new(text);
         let verb = arguments.word("step")?;
@@ -152,11 +151,11 @@
                 file: arguments.value("settings file")?,
             },
             "set" => Step::SetSetting {
-                name: arguments.value("name of a setting")?,
+                name: arguments.value("setting name")?,
                 value: arguments.value("value")?,
             },
             "reconfigure" => Step::Reconfigure,
-            "at" => Step::AdvanceTo(span("time", arguments.word("time")?)?),
+            "at" => Step::AdvanceTo(parse_seconds("time", arguments.word("time")?)?),
             "wait" => Step::AdvanceUntilAction,
             "no_timer" => Step::ExpectNoTimer,
             "endpoints" => Step::UpdateEndpoints(parse_update(&mut arguments)?),
@@ -167,7 +166,7 @@
             },
             "attempt" => Step::EndAttempt {
                 request: arguments.value("request")?,
-                attempt: arguments.value("number of the attempt")?,
+                attempt: arguments.value("attempt number")?,
                 outcome: parse_outcome(arguments.word("outcome")?)?,
                 settled_units: arguments.optional_value("settled units")?,
             },
@@ -189,7 +188,7 @@
             customer: arguments.value("customer")?,
             plan: arguments.value("plan")?,
             route: arguments.value("route")?,
-            timeout: span("timeout", arguments.word("timeout")?)?,
+            timeout: parse_seconds("timeout", arguments.word("timeout")?)?,
             units: arguments.optional_value("units")?,
         })
     }
@@ -205,7 +204,7 @@
             }),
             "cancel" => ExpectedAction::Cancel {
                 request: arguments.value("request")?,
-                attempt: arguments.value("number of the attempt")?,
+                attempt: arguments.value("attempt number")?,
             },
             "reject" => ExpectedAction::Reject(ExpectedRejection {
                 request: arguments.value("request")?,
@@ -224,8 +223,8 @@
     }
 }
 
-/// A span or a moment, in seconds.
-fn span(argument: &'static str, word: &str) -> Result<Duration, StepError> {
+/// Parses a duration or a time in seconds.
+fn parse_seconds(argument: &'static str, word: &str) -> Result<Duration, StepError> {
     let seconds = parse_value(argument, word)?;
     Duration::try_from_secs_f64(seconds).map_err(|_| invalid(argument, word))
 }
@@ -240,7 +239,7 @@
     }
 }
 
-/// `by 2`, where the step says when the command must have gone out.
+/// Parses the optional words `by SECOND`, the time by which an attempt must be sent.
 fn parse_send_by(arguments: &mut Arguments) -> Result<Option<f64>, StepError> {
     match arguments.optional_word() {
         None => Ok(None),
@@ -272,7 +271,7 @@
     }
 }
 
-/// The whole list of endpoints, or behind the word `changed` those that have changed.
+/// Parses the complete list of endpoints, or after the word `changed` only those that have changed.
 fn parse_update(arguments: &mut Arguments) -> Result<EndpointUpdate, StepError> {
     let words: Vec<&str> = arguments.words().collect();
     let (is_delta, words) = match words[..] {
@@ -289,7 +288,7 @@
     Ok(EndpointUpdate::Snapshot(endpoints))
 }
 
-/// `NAME[/CELL][~MACHINE_TYPE][@STARTED][!|-]`.
+/// Parses `NAME[/CELL][~MACHINE_TYPE][@START_SECOND][!|-]`; `!` marks a draining endpoint and `-` a removed one.
 fn parse_endpoint(word: &str) -> Result<Endpoint, StepError> {
     let state = match word.chars().last() {
         Some('!') => EndpointState::Draining,
@@ -298,7 +297,10 @@
     };
     let entry = word.trim_end_matches(['!', '-']);
     let (entry, started_at) = match entry.split_once('@') {
-        Some((entry, started_at)) => (entry, Some(span("start of an endpoint", started_at)?)),
+        Some((entry, started_at)) => (
+            entry,
+            Some(parse_seconds("start time of an endpoint", started_at)?),
+        ),
         None => (entry, None),
     };
     let (entry, machine_type) = entry.split_once('~').unwrap_or((entry, ""));
--- a/tests/scenario_runner/mod.rs
+++ b/tests/scenario_runner/mod.rs
@@ -1,9 +1,9 @@
-//! Runs the scenario files of a package, the `.txt` files in its folder `tests/scenarios`. Each file is a list of
-//! steps, one a line; `#` begins a comment. Test crates of several packages include this module by its path.
+//! Runs the scenario files of a package: the `.txt` files in its directory `tests/scenarios`. Each line of a file holds
+//! one or more steps; `#` starts a comment. Test crates of several packages include this module by path.
 //!
-//! `ONLY=part` in the environment runs only the files whose path contains that part. A file that `KNOWN-RED.txt` at
-//! the root of the workspace names (its path, a colon, the cause) is run; its failure is printed and does not fail
-//! the test.
+//! If the environment variable `ONLY` is set, only files whose path contains its value are run. The file `KNOWN-RED.txt`
+//! at the root of the workspace lists scenarios that are known to fail, one per line: the path, a colon and the cause.
+//! These are run, too; their failures are printed and do not fail the test.
 
 use std::fmt::{Debug, Display};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -11,30 +11,30 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// So many scenario files are run at a time.
+/// The number of scenario files that are run concurrently.
 const PARALLEL_SCENARIOS: usize = 4;
 
-/// The state against which the steps of one scenario file are run.
+/// The state of one scenario file, on which its steps are run.
 pub(crate) trait Scenario: Sized {
     /// One step of the file.
     type Step: Debug;
-    /// Why a line can't be read as steps.
+    /// The error for a line that can't be parsed.
     type ParseError: Display;
 
-    /// Begins the scenario file of that name, given without its extension.
+    /// Creates the state for the scenario file with this name, given without its extension.
     fn new(name: &str) -> Self;
 
-    /// Reads one line of the file, without its comment and never empty.
+    /// Parses one line of the file. The line has no comment and is not empty.
     fn parse_line(line: &str) -> Result<Vec<Self::Step>, Self::ParseError>;
 
-    /// Runs one step; panics where an expectation of the step is not met.
+    /// Runs one step. Panics if an expectation of the step is not met.
     fn run_step(&mut self, step: &Self::Step);
 
-    /// Called after the last step; panics where something is left that should not be.
+    /// Called after the last step. Panics if something is left that no step has expected.
     fn finish(&mut self) {}
 }
 
-/// Runs every scenario file of the package and panics with a list of those that failed.
+/// Runs every scenario file of the package. Panics with a list of the failures, if there are any.
 pub(crate) fn run_all<S: Scenario>() {
     let files = scenario_files();
     let next_file = AtomicUsize::new(0);
@@ -56,22 +56,26 @@
     assert!(failures.is_empty(), "\n{}", failures.join("\n"));
 }
 
-/// The scenario files to run, in the order of their names; panics where there is none.
+/// Returns the scenario files to run, in the order of their names. Panics if there are none.
 fn scenario_files() -> Vec<PathBuf> {
-    let folder = std::fs::read_dir("tests/scenarios").expect("the folder of the scenarios");
-    let mut files: Vec<PathBuf> = folder.map(|file| file.unwrap().path()).collect();
+    let directory =
+        std::fs::read_dir("tests/scenarios").expect("expected a directory tests/scenarios");
+    let mut files: Vec<PathBuf> = directory.map(|file| file.unwrap().path()).collect();
     files.retain(|path| path.extension().is_some_and(|extension| extension == "txt"));
     files.sort();
     if let Ok(only) = std::env::var("ONLY") {
         files.retain(|path| path.to_string_lossy().contains(&only));
     }
-    assert!(!files.is_empty(), "no scenario found");
+    assert!(
+        !files.is_empty(),
+        "expected at least one .txt file in tests/scenarios whose path matches ONLY, found none"
+    );
     files
 }
 
-/// Runs one file; the error names the line that could not be read or whose step failed.
+/// Runs one file. The error names the line that could not be parsed or whose step failed.
 fn run_file<S: Scenario>(path: &Path) -> Result<(), String> {
-    let text = std::fs::read_to_string(path).expect("a scenario file");
+    let text = std::fs::read_to_string(path).expect("expected a readable scenario file");
     let mut steps = Vec::new();
     for (index, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or("").trim();
@@ -82,22 +86,25 @@
         let parsed = S::parse_line(line).map_err(|error| format!("{place}: {error}"))?;
         steps.push((place, parsed));
     }
-    let name = path.file_stem().expect("a file name").to_string_lossy();
+    let name = path
+        .file_stem()
+        .expect("expected a path with a file name")
+        .to_string_lossy();
     let mut scenario = S::new(&name);
     for (place, line_steps) in &steps {
         for step in line_steps {
             succeeds(|| scenario.run_step(step)).map_err(|()| format!("{place}: {step:?}"))?;
         }
     }
-    succeeds(|| scenario.finish()).map_err(|()| format!("{}: at its end", path.display()))
+    succeeds(|| scenario.finish()).map_err(|()| format!("{}: after the last step", path.display()))
 }
 
-/// Whether the function returns without a panic; the message of a panic is printed by the panic hook.
+/// Runs a function and returns an error if it panics. The panic hook prints the message.
 fn succeeds(run: impl FnOnce()) -> Result<(), ()> {
     catch_unwind(AssertUnwindSafe(run)).map_err(drop)
 }
 
-/// Whether a failure is on the list of known ones; prints it with the listed cause if so.
+/// Returns whether a failure is on the list of known ones. If so, prints it with the listed cause.
 fn is_known(failure: &str, known: &[String]) -> bool {
     let path = failure.split(':').next().unwrap_or("");
     let cause = known.iter().find(|line| line.starts_with(path));
@@ -107,16 +114,16 @@
     cause.is_some()
 }
 
-/// The lines of `KNOWN-RED.txt` that are about scenarios of this package, from the path within the package on.
+/// Returns the lines of `KNOWN-RED.txt` on scenarios of this package, with paths relative to the package.
 fn known_failures() -> Vec<String> {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
     let root = package
         .ancestors()
-        .find(|folder| folder.join("Cargo.lock").exists())
-        .expect("the root of the workspace");
+        .find(|directory| directory.join("Cargo.lock").exists())
+        .expect("expected Cargo.lock in a parent directory of the package");
     let package_prefix = package
         .strip_prefix(root)
-        .expect("the workspace contains the package")
+        .expect("expected the package inside the workspace")
         .join("");
     let list = std::fs::read_to_string(root.join("KNOWN-RED.txt")).unwrap_or_default();
     list.lines()
