--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,31 +1,33 @@
-//! Runs every scenario in `tests/scenarios` against the controller. A scenario is a text file of steps, one a line or
+//! Runs every scenario in `tests/scenarios` against the controller. A scenario is a text file of steps, one per line or
 //! separated by `;`:
 //!
 //! ```text
-//! use common                      reads the settings of common.set, one "name value" a line
-//! set plans.p.rate 2              changes one setting
-//! reconfigure                     the settings as they are by now apply from here on
-//! at 0.5                          moves the clock to this second, firing timers on the way; the first time, starts
-//!                                 the controller
-//! wait                            moves the clock in steps of 10 ms until the controller does something
-//! endpoints a b/7 c@0.4 d! e~k    discovery's whole list: an endpoint, one of cell 7, one started at 0.4 s, one that
-//!                                 drains, one of machine type k
-//! endpoints changed d-            discovery's news: d has been removed
-//! request r1 ann p get 2.5 [3]    a request comes in: id, customer, plan, route, client timeout in seconds, units
-//! reply H total 1                 the counter replies to the oldest open add on the number labelled H: total N, applied
-//!                                 (but the total is unreadable), not_applied or unknown; before it, it replies to what
-//!                                 was taken off the number
-//! attempt r1 0 success [3]        an attempt ends, with the units settled: success server_error rejected timed_out
-//!                                 connect_failed reset not_sent
-//! disconnect r1                   the client of r1 has left
-//! no_timer                        only the periodic timer is set
-//! > add H +1                      the next action, all of which are expected in their order: add LABEL AMOUNT to a
-//!                                 number on the counter, send REQUEST ENDPOINT [by SECOND], reject REQUEST
-//!                                 RETRY_AFTER, fail REQUEST, cancel REQUEST ATTEMPT
+//! use common                      apply the settings of common.set, which has one "name value" per line
+//! set plans.basic.rate 2          change one setting
+//! reconfigure                     give the current settings to the controller
+//! at 0.5                          advance the clock to this second and fire the timers that are due; the first such
+//!                                 step creates the controller
+//! wait                            advance the clock in steps of 10 ms until the controller does something
+//! endpoints a b/7 c@0.4 d! e~k    discovery sends the complete list: endpoint a, b in cell 7, c started at 0.4 s,
+//!                                 d draining, e of machine type k
+//! endpoints changed d-            discovery sends the changed entries: d is removed
+//! request r1 ann basic get 2 [3]  a request arrives: id, customer, plan, route, client timeout in seconds, and units,
+//!                                 which are 1 by default
+//! reply ann_leases total 1        the counter replies to the oldest unanswered addition to the value with this label:
+//!                                 total N, applied (the total is unreadable), not_applied or unknown. Subtractions
+//!                                 before it are answered first.
+//! attempt r1 0 success [3]        attempt 0 of r1 ends, optionally with its settled units: success, server_error,
+//!                                 rejected, timed_out, connect_failed, reset or not_sent
+//! disconnect r1                   the client of r1 disconnects
+//! no_timer                        expect that no timer but the periodic one is set
+//! > add ann_leases +1             expect the next action. Every action must be expected, in order: add LABEL AMOUNT
+//!                                 (to a value on the counter), send REQUEST ENDPOINT [by SECOND], reject REQUEST
+//!                                 RETRY_AFTER, fail REQUEST or cancel REQUEST ATTEMPT.
 //! ```
 //!
-//! A label is bound to the counter's number where it is first seen. `*` as an endpoint, an amount or a span stands for
-//! any.
+//! A label is bound to a value on the counter by the first `> add` that uses it. The labels name the customer and what is
+//! counted; a number distinguishes later lease periods and quota windows. `*` stands for any endpoint, amount or
+//! retry-after.
 
 mod controller_scenario;
 mod named_settings;
