--- a/src/control/leases.rs
+++ b/src/control/leases.rs
@@ -60,7 +60,7 @@
     /// The length of the customer's quota window, in seconds.
     pub(super) window_seconds: f64,
     /// The time for which a unit of demand is in flight, in seconds: the route's baseline latency divided by the units of
-    /// the request.
+    /// the request. 0 if the baseline latency is not known.
     pub(super) seconds_per_unit: f64,
     /// Whether the counter is not called in order to save a call: the units known to be used in this window are too few
     /// to reach the limit.
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Starts the renewal into a period and returns the leases that are not counted in it yet. Each period is renewed only
-    /// once; further calls return nothing.
+    /// Starts the renewal into a period and returns the leases that are not counted in it yet. Once this has returned any,
+    /// further calls for the period return nothing.
     pub(super) fn start_renewal(&mut self, period: u64) -> Vec<LeaseId> {
         if self.renewed_into >= period {
             return Vec::new();
