--- a/src/control.rs
+++ b/src/control.rs
@@ -1,24 +1,27 @@
-//! The decisions of one gateway.
+//! The admission controller: the decisions of one gateway.
 //!
-//! An adapter makes an [`AdmissionController`] with the settings, a seed and a [`Port`], then before each event tells it
-//! the time ([`AdmissionController::set_time`]) and hands the event over (`on_request`, `on_counter_reply`,
-//! `on_attempt_end` and so on). The controller acts through the port; [`crate::port`] describes both sides of it.
+//! An adapter creates an [`AdmissionController`] with the settings, a seed and a [`Port`]. Before each event it sets the
+//! time ([`AdmissionController::set_time`]), then it passes the event (`on_request`, `on_counter_reply`,
+//! `on_attempt_end` and so on). The controller acts through the port; [`crate::port`] describes both directions.
 //!
-//! A request goes through these steps: a concurrency lease is acquired on the counter, its units are reserved, an
-//! attempt is sent, and the attempt's end leads to the final answer or to a further attempt. What a step waits for is a
-//! typed record: a `CallPurpose` for a reply of the counter, an `InFlightAttempt` for the end of an attempt, a `Timer`.
-//! The controller keeps the course of a request and joins the parts, each of which owns its state:
+//! A request goes through these steps: the controller acquires a concurrency lease on the shared counter, reserves the
+//! request's units and sends an attempt. When the attempt ends, the request gets its final answer or a retry. A typed
+//! record says what a step waits for: a `CallPurpose` for a reply of the counter, an `InFlightAttempt` for the end of an
+//! attempt, a `Timer` for a time.
 //!
-//! | module | what it decides or keeps |
+//! The controller takes each request through these steps and connects the modules, each of which owns its state:
+//!
+//! | module | what it decides or stores |
 //! | --- | --- |
-//! | `requests` | records of open requests and of attempts |
-//! | `customer_quotas` | what each customer may do: `customers`, `leases`, `rate_quota`, `ceiling`, with `token_bucket`, `observed_bucket` and `unit_reports` |
-//! | `counter_client` | calls on the counter, with `rate_pacer`, `circuit_breaker` and `counter_names` |
-//! | `load_balancer` | what is known of endpoints: `endpoints`, `failure_rate`, `latency`, `machine_types`, `throughput` |
-//! | `endpoint_picker` | which endpoint an attempt goes to; `slow_start` what one may be sent that has just started |
-//! | `concurrency_limit`, `load_shedding` | how many attempts may be in flight, and which requests are refused in overload |
-//! | `retries`, `retry_after` | whether a further attempt is safe; when a rejected client is told to come again |
-//! | `timers`, `context` | what is due when; what every part is given |
+//! | `requests` | the records of open requests and of attempts |
+//! | `customer_quotas` | the quotas of each customer: `customers`, `leases`, `rate_quota`, `ceiling`, with `token_bucket`, `observed_bucket` and `unit_reports` |
+//! | `counter_client` | the calls on the counter, with `rate_pacer`, `circuit_breaker` and `counter_names` |
+//! | `load_balancer` | the state of the endpoints: `endpoints`, `failure_rate`, `latency`, `machine_types`, `throughput` |
+//! | `endpoint_picker` | which endpoint an attempt is sent to |
+//! | `slow_start` | how much may be sent to an endpoint that has just started |
+//! | `concurrency_limit`, `load_shedding` | how many attempts may be in flight, and which requests are shed under overload |
+//! | `retries`, `retry_after` | whether a retry is safe, and when a rejected client is told to retry |
+//! | `timers`, `context` | the timer queue, and the settings, time and port that all modules use |
 
 mod ceiling;
 mod circuit_breaker;
@@ -63,7 +66,7 @@
 use nanorand::{Rng, WyRand};
 use rate_quota::{Reservation, WaitingRequest};
 use requests::{InFlightAttempt, OpenRequest};
-use retries::{EffectGuard, RetryBudget};
+use retries::{RepeatGuard, RetryBudget};
 use retry_after::DEFAULT_RETRY_AFTER;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -71,22 +74,23 @@
 use std::time::Duration;
 use timers::{Timer, TimerQueue};
 
-/// The interval of the one periodic timer.
-const TICK: Duration = Duration::from_millis(50);
+/// The interval of [`TICK_TIMER`], the only periodic timer.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long after a failure of discovery the endpoint list is asked for again.
-const RESUBSCRIBE_AFTER: Duration = Duration::from_millis(500);
+/// The delay after a discovery failure before the gateway subscribes again.
+const RESUBSCRIBE_DELAY: Duration = Duration::from_millis(500);
 
-/// The last moment to answer a request lies so many timer resolutions before its deadline.
+/// The number of timer resolutions by which an event may be handled later than planned. A request is answered this much
+/// before its deadline.
 const TIMER_SLACK_RESOLUTIONS: u32 = 2;
 
-/// The decisions of one gateway.
+/// Decides for one gateway which requests are admitted, and where and when their attempts are sent.
 pub struct AdmissionController {
     context: Context,
     rng: WyRand,
     started_at: Duration,
     requests: BTreeMap<RequestId, OpenRequest>,
-    /// Attempts whose end is awaited, also where their request has its final answer.
+    /// Attempts whose end has not been reported yet, including those of requests that already have their final answer.
     attempts: BTreeMap<(RequestId, AttemptNumber), InFlightAttempt>,
     quotas: CustomerQuotas,
     balancer: LoadBalancer,
@@ -95,16 +99,17 @@
     timers: TimerQueue,
 }
 
-/// Where an attempt is to be sent.
+/// The endpoint of the next attempt, and until when the attempt may be sent.
 struct AttemptTarget {
     endpoint: EndpointId,
-    /// It must have gone out whole by then, so that it has no second effect; [`Duration::MAX`]: at any time.
+    /// The time by which the attempt must be sent completely, so that the request can't run twice; [`Duration::MAX`]
+    /// means no limit.
     send_by: Duration,
 }
 
 impl AdmissionController {
-    /// A controller that knows no endpoint yet. `seed` is for random numbers, another one at each start; `now` is the
-    /// adapter's clock.
+    /// Creates a controller without endpoints. `seed` seeds its random numbers and should differ at each start; `now` is
+    /// the current time on the adapter's clock.
     pub fn new(settings: Rc<Settings>, seed: u64, now: Duration, port: Box<dyn Port>) -> Self {
         let mut controller = AdmissionController {
             quotas: CustomerQuotas::new(&settings, now),
@@ -122,15 +127,15 @@
             retry_budget: RetryBudget::new(),
             timers: TimerQueue::default(),
         };
-        controller.set_tick();
+        controller.set_tick_timer();
         if controller.context.settings.discovery == DiscoveryMode::Subscribe {
             controller.context.port.subscribe(true);
         }
         controller
     }
 
-    /// Other settings from now on. Requests that are open keep the terms that they came with; what is leased, reserved
-    /// or out stays counted where it was counted.
+    /// Replaces the settings. Open requests keep the route settings that they were received with. Leases, reserved units
+    /// and attempts in flight stay counted where they were counted.
     pub fn reconfigure(&mut self, settings: Rc<Settings>) {
         let old = std::mem::replace(&mut self.context.settings, settings);
         let new = &self.context.settings;
@@ -143,12 +148,12 @@
         self.balancer.refresh_subset(&self.context);
     }
 
-    /// Tells the time before each event.
+    /// Sets the current time, on the adapter's clock. Must be called before each event.
     pub fn set_time(&mut self, now: Duration) {
         self.context.now = now;
     }
 
-    /// A request has come in. It gets its one final answer by its deadline.
+    /// Handles a new client request. It gets exactly one final answer, by its deadline.
     pub fn on_request(&mut self, request: Request) {
         let id = request.id.clone();
         let customer = request.customer.clone();
@@ -156,41 +161,43 @@
             .deadline
             .saturating_sub(self.timer_slack())
             .max(self.context.now);
-        let quota_is_spent = self.quotas.record_request(&self.context, &request);
+        let quota_is_exhausted = self.quotas.record_request(&self.context, &request);
         self.retry_budget.record_request();
         self.open_request(request);
-        if quota_is_spent {
+        if quota_is_exhausted {
             return self.respond(&id, self.until_quota_refills(&customer));
         }
         if self.should_shed(&id) {
             return self.respond(&id, DEFAULT_RETRY_AFTER);
         }
-        // What is refused at once needs no timer, which would wake a gateway in vain.
+        // Requests that are rejected at once need no timer, which would wake the gateway for nothing.
         self.set_timer(last_moment, Timer::RequestDeadline(id.clone()));
         self.acquire_lease(&id, LeasePurpose::FirstAttempt);
     }
 
-    /// A request was taken by the adapter and is not to be let in: nothing of it has run.
+    /// Rejects a request that the adapter has read but not passed to [`AdmissionController::on_request`], so that nothing
+    /// of it has run.
     pub fn reject_unadmitted(&mut self, request: &RequestId) {
         self.context.port.reject(request, DEFAULT_RETRY_AFTER);
     }
 
-    /// A request's time is up sooner than its deadline: it gets its final answer now.
+    /// Gives an open request its final answer now, before its deadline.
     pub fn expire_request(&mut self, request: &RequestId) {
         self.respond(request, DEFAULT_RETRY_AFTER);
     }
 
-    /// The client of a request has left.
+    /// Handles the disconnection of a request's client: the request is closed without an answer.
     pub fn on_client_disconnect(&mut self, request: &RequestId) {
         self.close_request(request);
     }
 
-    /// The answer to a request has begun to stream: the attempt belongs to the client, and no time limit runs on.
+    /// Handles the start of a streamed response. The controller forgets the request: it gets no other answer, and its
+    /// deadline no longer applies. The attempt stays in flight until its end is reported.
     pub fn on_response_started(&mut self, request: &RequestId) {
         self.requests.remove(request);
     }
 
-    /// The counter has answered the oldest call on a name.
+    /// Handles the counter's reply to the oldest unanswered call with this name.
     pub fn on_counter_reply(&mut self, name: CounterName, reply: CounterReply) {
         match self.quotas.on_counter_reply(&mut self.context, name, reply) {
             Some(Resumption::Lease {
@@ -208,7 +215,8 @@
         }
     }
 
-    /// A block was granted or not: the requests that have waited for it go on.
+    /// Resumes the requests that waited for a block of units: reserves their units again if the block was granted,
+    /// otherwise rejects them.
     fn resume_waiting(
         &mut self,
         customer: &CustomerId,
@@ -224,8 +232,8 @@
         }
     }
 
-    /// An attempt has ended: what it tells is recorded, its lease is released, its units are settled, and the request
-    /// gets its final answer or a further attempt.
+    /// Handles the end of an attempt: records its result, releases its lease and settles its units. The request then gets
+    /// its final answer or a retry.
     pub fn on_attempt_end(
         &mut self,
         request: &RequestId,
@@ -243,18 +251,19 @@
         self.continue_request(request, attempt, &result);
     }
 
-    /// Discovery has news of the endpoints.
+    /// Handles an update of the endpoint list from discovery.
     pub fn on_endpoint_update(&mut self, timing: UpdateTiming, update: EndpointUpdate) {
         self.balancer
             .on_endpoint_update(&self.context, timing, update);
     }
 
-    /// A call for the endpoint list failed or the subscription broke: it is asked for again.
+    /// Handles a failed request for the endpoint list or a broken subscription: the gateway subscribes again after a
+    /// delay.
     pub fn on_discovery_failure(&mut self) {
-        self.set_timer(self.context.now + RESUBSCRIBE_AFTER, Timer::Resubscribe);
+        self.set_timer(self.context.now + RESUBSCRIBE_DELAY, Timer::Resubscribe);
     }
 
-    /// A timer that the controller has set fires.
+    /// Handles a timer of the controller that has fired.
     pub fn on_timer(&mut self, token: TimerToken) {
         if token == TICK_TIMER {
             self.on_tick();
@@ -267,21 +276,20 @@
         }
     }
 
-    /// Periodic work: at each tick and once a second.
+    /// Does the work that is due at each tick, and the work that is due once per second.
     fn on_tick(&mut self) {
-        self.set_tick();
+        self.set_tick_timer();
         self.quotas.renew_leases(&mut self.context);
         let now = self.context.now;
-        // Work that is done once a second is done on the first tick of the second.
-        let is_first_of_second = u128::from(now.subsec_millis()) < TICK.as_millis();
-        if is_first_of_second {
+        let is_first_tick_of_second = u128::from(now.subsec_millis()) < TICK_INTERVAL.as_millis();
+        if is_first_tick_of_second {
             self.balancer.on_second(&self.context);
             self.quotas.forget_idle_customers(now);
         }
     }
 
-    fn set_tick(&mut self) {
-        let next_tick = self.context.now + TICK;
+    fn set_tick_timer(&mut self) {
+        let next_tick = self.context.now + TICK_INTERVAL;
         self.context.port.set_timer(TICK_TIMER, next_tick);
     }
 
@@ -290,12 +298,12 @@
         self.context.port.set_timer(QUEUE_TIMER, at);
     }
 
-    /// What a step may take beyond the time that it was reckoned with.
+    /// Returns how much later than planned an event may be handled.
     fn timer_slack(&self) -> Duration {
         self.context.settings.timer_resolution * TIMER_SLACK_RESOLUTIONS
     }
 
-    /// Keeps a request that has come in, with the terms of its route as they are now.
+    /// Stores a new request with the current settings of its route.
     fn open_request(&mut self, request: Request) {
         let now = self.context.now;
         let route = self.context.settings.route(&request.route).clone();
@@ -305,8 +313,8 @@
         self.requests.insert(id, open);
     }
 
-    /// Whether a request is shed. A random part of one attempt counts as in flight beside the others, so that a gateway
-    /// with a limit of a few attempts sheds in proportion.
+    /// Returns whether a request is shed. A random fraction of one attempt is added to the attempts in flight: where the
+    /// limit is only a few attempts, the share of requests that is shed then still grows gradually with the load.
     fn should_shed(&mut self, id: &RequestId) -> bool {
         let Some(open) = self.requests.get(id) else {
             return false;
@@ -321,7 +329,7 @@
         is_shed
     }
 
-    /// The first step of an attempt: its concurrency lease.
+    /// Acquires the concurrency lease, the first step of an attempt.
     fn acquire_lease(&mut self, id: &RequestId, purpose: LeasePurpose) {
         let Some(open) = self.requests.get(id) else {
             return;
@@ -336,7 +344,8 @@
         }
     }
 
-    /// A first attempt is charged only once it has its lease; a further one was charged with the first.
+    /// Continues an attempt with its lease, or ends the request if the lease was denied. The request's units are reserved
+    /// once, after the first attempt has its lease.
     fn on_lease_outcome(
         &mut self,
         id: &RequestId,
@@ -351,7 +360,7 @@
         }
     }
 
-    /// The second step of a first attempt: its units.
+    /// Reserves the units of a request, the second step of its first attempt.
     fn reserve_units(&mut self, id: &RequestId, customer: &CustomerId, lease: GrantedLease) {
         let Some(open) = self.requests.get_mut(id) else {
             return self
@@ -369,15 +378,15 @@
         }
     }
 
-    /// A request's units could not be reserved.
+    /// Releases the lease and ends the request, because its units could not be reserved.
     fn reject_unreserved(&mut self, id: &RequestId, customer: &CustomerId, lease: GrantedLease) {
         self.quotas
             .release_lease(&mut self.context, customer, lease);
         self.respond(id, self.until_quota_refills(customer));
     }
 
-    /// The last step of an attempt, and the one place that every attempt passes: the rules on final answers, effects,
-    /// drains, slow starts and ceilings are kept here.
+    /// Sends an attempt if the rules permit it, otherwise ends the request. All attempts pass through here, so this is
+    /// where the rules on closed requests, repeated execution, draining endpoints, slow start and ceilings are enforced.
     fn send_attempt(&mut self, id: &RequestId, customer: &CustomerId, lease: GrantedLease) {
         if !self.requests.contains_key(id) {
             return self
@@ -390,16 +399,16 @@
         }
     }
 
-    /// Where a request's next attempt goes, if it may be sent at all.
+    /// Chooses the endpoint of a request's next attempt, or returns `None` if no attempt may be sent.
     fn choose_target(&mut self, id: &RequestId) -> Option<AttemptTarget> {
         let open = self.requests.get(id)?;
         let has_time = !open.remaining_time(self.context.now).is_zero();
         if !has_time || open.in_flight.is_some() {
             return None;
         }
-        let guard = EffectGuard::of(open, self.timer_slack());
+        let guard = RepeatGuard::of(open, self.timer_slack());
         let send_by = guard.send_by;
-        // Random numbers that were drawn for an attempt that is not sent are drawn again for the next.
+        // The generator advances only if the attempt may be sent.
         let mut rng = self.rng.clone();
         let endpoint = self.balancer.pick(&self.context, &mut rng, open, &guard)?;
         if !self.passes_ceiling(id) {
@@ -409,7 +418,8 @@
         Some(AttemptTarget { endpoint, send_by })
     }
 
-    /// Whether a request may go on under the hard ceiling of its plan: its first attempt takes its units from it.
+    /// Returns whether the hard ceiling of the plan permits the request's next attempt. The first attempt takes the
+    /// request's units from the ceiling; retries take none.
     fn passes_ceiling(&mut self, id: &RequestId) -> bool {
         let Some(open) = self.requests.get(id) else {
             return false;
@@ -423,7 +433,8 @@
             )
     }
 
-    /// An attempt can't be sent: its lease is released, units that were never used go back, and the request ends.
+    /// Ends a request whose next attempt can't be sent: releases the attempt's lease and, if there was no earlier
+    /// attempt, gives the request's units back.
     fn abandon_attempt(&mut self, id: &RequestId, customer: &CustomerId, lease: GrantedLease) {
         self.quotas
             .release_lease(&mut self.context, customer, lease);
@@ -434,7 +445,7 @@
         self.respond(id, DEFAULT_RETRY_AFTER);
     }
 
-    /// Sends an attempt for which everything was decided.
+    /// Sends an attempt that has its target and its lease.
     fn start_attempt(&mut self, id: &RequestId, target: &AttemptTarget, lease: GrantedLease) {
         let Some(open) = self.requests.get_mut(id) else {
             return;
@@ -464,8 +475,9 @@
         self.attempts.insert((id.clone(), number), attempt);
     }
 
-    /// Settles the units of an attempt that has ended: a guess against the true units, and those of a request that has
-    /// closed meanwhile and of which nothing came to an endpoint.
+    /// Settles the units of an attempt that has ended. If the endpoint reported the units that the request took, the
+    /// difference from the estimate is charged. If the request has closed meanwhile and none of its attempts was
+    /// delivered to an endpoint, its units are given back.
     fn settle_attempt(
         &mut self,
         id: &RequestId,
@@ -488,7 +500,8 @@
         }
     }
 
-    /// An attempt is over: its request gets its final answer, or a further attempt as far as its route permits.
+    /// Continues a request after the end of an attempt: with a retry if that is safe and the retry budget allows it,
+    /// otherwise with the final answer.
     fn continue_request(
         &mut self,
         id: &RequestId,
@@ -515,7 +528,8 @@
         }
     }
 
-    /// A request is over: an attempt in flight is cancelled. Where none was delivered to an endpoint, its units are given back.
+    /// Closes a request and returns its record. Cancels the attempt in flight if the deployment permits that. If no
+    /// attempt is in flight and none was delivered to an endpoint, gives the units of the attempts back.
     fn close_request(&mut self, id: &RequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(id)?;
         match open.in_flight {
@@ -532,20 +546,21 @@
         Some(open)
     }
 
-    /// The one final answer: rejected, with advice when to come again, where it is harmless to do so; else failed.
+    /// Gives a request its only final answer: a rejection that says when to retry if a retry by the client is safe,
+    /// otherwise a failure.
     fn respond(&mut self, id: &RequestId, retry_after: Duration) {
         let Some(open) = self.close_request(id) else {
             return;
         };
-        if retries::is_harmless_to_repeat(&open) {
-            let advice = retry_after::clamped(retry_after);
-            self.context.port.reject(id, advice);
+        if retries::is_safe_for_client_to_retry(&open) {
+            let retry_after = retry_after::clamp(retry_after);
+            self.context.port.reject(id, retry_after);
         } else {
             self.context.port.fail(id);
         }
     }
 
-    /// What a client is advised to wait whose customer has reached its cap.
+    /// Returns the retry delay for a customer whose attempts in flight have reached the limit of its plan.
     fn until_lease_is_free(&self, id: &RequestId, denial: &LeaseDenial) -> Duration {
         let baseline = self
             .requests
@@ -554,7 +569,7 @@
         retry_after::until_lease_is_free(baseline, denial.ahead)
     }
 
-    /// What a client is advised to wait whose customer has spent its quota.
+    /// Returns the retry delay for a customer whose rate quota is exhausted.
     fn until_quota_refills(&self, customer: &CustomerId) -> Duration {
         let rejected_until = self.quotas.rejected_until(customer);
         retry_after::until_quota_refills(rejected_until, self.context.now)
--- a/src/control/context.rs
+++ b/src/control/context.rs
@@ -1,16 +1,16 @@
-//! What every part of the controller is given.
+//! The context that the controller passes to its modules.
 
 use crate::port::Port;
 use crate::settings::Settings;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The settings, the time, and the port by which to act.
+/// The current settings, the current time and the port to the adapter.
 pub(super) struct Context {
-    /// The settings as they are now.
+    /// The current settings.
     pub(super) settings: Rc<Settings>,
-    /// The present, by the adapter's clock.
+    /// The current time, on the adapter's clock.
     pub(super) now: Duration,
-    /// The adapter.
+    /// The port through which the controller acts on its adapter.
     pub(super) port: Box<dyn Port>,
 }
--- a/src/control/endpoint_picker.rs
+++ b/src/control/endpoint_picker.rs
@@ -2,7 +2,7 @@
 
 use super::endpoints::{EndpointRecord, EndpointTable};
 use super::machine_types::MachineTypeLatencies;
-use super::retries::EffectGuard;
+use super::retries::RepeatGuard;
 use super::slow_start::SlowStartView;
 use crate::port::{EndpointId, EndpointState, RouteName};
 use nanorand::{Rng, WyRand};
@@ -30,7 +30,7 @@
     /// The route of the request.
     pub(super) route: &'a RouteName,
     /// Where the attempt has no second effect.
-    pub(super) guard: &'a EffectGuard<'a>,
+    pub(super) guard: &'a RepeatGuard<'a>,
     /// Where the request's last attempt went; it is taken only where no other endpoint is eligible.
     pub(super) last: Option<&'a EndpointId>,
     /// The endpoint list.
--- a/src/control/endpoint_picker/tests.rs
+++ b/src/control/endpoint_picker/tests.rs
@@ -28,7 +28,7 @@
 /// How often each endpoint is picked for 200 attempts, with a limit of six attempts in all.
 fn picks(table: &EndpointTable, last: Option<&str>) -> BTreeMap<String, u32> {
     let open = open_request(Route::default());
-    let guard = EffectGuard::of(&open, Duration::ZERO);
+    let guard = RepeatGuard::of(&open, Duration::ZERO);
     let last_endpoint = last.map(EndpointId::from);
     let picker = EndpointPicker {
         route: &open.request.route,
--- a/src/control/load_balancer.rs
+++ b/src/control/load_balancer.rs
@@ -9,7 +9,7 @@
 use super::latency::BaselineLatencies;
 use super::machine_types::MachineTypeLatencies;
 use super::requests::{OpenRequest, SentAttempt};
-use super::retries::EffectGuard;
+use super::retries::RepeatGuard;
 use super::slow_start::SlowStartView;
 use super::throughput::{AnswerRate, AttemptRate};
 use crate::port::{
@@ -105,7 +105,7 @@
         context: &Context,
         rng: &mut WyRand,
         open: &OpenRequest,
-        guard: &EffectGuard,
+        guard: &RepeatGuard,
     ) -> Option<EndpointId> {
         let route = &open.request.route;
         let picker = EndpointPicker {
--- a/src/control/retries.rs
+++ b/src/control/retries.rs
@@ -1,4 +1,4 @@
-//! Further attempts of a request: whether one is affordable, and whether it is safe.
+//! Retries: whether the retry budget allows one, and whether it is safe.
 
 use super::endpoints::EndpointRecord;
 use super::requests::{OpenRequest, SentAttempt};
@@ -6,40 +6,42 @@
 use crate::settings::{DeduplicationScope, Idempotency};
 use std::time::Duration;
 
-/// Further attempts that each request pays for.
+/// The number of retries that each request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.2;
 
-/// Further attempts that can be saved up.
-const MAX_BUDGET: f64 = 10.0;
+/// The maximum number of retries in the budget.
+const MAX_BUDGET_RETRIES: f64 = 10.0;
 
-/// Further attempts that a gateway starts with.
-const INITIAL_BUDGET: f64 = 3.0;
+/// The number of retries in the budget when the gateway starts.
+const INITIAL_BUDGET_RETRIES: f64 = 3.0;
 
-/// The least time for which a further attempt is worth making.
+/// The shortest remaining time in which a retry is still made.
 const MIN_REMAINING_TIME: Duration = Duration::from_millis(50);
 
-/// The longest that a gateway's process is expected to be suspended between reading its clock and a write.
-const MAX_STALL: Duration = Duration::from_millis(150);
+/// The longest time for which the gateway's process is expected to be suspended between reading its clock and writing to
+/// a connection.
+const MAX_PROCESS_SUSPENSION: Duration = Duration::from_millis(150);
 
-/// Further attempts that may be made, paid for by the requests that come in.
+/// A budget of retries that grows with each request, so that retries stay a limited share of the traffic.
 pub(super) struct RetryBudget {
+    /// Retries that may be made now, with the fraction of the next.
     available: f64,
 }
 
 impl RetryBudget {
-    /// The budget at the gateway's start.
+    /// Creates the budget that a gateway starts with.
     pub(super) fn new() -> RetryBudget {
         RetryBudget {
-            available: INITIAL_BUDGET,
+            available: INITIAL_BUDGET_RETRIES,
         }
     }
 
-    /// A request came in.
+    /// Adds the share of a retry that a new request allows.
     pub(super) fn record_request(&mut self) {
-        self.available = (self.available + RETRIES_PER_REQUEST).min(MAX_BUDGET);
+        self.available = (self.available + RETRIES_PER_REQUEST).min(MAX_BUDGET_RETRIES);
     }
 
-    /// Takes a further attempt, if there is one.
+    /// Takes one retry from the budget. Returns whether there was one.
     pub(super) fn try_take(&mut self) -> bool {
         if self.available < 1.0 {
             return false;
@@ -49,7 +51,7 @@
     }
 }
 
-/// Whether an attempt that ended so may have run.
+/// Returns whether an attempt with this outcome may have run.
 pub(super) fn may_have_run(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
@@ -57,7 +59,7 @@
     )
 }
 
-/// Whether the command of an attempt that ended so came whole to its endpoint.
+/// Returns whether an attempt with this outcome was delivered: its command was sent to the endpoint completely.
 pub(super) fn was_delivered(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
@@ -65,8 +67,8 @@
     )
 }
 
-/// Whether a further attempt is safe and worth making, as far as the request alone tells. None is where it may have run
-/// and must not run twice.
+/// Returns whether a request may be retried: it has enough time and attempts left, and it is not a non-idempotent request
+/// that may have run. Does not check the retry budget or the endpoints.
 pub(super) fn is_retryable(open: &OpenRequest, now: Duration, max_attempts: u32) -> bool {
     let must_not_repeat =
         open.first_execution.is_some() && open.route.idempotency == Idempotency::NonIdempotent;
@@ -75,8 +77,9 @@
         && open.attempts < max_attempts
 }
 
-/// Whether it is harmless for the client to ask again: nothing has run, or a repeat is recognised wherever it goes.
-pub(super) fn is_harmless_to_repeat(open: &OpenRequest) -> bool {
+/// Returns whether a retry by the client is safe: the request can't have run, it is idempotent, or all endpoints recognise
+/// the repeat by its deduplication key.
+pub(super) fn is_safe_for_client_to_retry(open: &OpenRequest) -> bool {
     match open.route.idempotency {
         Idempotency::Idempotent => true,
         Idempotency::Keyed if open.route.deduplication_scope == DeduplicationScope::All => true,
@@ -86,22 +89,23 @@
     }
 }
 
-/// Where, and until when, an attempt has no second effect. A repeat has to reach an endpoint that recognises the first
-/// one by its key while that is remembered.
-pub(super) struct EffectGuard<'a> {
-    /// The command must have gone out whole by then; [`Duration::MAX`]: at any time.
+/// Decides where and until when an attempt may be sent without the request running twice. A retry of a keyed request that
+/// may have run must reach an endpoint in the first attempt's deduplication scope within the deduplication window.
+pub(super) struct RepeatGuard<'a> {
+    /// The time by which the command must be sent completely; [`Duration::MAX`] means no limit.
     pub(super) send_by: Duration,
-    /// The attempt whose repeat it is, where that matters.
-    repeats: Option<&'a SentAttempt>,
+    /// The first attempt that may have run, if the request is keyed.
+    first_execution: Option<&'a SentAttempt>,
     scope: DeduplicationScope,
 }
 
-impl EffectGuard<'_> {
-    /// The guard of a request's next attempt. `timer_slack` is what a step may take beyond its time.
-    pub(super) fn of(open: &OpenRequest, timer_slack: Duration) -> EffectGuard<'_> {
-        let unrestricted = EffectGuard {
+impl RepeatGuard<'_> {
+    /// Returns the guard of a request's next attempt. `timer_slack` is how much later than planned the gateway may handle
+    /// an event.
+    pub(super) fn of(open: &OpenRequest, timer_slack: Duration) -> RepeatGuard<'_> {
+        let unrestricted = RepeatGuard {
             send_by: Duration::MAX,
-            repeats: None,
+            first_execution: None,
             scope: open.route.deduplication_scope,
         };
         let Some(first) = &open.first_execution else {
@@ -110,26 +114,26 @@
         match open.route.idempotency {
             Idempotency::Idempotent => unrestricted,
             Idempotency::Keyed => {
-                let remembered_until = first.at + open.route.deduplication_window;
-                EffectGuard {
-                    send_by: remembered_until.saturating_sub(timer_slack + MAX_STALL),
-                    repeats: Some(first),
+                let window_end = first.at + open.route.deduplication_window;
+                RepeatGuard {
+                    send_by: window_end.saturating_sub(timer_slack + MAX_PROCESS_SUSPENSION),
+                    first_execution: Some(first),
                     ..unrestricted
                 }
             }
-            Idempotency::NonIdempotent => EffectGuard {
+            Idempotency::NonIdempotent => RepeatGuard {
                 send_by: Duration::ZERO,
                 ..unrestricted
             },
         }
     }
 
-    /// Whether an attempt may go to an endpoint now.
+    /// Returns whether an attempt may be sent to an endpoint now.
     pub(super) fn allows(&self, endpoint: &EndpointRecord, now: Duration) -> bool {
         if self.send_by <= now {
             return false;
         }
-        match (self.repeats, self.scope) {
+        match (self.first_execution, self.scope) {
             (None, _) | (Some(_), DeduplicationScope::All) => true,
             (Some(first), DeduplicationScope::Zone) => first.zone == endpoint.entry.zone,
             (Some(first), DeduplicationScope::Cell) => first.cell == endpoint.entry.cell,
--- a/src/control/retry_after.rs
+++ b/src/control/retry_after.rs
@@ -1,34 +1,35 @@
-//! After which time a rejected client is advised to send its request again.
+//! The delay after which a rejected client is told to retry.
 
 use crate::port::seconds;
 use std::time::Duration;
 
-/// The advice where nothing better is known.
+/// The delay if no better value is known.
 pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// The shortest advice.
+/// The shortest delay that a client is told.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// The longest advice.
+/// The longest delay that a client is told.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// So many attempts ahead are counted at the most.
+/// The maximum number of attempts ahead that the delay is computed from.
 const MAX_ATTEMPTS_AHEAD: f64 = 99.0;
 
-/// The advice for a wait that was calculated.
-pub(super) fn clamped(wait: Duration) -> Duration {
+/// Limits a computed delay to the range that clients are told.
+pub(super) fn clamp(wait: Duration) -> Duration {
     wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
 
-/// Under a full cap: the attempts ahead take the route's baseline latency each, in seconds; while that is not known, the
-/// default.
-pub(super) fn until_lease_is_free(baseline_latency: Option<f64>, ahead: f64) -> Duration {
+/// Returns the delay for a customer that has reached the concurrency limit of its plan: the route's baseline latency, in
+/// seconds, for each attempt that is ahead. [`DEFAULT_RETRY_AFTER`] stands in for a baseline that is not known yet.
+pub(super) fn until_lease_is_free(baseline_latency: Option<f64>, attempts_ahead: f64) -> Duration {
     baseline_latency
         .map_or(DEFAULT_RETRY_AFTER, seconds)
-        .mul_f64(ahead.clamp(1.0, MAX_ATTEMPTS_AHEAD))
+        .mul_f64(attempts_ahead.clamp(1.0, MAX_ATTEMPTS_AHEAD))
 }
 
-/// Under a spent quota: when the customer's bucket will hold the units, as far as the totals tell.
+/// Returns the delay for a customer whose rate quota is exhausted: the time until `rejected_until`, when its token bucket
+/// is expected to hold enough units, or [`DEFAULT_RETRY_AFTER`] if that time has passed.
 pub(super) fn until_quota_refills(rejected_until: Duration, now: Duration) -> Duration {
     if rejected_until > now {
         rejected_until - now
