--- a/src/control.rs
+++ b/src/control.rs
@@ -475,7 +475,7 @@
         self.attempts.insert((id.clone(), number), attempt);
     }
 
-    /// Settles the units of an attempt that has ended. If the endpoint reported the units that the request took, the
+    /// Settles the units of an attempt that has ended. If the result states the units that the request took, the
     /// difference from the estimate is charged. If the request has closed meanwhile and none of its attempts was
     /// delivered to an endpoint, its units are given back.
     fn settle_attempt(
--- a/src/control/failure_rate.rs
+++ b/src/control/failure_rate.rs
@@ -1,35 +1,38 @@
-//! How many of recent attempts failed, by route: at one endpoint and at all of them.
+//! Failure rates of recent attempts by route, at one endpoint and at all endpoints together.
 
 use crate::port::{AttemptOutcome, AttemptResult, RouteName};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Seconds after which an attempt counts half.
-const HALF_LIFE: f64 = 8.0;
+/// The time in seconds after which an attempt counts half.
+const HALF_LIFE_SECONDS: f64 = 8.0;
 
-/// What an answered error counts, against 1 for an answer that never came.
+/// The weight of an error answer, compared with 1 for no answer.
 const ERROR_WEIGHT: f64 = 0.25;
 
-/// A route's overall rate is taken as though so many more attempts had not failed.
+/// The number of successful attempts that are added to the estimate of a route's overall rate.
 const ROUTE_PRIOR_ATTEMPTS: f64 = 5.0;
 
-/// An endpoint's rate is taken as though so many more attempts had failed at the route's overall rate.
+/// The number of attempts with the route's overall failure rate that are added to the estimate of an endpoint's rate.
 const ENDPOINT_PRIOR_ATTEMPTS: f64 = 2.0;
 
-/// A share of recent attempts that failed; attempts fade with time.
+/// The share of recent attempts that failed. The weight of an attempt decays exponentially with its age.
 #[derive(Default)]
 struct FailureRate {
+    /// The sum of the attempts' weights at `updated_at`.
     attempts: f64,
+    /// The part of `attempts` that failed.
     failures: f64,
     updated_at: Duration,
 }
 
 impl FailureRate {
+    /// Returns the factor by which the weights have decayed since the last update.
     fn decay(&self, now: Duration) -> f64 {
-        0.5f64.powf(now.saturating_sub(self.updated_at).as_secs_f64() / HALF_LIFE)
+        0.5f64.powf(now.saturating_sub(self.updated_at).as_secs_f64() / HALF_LIFE_SECONDS)
     }
 
-    /// One more attempt, of which `failed` counts as failed.
+    /// Records an attempt that counts as failed to the share `failed`, 0 to 1.
     fn record(&mut self, now: Duration, failed: f64) {
         let decay = self.decay(now);
         self.attempts = self.attempts * decay + 1.0;
@@ -37,7 +40,8 @@
         self.updated_at = now;
     }
 
-    /// The share that failed, as though `prior_attempts` more had failed by the share `prior`.
+    /// Returns the share of attempts that failed, with `prior_attempts` additional attempts of which the share `prior`
+    /// failed.
     fn estimate(&self, now: Duration, prior: f64, prior_attempts: f64) -> f64 {
         let decay = self.decay(now);
         (self.failures * decay + prior * prior_attempts) / (self.attempts * decay + prior_attempts)
@@ -51,7 +55,7 @@
 }
 
 impl FailureRates {
-    /// One more attempt of a route, of which `failed` counts as failed.
+    /// Records an attempt on a route that counts as failed to the share `failed`, 0 to 1.
     pub(super) fn record(&mut self, route: &RouteName, now: Duration, failed: f64) {
         self.by_route
             .entry(route.clone())
@@ -59,23 +63,24 @@
             .record(now, failed);
     }
 
-    /// One more attempt of every route that is known here.
+    /// Records an attempt on every route that has a failure rate here. `failed` is as in [`FailureRates::record`].
     pub(super) fn record_for_all_routes(&mut self, now: Duration, failed: f64) {
         for rate in self.by_route.values_mut() {
             rate.record(now, failed);
         }
     }
 
-    /// The share of a route's attempts that fails at all endpoints together, where these are the rates of all.
+    /// Returns the estimated share of a route's attempts that fail, if these are the rates over all endpoints.
     pub(super) fn overall_rate(&self, route: &RouteName, now: Duration) -> f64 {
         self.by_route
             .get(route)
             .map_or(0.0, |rate| rate.estimate(now, 0.0, ROUTE_PRIOR_ATTEMPTS))
     }
 
-    /// The share of a route's attempts that is likely to fail at an endpoint, where these are its rates. They are kept by
-    /// route, as an endpoint may leave one unanswered and serve the others, and lean on the route's `overall` rate: where
-    /// many endpoints fail, one that is not known yet is less trusted than one that answers.
+    /// Returns the estimated share of a route's attempts that fail at an endpoint, if these are the rates of that
+    /// endpoint. The rates are kept by route because an endpoint may fail on one route and serve the others. The
+    /// route's `overall` rate is the prior of the estimate: if many endpoints fail, an endpoint without attempts is
+    /// rated worse than one that answers.
     pub(super) fn endpoint_rate(&self, route: &RouteName, now: Duration, overall: f64) -> f64 {
         self.by_route.get(route).map_or(overall, |rate| {
             rate.estimate(now, overall, ENDPOINT_PRIOR_ATTEMPTS)
@@ -83,8 +88,8 @@
     }
 }
 
-/// What an attempt counts as failed, 0 to 1; none where its end tells nothing of the endpoint. An answer past the latency
-/// target is worth little or nothing.
+/// Returns to which share an attempt counts as failed, 0 to 1, or `None` if its outcome says nothing about the
+/// endpoint. A successful answer after the latency target counts as failed, because it has little or no value.
 pub(super) fn failure_weight(result: &AttemptResult, latency_target: Duration) -> Option<f64> {
     match result.outcome {
         AttemptOutcome::Cancelled | AttemptOutcome::NotSent => None,
--- a/src/control/failure_rate/tests.rs
+++ b/src/control/failure_rate/tests.rs
@@ -3,7 +3,7 @@
 
 const START: Duration = Duration::from_secs(100);
 
-/// Rates after four attempts of the route at one moment, of which three failed.
+/// Returns the rates after four attempts on the route at the same time, of which three failed.
 fn rates() -> FailureRates {
     let mut rates = FailureRates::default();
     for failed in [1.0, 1.0, 0.0, 1.0] {
@@ -13,9 +13,9 @@
 }
 
 #[test]
-fn rates_lean_on_few_failures_overall_and_on_the_overall_rate_at_an_endpoint() {
-    // Five attempts that did not fail stand beside the four; or two that failed at the overall rate. An attempt counts
-    // half after 8 s.
+fn estimates_include_prior_attempts() {
+    // The overall rate adds five successful attempts to the four, the rate at an endpoint two attempts of which half
+    // failed. An attempt counts half after 8 s.
     for (route, seconds, overall, at_endpoint) in [
         ("route", 0, 3.0 / 9.0, 4.0 / 6.0),
         ("route", 8, 1.5 / 7.0, 2.5 / 4.0),
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn failure_of_the_endpoint_counts_for_every_known_route() {
+fn failure_for_all_routes_counts_for_every_known_route() {
     let mut rates = rates();
     rates.record_for_all_routes(START, 1.0);
     assert_eq!(rates.overall_rate(&"route".into(), START), 4.0 / 10.0);
 }
 
 #[test]
-fn weight_of_an_attempt_follows_its_outcome_and_the_latency_target() {
+fn failure_weight_depends_on_the_outcome_and_the_latency_target() {
     for (outcome, milliseconds, target, weight) in [
         (AttemptOutcome::Success, 1000, 1, Some(0.0)),
         (AttemptOutcome::Success, 1001, 1, Some(1.0)),
--- a/src/control/load_shedding.rs
+++ b/src/control/load_shedding.rs
@@ -1,39 +1,43 @@
-//! Load shedding: in overload the requests that are worth least for their work are refused first, before they cost calls
-//! on the counter.
+//! Load shedding: under overload, the requests with the least value per second of work are rejected first, before they
+//! cause calls on the counter.
 
-/// The part of the concurrency limit in use from which requests are shed.
-const SHED_ABOVE_USE: f64 = 0.6;
+/// The share of the concurrency limit in use above which requests are shed.
+const SHED_ABOVE_USE_RATIO: f64 = 0.6;
 
-/// What a request moves the mean priority by.
+/// The weight of one request in the moving average of the priorities.
 const PRIORITY_SMOOTHING: f64 = 0.02;
 
-/// The least latency that a value is measured against, in seconds.
-const MIN_LATENCY: f64 = 0.001;
+/// The lowest latency by which a value is divided, in seconds.
+const MIN_LATENCY_SECONDS: f64 = 0.001;
 
-/// The latency that is assumed of a route of which nothing is known, in seconds.
-const ASSUMED_LATENCY: f64 = 1.0;
+/// The latency, in seconds, that is assumed for a route without a baseline latency.
+const ASSUMED_LATENCY_SECONDS: f64 = 1.0;
 
-/// What decides which requests are shed.
+/// Decides which requests are shed.
 #[derive(Default)]
 pub(super) struct LoadShedder {
-    /// The mean priority of recent requests.
+    /// The moving average of the priorities of recent requests, in value per second.
     mean_priority: f64,
 }
 
-/// What a request is worth for its work: its value over its route's baseline latency in seconds.
+/// Returns the priority of a request: its value divided by its route's baseline latency in seconds.
 pub(super) fn priority(value: f64, baseline_latency: Option<f64>) -> f64 {
-    value / baseline_latency.unwrap_or(ASSUMED_LATENCY).max(MIN_LATENCY)
+    value
+        / baseline_latency
+            .unwrap_or(ASSUMED_LATENCY_SECONDS)
+            .max(MIN_LATENCY_SECONDS)
 }
 
 impl LoadShedder {
-    /// Whether a request of that priority is shed, with `use_ratio` of the concurrency limit in use.
+    /// Returns whether a request with this priority is shed while the share `use_ratio` of the concurrency limit is in
+    /// use.
     pub(super) fn should_shed(&self, priority: f64, use_ratio: f64) -> bool {
-        let overload = (use_ratio - SHED_ABOVE_USE) / (1.0 - SHED_ABOVE_USE);
+        let overload = (use_ratio - SHED_ABOVE_USE_RATIO) / (1.0 - SHED_ABOVE_USE_RATIO);
         let required = overload * self.mean_priority;
         priority < required
     }
 
-    /// A request of that priority has come in.
+    /// Records the priority of a request that was received.
     pub(super) fn record_priority(&mut self, priority: f64) {
         self.mean_priority += (priority - self.mean_priority) * PRIORITY_SMOOTHING;
     }
--- a/src/control/load_shedding/tests.rs
+++ b/src/control/load_shedding/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn requests_of_low_priority_are_shed_first_as_use_grows() {
+fn low_priority_requests_are_shed_first_as_use_grows() {
     let mut shedder = LoadShedder::default();
-    // The mean moves by a fiftieth of each request, so to 8.
+    // The mean moves from 0 towards 400 by a fiftieth, so to 8.
     shedder.record_priority(400.0);
-    // Nothing is shed up to a use of 0.6; below half of the mean at 0.8, below the mean at 1.
+    // The priority below which requests are shed: at a use of up to 0.6 none, at 0.8 half of the mean, at 1 the mean.
     for (use_ratio, priority, is_shed) in [
         (0.5, 0.0, false),
         (0.8, 3.9, true),
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn priority_is_value_over_latency() {
+fn priority_is_value_divided_by_latency() {
     for (latency, expected) in [(Some(0.5), 12.0), (Some(0.0), 6000.0), (None, 6.0)] {
         assert_eq!(priority(6.0, latency), expected, "{latency:?}");
     }
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -1,34 +1,34 @@
-//! Open requests: what is known of each until its one final answer, and of its attempts until their end.
+//! The records of requests until their final answer, and of attempts until their end.
 
 use super::leases::LeaseId;
 use crate::port::{AttemptNumber, CustomerId, EndpointId, Request, RouteName};
 use crate::settings::Route;
 use std::time::Duration;
 
-/// A request that has not got its final answer yet.
+/// A request without a final answer.
 pub(super) struct OpenRequest {
-    /// The request as it came in.
+    /// The request as it was received.
     pub(super) request: Request,
-    /// The route's terms as they were then.
+    /// The route's settings when the request was received.
     pub(super) route: Route,
-    /// When it came in.
+    /// When the request was received, on the adapter's clock.
     pub(super) received_at: Duration,
-    /// Attempts that were begun.
+    /// The number of attempts that were started.
     pub(super) attempts: u32,
-    /// The counter does not count its units: they were reserved from the local quota.
+    /// Whether its units are not counted on the shared counter, because they were reserved from the local quota.
     pub(super) is_uncounted: bool,
-    /// The attempt in flight; never more than one.
+    /// The attempt in flight. There is at most one.
     pub(super) in_flight: Option<AttemptNumber>,
-    /// Where the last attempt went.
+    /// The endpoint of the last attempt.
     pub(super) last_endpoint: Option<EndpointId>,
     /// The first attempt that may have run.
     pub(super) first_execution: Option<SentAttempt>,
-    /// An attempt has come whole to an endpoint: its units are spent.
+    /// Whether an attempt was delivered to an endpoint completely, so that the request's units are used.
     pub(super) units_spent: bool,
 }
 
 impl OpenRequest {
-    /// A request that has just come in.
+    /// Creates the record of a request that was just received.
     pub(super) fn new(
         request: Request,
         route: Route,
@@ -48,13 +48,13 @@
         }
     }
 
-    /// How long an answer is still worth something: until the deadline, or the latency target where what comes later is
-    /// worth nothing.
+    /// Returns the time in which an answer still has value: until the deadline, or until the latency target if later
+    /// answers have no value.
     pub(super) fn remaining_time(&self, now: Duration) -> Duration {
         let target = self.route.latency_target;
-        // A target that is not stated is none.
-        let late_answers_count = self.route.late_value_ratio > 0.0 || target.is_zero();
-        let useful_until = if late_answers_count {
+        // A latency target of zero means that none is configured.
+        let late_answers_have_value = self.route.late_value_ratio > 0.0 || target.is_zero();
+        let useful_until = if late_answers_have_value {
             self.request.deadline
         } else {
             self.request.deadline.min(self.received_at + target)
@@ -63,10 +63,10 @@
     }
 }
 
-/// When an attempt was sent, and in which deduplication scopes.
+/// When an attempt was sent, and the deduplication scopes of its endpoint.
 #[derive(Clone)]
 pub(super) struct SentAttempt {
-    /// When it was sent.
+    /// When the attempt was sent, on the adapter's clock.
     pub(super) at: Duration,
     /// The zone of its endpoint.
     pub(super) zone: String,
@@ -74,22 +74,22 @@
     pub(super) cell: u64,
 }
 
-/// An attempt in flight, also where its request has its final answer already.
+/// An attempt in flight. Its request may already have its final answer.
 pub(super) struct InFlightAttempt {
-    /// Where it went.
+    /// The endpoint that the attempt was sent to.
     pub(super) endpoint: EndpointId,
-    /// When it was sent.
+    /// When the attempt was sent, and the zone and cell of its endpoint.
     pub(super) sent: SentAttempt,
     /// The route of its request.
     pub(super) route: RouteName,
-    /// Whose request it is.
+    /// The customer that sent its request.
     pub(super) customer: CustomerId,
-    /// Its lease; none where the plan has no cap.
+    /// The concurrency lease, or `None` if the plan has no concurrency quota.
     pub(super) lease: Option<LeaseId>,
     /// The units that were charged for the request.
     pub(super) units: f64,
-    /// The counter does not count them.
+    /// Whether these units are not counted on the shared counter.
     pub(super) is_uncounted: bool,
-    /// An earlier attempt had come whole to an endpoint.
+    /// Whether an earlier attempt of the request was delivered to an endpoint completely.
     pub(super) units_spent_before: bool,
 }
--- a/src/control/throughput.rs
+++ b/src/control/throughput.rs
@@ -1,22 +1,23 @@
-//! How many attempts this gateway sends, and how many requests endpoints past their slow start answer to it.
+//! The rate at which this gateway sends attempts, and the rate at which endpoints past their slow start answer them.
 
 use std::time::Duration;
 
-/// What a second moves the attempt rate by.
+/// The weight of the last second in the moving average of the attempt rate.
 const ATTEMPT_RATE_SMOOTHING: f64 = 0.1;
 
-/// Answers fade over so many seconds.
-const ANSWER_WINDOW: f64 = 10.0;
+/// The time constant, in seconds, with which the weight of an answer decays.
+const ANSWER_DECAY_SECONDS: f64 = 10.0;
 
-/// Attempts a second of late.
+/// The moving average of the attempts that this gateway sends per second.
 pub(super) struct AttemptRate {
+    /// The attempts sent in the current second.
     this_second: f64,
-    /// Infinite until the first second is over.
+    /// The average over the complete seconds; infinite until the first one is over.
     per_second: f64,
 }
 
 impl AttemptRate {
-    /// The rate at the gateway's start.
+    /// Creates the rate of a gateway that has just started.
     pub(super) fn new() -> AttemptRate {
         AttemptRate {
             this_second: 0.0,
@@ -24,12 +25,12 @@
         }
     }
 
-    /// An attempt was sent.
+    /// Records an attempt that was sent.
     pub(super) fn record(&mut self) {
         self.this_second += 1.0;
     }
 
-    /// A second is over.
+    /// Ends the current second and includes it in the average.
     pub(super) fn end_second(&mut self) {
         let sent = std::mem::take(&mut self.this_second);
         self.per_second = if self.per_second.is_finite() {
@@ -39,13 +40,13 @@
         };
     }
 
-    /// Attempts a second.
+    /// Returns the average attempts per second, or infinity until the first second is over.
     pub(super) fn per_second(&self) -> f64 {
         self.per_second
     }
 }
 
-/// Answers a second of late, from endpoints past their slow start.
+/// The answers per second from endpoints past their slow start, as an exponentially decaying average.
 #[derive(Default)]
 pub(super) struct AnswerRate {
     per_second: f64,
@@ -53,15 +54,15 @@
 }
 
 impl AnswerRate {
-    /// An endpoint has answered.
+    /// Records an answer.
     pub(super) fn record(&mut self, now: Duration) {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
-        let decay = (-elapsed / ANSWER_WINDOW).exp();
-        self.per_second = self.per_second * decay + 1.0 / ANSWER_WINDOW;
+        let decay = (-elapsed / ANSWER_DECAY_SECONDS).exp();
+        self.per_second = self.per_second * decay + 1.0 / ANSWER_DECAY_SECONDS;
         self.updated_at = now;
     }
 
-    /// Answers a second, as of the last one.
+    /// Returns the answers per second at the time of the last answer.
     pub(super) fn per_second(&self) -> f64 {
         self.per_second
     }
--- a/src/control/timers.rs
+++ b/src/control/timers.rs
@@ -1,33 +1,34 @@
-//! What is due at a time, in order.
+//! The controller's timer queue.
 
 use crate::port::RequestId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a timer is set for.
+/// What is due when a timer fires.
 #[derive(Clone, PartialEq, Debug)]
 pub(super) enum Timer {
-    /// The last moment at which a request can be answered in time.
+    /// The request needs its final answer now to meet its deadline.
     RequestDeadline(RequestId),
-    /// The endpoint list is asked for again after a failure.
+    /// The gateway subscribes to endpoint updates again after a discovery failure.
     Resubscribe,
 }
 
-/// The timers that are set, by time; those of one moment in the order in which they were set.
+/// The pending timers in the order of their times. Timers for the same time keep the order in which they were set.
 #[derive(Default)]
 pub(super) struct TimerQueue {
+    /// By time and id; ids are assigned in ascending order.
     entries: BTreeMap<(Duration, u64), Timer>,
     last_id: u64,
 }
 
 impl TimerQueue {
-    /// Sets a timer.
+    /// Adds a timer that is due at `at`.
     pub(super) fn schedule(&mut self, at: Duration, timer: Timer) {
         self.last_id += 1;
         self.entries.insert((at, self.last_id), timer);
     }
 
-    /// Takes out the earliest timer that is due by `now`.
+    /// Removes and returns the earliest timer if it is due by `now`.
     pub(super) fn pop_due(&mut self, now: Duration) -> Option<Timer> {
         let first = self.entries.first_entry()?;
         let (due_at, _) = *first.key();
--- a/src/control/timers/tests.rs
+++ b/src/control/timers/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn due_timers_come_by_time_then_in_the_order_of_their_setting() {
+fn due_timers_are_ordered_by_time_then_by_the_order_of_setting() {
     let at = Duration::from_secs;
     let mut queue = TimerQueue::default();
     queue.schedule(at(3), deadline("late"));
