--- a/src/control/endpoint_picker.rs
+++ b/src/control/endpoint_picker.rs
@@ -1,4 +1,4 @@
-//! Which endpoint an attempt goes to: power of two choices among the eligible ones that fail least.
+//! Picks the endpoint of an attempt: power of two choices among the eligible endpoints with the lowest failure rates.
 
 use super::endpoints::{EndpointRecord, EndpointTable};
 use super::machine_types::MachineTypeLatencies;
@@ -7,58 +7,65 @@
 use crate::port::{EndpointId, EndpointState, RouteName};
 use nanorand::{Rng, WyRand};
 
-/// Draws from the subset, before all of it is looked through.
-const DRAWS: usize = 12;
+/// The number of random draws from the subset. If fewer than two eligible endpoints are drawn, the whole subset is
+/// examined.
+const SUBSET_DRAWS: usize = 12;
 
-/// Draws from all endpoints where none of the subset is eligible; fewer endpoints are all looked through.
+/// The number of random draws from all endpoints if none of the subset is eligible. A shorter list is examined
+/// completely.
 const DRAWS_OUTSIDE_SUBSET: usize = 256;
 
-/// Endpoints are ranked by their failure rate in steps of one over this of the route's.
-const FAILURE_STEPS: f64 = 2.0;
+/// The number of ranks by failure rate below the tolerated failure rate.
+const RANKS_BELOW_TOLERATED_RATE: f64 = 2.0;
 
-/// A failure rate that is this much above the route's is no reason to rank an endpoint lower.
+/// The tolerated failure rate of an endpoint is the route's plus this.
 const TOLERATED_FAILURE_RATE: f64 = 0.05;
 
-/// The highest failure rate that counts for an endpoint's cost: quotients stay sound.
+/// The highest failure rate with which the cost of an endpoint is computed: at 1 the cost would be infinite.
 const MAX_FAILURE_RATE: f64 = 0.95;
 
-/// The least weight of an endpoint, whatever discovery says.
+/// The lowest weight of an endpoint, if discovery reports a lower one.
 const MIN_WEIGHT: f64 = 0.1;
 
-/// The choice of an endpoint for one attempt, and what it follows from.
+/// Picks an endpoint for one attempt from these inputs.
 pub(super) struct EndpointPicker<'a> {
     /// The route of the request.
     pub(super) route: &'a RouteName,
-    /// Where the attempt has no second effect.
+    /// The endpoints to which the attempt may be sent without the request running twice.
     pub(super) guard: &'a RepeatGuard<'a>,
-    /// Where the request's last attempt went; it is taken only where no other endpoint is eligible.
-    pub(super) last: Option<&'a EndpointId>,
+    /// The endpoint of the request's last attempt. It is picked only if no other endpoint is eligible.
+    pub(super) last_endpoint: Option<&'a EndpointId>,
     /// The endpoint list.
     pub(super) endpoints: &'a EndpointTable,
-    /// What may be sent to endpoints in slow start.
+    /// The budgets of the endpoints in slow start.
     pub(super) slow_start: SlowStartView<'a>,
-    /// The share of the route's attempts that fails at all endpoints together.
+    /// The share of the route's attempts that fail, over all endpoints together.
     pub(super) route_failure_rate: f64,
-    /// The latency ratios of machine types.
+    /// The latency ratios of the machine types.
     pub(super) machine_types: &'a MachineTypeLatencies,
-    /// This gateway's limit on attempts in flight.
+    /// The limit on this gateway's attempts in flight.
     pub(super) concurrency_limit: f64,
 }
 
 impl EndpointPicker<'_> {
-    /// Picks the endpoint, if there is an eligible one.
+    /// Picks an endpoint, or returns `None` if none is eligible.
     pub(super) fn pick(&self, rng: &mut WyRand) -> Option<EndpointId> {
-        let mut candidates =
-            self.candidates(rng, |id| Some(id) != self.last && self.is_eligible(id));
+        let mut candidates = self.candidates(rng, |id| {
+            Some(id) != self.last_endpoint && self.is_eligible(id)
+        });
         candidates.sort_by_cached_key(|id| self.failure_rank(id));
         match candidates[..] {
-            [] => self.last.filter(|id| self.is_eligible(id)).cloned(),
+            [] => self
+                .last_endpoint
+                .filter(|id| self.is_eligible(id))
+                .cloned(),
             [only] => Some(only.clone()),
-            [one, other, ..] => Some(self.pick_by_cost(rng, one, other).clone()),
+            [first, second, ..] => Some(self.pick_by_cost(rng, first, second).clone()),
         }
     }
 
-    /// Whether an attempt may go to an endpoint at all: the rules on drains, effects and slow starts.
+    /// Returns whether an attempt may be sent to an endpoint: the endpoint accepts attempts, the request can't run
+    /// twice there, and the endpoint has capacity left.
     fn is_eligible(&self, id: &EndpointId) -> bool {
         self.endpoints.get(id).is_some_and(|endpoint| {
             endpoint.entry.state == EndpointState::Ready
@@ -67,90 +74,102 @@
         })
     }
 
-    /// An endpoint's failure rate in whole steps against that of the route, lowest first.
+    /// Returns the rank of an endpoint by its failure rate; the lowest rank fails least. Endpoints whose failure rates
+    /// differ little have the same rank.
     fn failure_rank(&self, id: &EndpointId) -> u32 {
         let tolerated = self.route_failure_rate + TOLERATED_FAILURE_RATE;
-        (self.failure_rate(id) / tolerated * FAILURE_STEPS) as u32
+        (self.failure_rate(id) / tolerated * RANKS_BELOW_TOLERATED_RATE) as u32
     }
 
-    /// Whether an endpoint has capacity for one more attempt of this gateway: by an even part of the concurrency limit,
-    /// one at least, and in slow start by its budget.
+    /// Returns whether an endpoint has capacity for one more attempt of this gateway. Its capacity is an equal share
+    /// of the concurrency limit, reduced in slow start, but at least one attempt. In slow start the endpoint must also
+    /// have a permit left.
     fn has_capacity(&self, endpoint: &EndpointRecord) -> bool {
         let subset_size = self.endpoints.subset().len().max(1) as f64;
-        let even_part = self.concurrency_limit / subset_size * self.slow_start.factor(endpoint);
-        self.slow_start.permits(endpoint) && f64::from(endpoint.in_flight) < even_part.max(1.0)
+        let equal_share =
+            self.concurrency_limit / subset_size * self.slow_start.capacity_factor(endpoint);
+        self.slow_start.may_send(endpoint) && f64::from(endpoint.in_flight) < equal_share.max(1.0)
     }
 
-    /// Endpoints that fit, at random: from a few draws, or all of the subset where these find fewer than two, or all
-    /// endpoints where the subset has none.
-    fn candidates(&self, rng: &mut WyRand, fits: impl Fn(&EndpointId) -> bool) -> Vec<&EndpointId> {
+    /// Returns candidates in random order: from a few draws, or from the whole subset if the draws find fewer than
+    /// two, or from all endpoints if the subset has none.
+    fn candidates(
+        &self,
+        rng: &mut WyRand,
+        is_candidate: impl Fn(&EndpointId) -> bool,
+    ) -> Vec<&EndpointId> {
         let subset = self.endpoints.subset();
-        let mut drawn = draw(rng, subset, DRAWS, &fits);
+        let mut drawn = draw(rng, subset, SUBSET_DRAWS, &is_candidate);
         drawn.dedup();
         if drawn.len() >= 2 {
             return drawn;
         }
-        let mut candidates: Vec<&EndpointId> = subset.iter().filter(|id| fits(id)).collect();
+        let mut candidates: Vec<&EndpointId> =
+            subset.iter().filter(|id| is_candidate(id)).collect();
         if candidates.is_empty() {
-            candidates = self.candidates_outside_subset(rng, &fits);
+            candidates = self.candidates_outside_subset(rng, &is_candidate);
         }
         rng.shuffle(&mut candidates);
         candidates
     }
 
-    /// Endpoints that fit and are past their slow start, which is shared out among those whose subset they are in. Of
-    /// thousands a few hundred at random are as good as all.
+    /// Returns candidates from all endpoints that are past their slow start. Endpoints in slow start are left out
+    /// because their capacity is divided among the gateways whose subset contains them. Of thousands of endpoints, a
+    /// few hundred random ones are a good enough sample.
     fn candidates_outside_subset(
         &self,
         rng: &mut WyRand,
-        fits: impl Fn(&EndpointId) -> bool,
+        is_candidate: impl Fn(&EndpointId) -> bool,
     ) -> Vec<&EndpointId> {
         let ring = self.endpoints.ring();
-        let fits_warmed_up = |id: &EndpointId| self.is_warmed_up(id) && fits(id);
+        let is_warmed_up_candidate = |id: &EndpointId| self.is_warmed_up(id) && is_candidate(id);
         if ring.len() > DRAWS_OUTSIDE_SUBSET {
-            let drawn = draw(rng, ring, DRAWS_OUTSIDE_SUBSET, fits_warmed_up);
+            let drawn = draw(rng, ring, DRAWS_OUTSIDE_SUBSET, is_warmed_up_candidate);
             if !drawn.is_empty() {
                 return drawn;
             }
         }
-        ring.iter().filter(|id| fits_warmed_up(id)).collect()
+        ring.iter()
+            .filter(|id| is_warmed_up_candidate(id))
+            .collect()
     }
 
     fn is_warmed_up(&self, id: &EndpointId) -> bool {
         self.endpoints
             .get(id)
-            .is_some_and(|endpoint| self.slow_start.factor(endpoint) >= 1.0)
+            .is_some_and(|endpoint| self.slow_start.capacity_factor(endpoint) >= 1.0)
     }
 
-    /// The one of two endpoints at which an attempt costs less. With nothing in flight at both, as in a gateway of many,
-    /// costs say little: one is chosen at random, in proportion, else all gateways would send to the one that looks a
-    /// little better.
+    /// Returns the endpoint with the lower cost. If neither has attempts in flight, as is common with many gateways,
+    /// the costs say little: one is then picked at random, with probabilities inversely proportional to the costs.
+    /// If the cheaper one were picked, all gateways would send to the endpoint that looks slightly better.
     fn pick_by_cost<'b>(
         &self,
         rng: &mut WyRand,
-        one: &'b EndpointId,
-        other: &'b EndpointId,
+        first: &'b EndpointId,
+        second: &'b EndpointId,
     ) -> &'b EndpointId {
-        let (Some(first), Some(second)) = (self.endpoints.get(one), self.endpoints.get(other))
+        let (Some(first_record), Some(second_record)) =
+            (self.endpoints.get(first), self.endpoints.get(second))
         else {
-            return one;
+            return first;
         };
-        let first_cost = self.cost(first, self.failure_rate(one));
-        let second_cost = self.cost(second, self.failure_rate(other));
-        let both_idle = first.in_flight + second.in_flight == 0;
-        let chance = if both_idle {
+        let first_cost = self.cost(first_record, self.failure_rate(first));
+        let second_cost = self.cost(second_record, self.failure_rate(second));
+        let both_idle = first_record.in_flight + second_record.in_flight == 0;
+        let first_weight = if both_idle {
             rng.generate::<f64>()
         } else {
             0.5
         };
-        if first_cost * chance <= second_cost * (1.0 - chance) {
-            one
+        if first_cost * first_weight <= second_cost * (1.0 - first_weight) {
+            first
         } else {
-            other
+            second
         }
     }
 
-    /// The share of the route's attempts that is likely to fail at an endpoint.
+    /// Returns the estimated share of the route's attempts that fail at an endpoint.
     fn failure_rate(&self, id: &EndpointId) -> f64 {
         let overall = self.route_failure_rate;
         self.endpoints.get(id).map_or(overall, |endpoint| {
@@ -160,9 +179,11 @@
         })
     }
 
-    /// Load against capacity; a failure costs all that a queue can cost and more.
+    /// Returns the cost of one more attempt at an endpoint: the load per capacity, multiplied by a factor that rises
+    /// steeply with the failure rate, because a failed attempt costs more than any wait in a queue.
     fn cost(&self, endpoint: &EndpointRecord, failure_rate: f64) -> f64 {
-        let capacity = endpoint.entry.weight.max(MIN_WEIGHT) * self.slow_start.factor(endpoint);
+        let capacity =
+            endpoint.entry.weight.max(MIN_WEIGHT) * self.slow_start.capacity_factor(endpoint);
         let type_ratio = self.machine_types.ratio(&endpoint.entry.machine_type);
         let load =
             (f64::from(endpoint.in_flight) + 1.0) * type_ratio * endpoint.latency_ratio / capacity;
@@ -170,19 +191,19 @@
     }
 }
 
-/// Those of `count` random draws from `ids` that fit; one may be there twice.
+/// Draws `count` random ids and returns those that are candidates. An id may be returned more than once.
 fn draw<'a>(
     rng: &mut WyRand,
     ids: &'a [EndpointId],
     count: usize,
-    fits: impl Fn(&EndpointId) -> bool,
+    is_candidate: impl Fn(&EndpointId) -> bool,
 ) -> Vec<&'a EndpointId> {
     if ids.is_empty() {
         return Vec::new();
     }
     (0..count)
         .map(|_| &ids[rng.generate_range(0..ids.len())])
-        .filter(|id| fits(id))
+        .filter(|id| is_candidate(id))
         .collect()
 }
 
--- a/src/control/endpoint_picker/tests.rs
+++ b/src/control/endpoint_picker/tests.rs
@@ -8,7 +8,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-/// Ready endpoints "0", "1" and so on, of which "1" was changed; all of them are in the subset.
+/// Returns a table of ready endpoints "0", "1" and so on, all in the subset, after `change` was applied to "1".
 fn table(count: u32, change: impl Fn(&mut EndpointRecord)) -> EndpointTable {
     let entries = (0..count).map(|number| endpoint(&number.to_string()));
     let mut table = endpoint_table(entries.collect());
@@ -25,15 +25,15 @@
     table
 }
 
-/// How often each endpoint is picked for 200 attempts, with a limit of six attempts in all.
-fn picks(table: &EndpointTable, last: Option<&str>) -> BTreeMap<String, u32> {
+/// Returns how often each endpoint is picked for 200 attempts, with a concurrency limit of six attempts.
+fn pick_counts(table: &EndpointTable, last_endpoint: Option<&str>) -> BTreeMap<String, u32> {
     let open = open_request(Route::default());
     let guard = RepeatGuard::of(&open, Duration::ZERO);
-    let last_endpoint = last.map(EndpointId::from);
+    let last_endpoint = last_endpoint.map(EndpointId::from);
     let picker = EndpointPicker {
         route: &open.request.route,
         guard: &guard,
-        last: last_endpoint.as_ref(),
+        last_endpoint: last_endpoint.as_ref(),
         endpoints: table,
         slow_start: SlowStartView {
             settings: &Settings::default(),
@@ -57,9 +57,9 @@
 }
 
 #[test]
-fn endpoints_alike_share_the_attempts() {
-    let counts = picks(&table(3, |_| ()), None);
-    // A third of 200 each.
+fn equal_endpoints_get_equal_shares_of_the_attempts() {
+    let counts = pick_counts(&table(3, |_| ()), None);
+    // Each gets about a third of the 200 attempts.
     assert_eq!(counts.len(), 3);
     assert!(
         counts.values().all(|count| (45..90).contains(count)),
@@ -68,8 +68,8 @@
 }
 
 #[test]
-fn endpoint_that_is_ineligible_or_fails_or_was_the_last_is_not_picked_beside_others() {
-    // The even part of the limit is two attempts.
+fn ineligible_failing_or_last_endpoint_is_not_picked_if_there_are_others() {
+    // An equal share of the limit is two attempts.
     let full = table(3, |record| {
         record.in_flight = 2;
         record.entry.weight = 10.0;
@@ -78,26 +78,31 @@
     let failing = table(3, |record| {
         (0..5).for_each(|_| record.failures.record(&"route".into(), NOW, 1.0));
     });
-    let alike = table(3, |_| ());
+    let equal = table(3, |_| ());
     for (table, last) in [
         (full, None),
         (draining, None),
         (failing, None),
-        (alike, Some("1")),
+        (equal, Some("1")),
     ] {
-        let counts = picks(&table, last);
+        let counts = pick_counts(&table, last);
         assert_eq!(counts.keys().collect::<Vec<_>>(), ["0", "2"]);
     }
-    assert_eq!(picks(&table(1, |_| ()), Some("0"))["0"], 200, "no other");
+    assert_eq!(
+        pick_counts(&table(1, |_| ()), Some("0"))["0"],
+        200,
+        "the only endpoint"
+    );
 }
 
 #[test]
-fn endpoint_of_twice_the_cost_is_picked_less() {
-    // Costs are compared by chance while nothing is in flight, here one to two: a third of the attempts at most.
+fn endpoint_with_twice_the_cost_is_picked_less_often() {
+    // Nothing is in flight, so the endpoints are picked at random, inversely proportional to their costs: "1" gets
+    // about a third of the 200 attempts.
     let slow = table(2, |record| record.latency_ratio = 2.0);
     let small = table(2, |record| record.entry.weight = 0.5);
     for table in [slow, small] {
-        let counts = picks(&table, None);
+        let counts = pick_counts(&table, None);
         assert!((30..80).contains(&counts["1"]), "{counts:?}");
     }
 }
--- a/src/control/endpoints.rs
+++ b/src/control/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that discovery names, and the subset of them that this gateway uses.
+//! The endpoint list from discovery, and the subset of it that this gateway uses.
 
 use super::failure_rate::FailureRates;
 use crate::port::{Endpoint, EndpointId, EndpointState, EndpointUpdate, UnixTime, UpdateTiming};
@@ -8,36 +8,37 @@
 use wellcrank_fleet::slow_start::SlowStartPermits;
 use wellcrank_fleet::subset::{self, SubsetSizing};
 
-/// A removed endpoint that is listed again within this time may not have started anew.
+/// How long a removed endpoint is remembered. One that is listed again with the same start time may not have restarted.
 const REMEMBER_REMOVED_FOR: Duration = Duration::from_secs(600);
 
-/// Discovery lists an endpoint so long after its start at the latest.
+/// The longest time between the start of an endpoint and its appearance in the endpoint list.
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 
-/// What an attempt moves the latency ratio of its endpoint by.
+/// The weight of one attempt in the moving average of its endpoint's latency ratio.
 const LATENCY_SMOOTHING: f64 = 0.1;
 
-/// The least slow-start window, in seconds, whatever the settings say.
-const MIN_SLOW_START_WINDOW: f64 = 1e-9;
+/// The shortest slow-start window, in seconds: the window is a divisor and may be zero in the settings.
+const MIN_SLOW_START_WINDOW_SECONDS: f64 = 1e-9;
 
-/// An endpoint of the list, and what this gateway knows of it.
+/// A listed endpoint and what this gateway has observed of it.
 pub(super) struct EndpointRecord {
-    /// What discovery says of it.
+    /// The entry in the endpoint list.
     pub(super) entry: Endpoint,
-    /// When it started, by the adapter's clock; none: long ago.
+    /// When the endpoint started, on the adapter's clock; `None` means long ago.
     pub(super) started_at: Option<Duration>,
-    /// Attempts of this gateway in flight at it.
+    /// The number of this gateway's attempts in flight at the endpoint.
     pub(super) in_flight: u32,
-    /// Latency against the route's baseline and that of its machine type, as a moving mean.
+    /// The moving average of its latency relative to the route's baseline and to other endpoints of its machine type.
     pub(super) latency_ratio: f64,
-    /// The share of attempts that fail at it.
+    /// The failure rates of this gateway's attempts at the endpoint, by route.
     pub(super) failures: FailureRates,
-    /// This gateway's part of what it may be sent in slow start.
+    /// This gateway's permits to send to the endpoint in slow start.
     pub(super) permits: SlowStartPermits,
 }
 
 impl EndpointRecord {
-    /// How much of its full capacity the endpoint has by now, by its age: from the stated floor to 1.
+    /// Returns the share of its full capacity that the endpoint has now. It grows linearly with the endpoint's age,
+    /// from the slow-start floor to 1.
     pub(super) fn slow_start_factor(&self, rules: &Rules, now: Duration) -> f64 {
         let Some(started_at) = self.started_at else {
             return 1.0;
@@ -46,104 +47,107 @@
         let window = rules
             .slow_start_window
             .as_secs_f64()
-            .max(MIN_SLOW_START_WINDOW);
+            .max(MIN_SLOW_START_WINDOW_SECONDS);
         let age = now.saturating_sub(started_at).as_secs_f64();
         (floor + (1.0 - floor) * age / window).min(1.0)
     }
 
-    /// An attempt took `ratio` times what its route and this endpoint's machine type take.
+    /// Records an attempt that took `ratio` times the latency expected for its route and the endpoint's machine type.
     pub(super) fn record_latency_ratio(&mut self, ratio: f64) {
         self.latency_ratio += (ratio - self.latency_ratio) * LATENCY_SMOOTHING;
     }
 }
 
-/// When and by which gateway an update of the endpoint list was received.
+/// When, and by which gateway, an update of the endpoint list was received.
 #[derive(Clone, Copy)]
 pub(super) struct UpdateReceipt {
-    /// When, by the adapter's clock.
+    /// When it was received, on the adapter's clock.
     pub(super) now: Duration,
-    /// This gateway's number.
+    /// The index of this gateway, from 0.
     pub(super) gateway_index: u32,
-    /// By what the ages of the endpoints are reckoned.
+    /// The times from which the ages of the endpoints are computed.
     pub(super) timing: UpdateTiming,
 }
 
-/// What is kept of an endpoint that is no longer listed: it may be listed again without having started anew.
+/// What is remembered of a removed endpoint, in case it is listed again without having restarted.
 struct RemovedEndpoint {
-    entry_started_at: Option<UnixTime>,
+    /// The start time in its entry of the endpoint list.
+    listed_start: Option<UnixTime>,
+    /// The start time on the adapter's clock.
     started_at: Option<Duration>,
     removed_at: Duration,
 }
 
-/// How much is asked of the subset.
+/// The traffic that the subset must carry.
 #[derive(Clone, Copy)]
 pub(super) struct SubsetLoad {
-    /// Attempts a second that this gateway sends.
+    /// Attempts that this gateway sends per second.
     pub(super) attempt_rate: f64,
-    /// Attempts in flight.
+    /// This gateway's attempts in flight.
     pub(super) in_flight: f64,
-    /// Attempts that may be in flight in all.
+    /// The limit on this gateway's attempts in flight at all endpoints.
     pub(super) concurrency_limit: f64,
-    /// Attempts that may be in flight at one endpoint at the most.
+    /// The upper bound of the limit on this gateway's attempts in flight at one endpoint.
     pub(super) max_per_endpoint: f64,
 }
 
-/// The endpoint list, with the ring on which endpoints stand and the subset that this gateway uses.
+/// The endpoint list, the ring on which the endpoints are ordered, and the subset that this gateway uses.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     by_id: BTreeMap<EndpointId, EndpointRecord>,
     removed: BTreeMap<EndpointId, RemovedEndpoint>,
-    /// All endpoints in the order of their position on the ring.
+    /// All endpoints in the order of their ring positions.
     ring: Vec<EndpointId>,
-    /// The part of them that this gateway uses.
+    /// The endpoints that this gateway uses.
     subset: Vec<EndpointId>,
-    /// How many of the subset are past their slow start.
+    /// The number of endpoints in the subset that are past their slow start.
     warmed_up_in_subset: f64,
 }
 
 impl EndpointTable {
-    /// An endpoint, if it is listed.
+    /// Returns an endpoint's record, or `None` if the endpoint is not listed.
     pub(super) fn get(&self, id: &EndpointId) -> Option<&EndpointRecord> {
         self.by_id.get(id)
     }
 
-    /// An endpoint, if it is listed.
+    /// Returns an endpoint's record, or `None` if the endpoint is not listed.
     pub(super) fn get_mut(&mut self, id: &EndpointId) -> Option<&mut EndpointRecord> {
         self.by_id.get_mut(id)
     }
 
-    /// How many endpoints are listed.
+    /// Returns the number of listed endpoints.
     pub(super) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// All endpoints in the order of their position on the ring.
+    /// Returns all endpoints in the order of their ring positions.
     pub(super) fn ring(&self) -> &[EndpointId] {
         &self.ring
     }
 
-    /// The endpoints that this gateway uses.
+    /// Returns the endpoints that this gateway uses.
     pub(super) fn subset(&self) -> &[EndpointId] {
         &self.subset
     }
 
-    /// How many of the subset were past their slow start when it was last looked through.
+    /// Returns the number of endpoints in the subset that were past their slow start at the last refresh of the subset.
     pub(super) fn warmed_up_in_subset(&self) -> f64 {
         self.warmed_up_in_subset
     }
 
-    /// How many gateways use one endpoint, as all subsets are alike.
+    /// Returns the average number of gateways that use one endpoint, given the number of all gateways and assuming that
+    /// their subsets are as large as this one.
     pub(super) fn gateways_per_endpoint(&self, gateways: f64) -> f64 {
         gateways * self.subset.len() as f64 / self.ring.len().max(1) as f64
     }
 
-    /// News from discovery. The subset is as before until [`EndpointTable::refresh_subset`].
+    /// Applies an update from discovery. The subset does not change until [`EndpointTable::refresh_subset`] is called.
     pub(super) fn update(&mut self, receipt: UpdateReceipt, update: EndpointUpdate) {
         match update {
             EndpointUpdate::Snapshot(entries) => {
                 self.remove_unlisted(receipt.now, &entries);
                 for entry in entries {
-                    self.apply(receipt, entry);
+                    self.apply_entry(receipt, entry);
                 }
                 self.ring = self.by_id.keys().cloned().collect();
                 self.ring
@@ -152,13 +156,13 @@
             EndpointUpdate::Delta(entries) => {
                 for entry in entries {
                     self.update_ring(&entry);
-                    self.apply(receipt, entry);
+                    self.apply_entry(receipt, entry);
                 }
             }
         }
     }
 
-    /// What a whole list leaves out is gone.
+    /// Removes the endpoints that a complete list does not contain.
     fn remove_unlisted(&mut self, now: Duration, entries: &[Endpoint]) {
         let listed: BTreeSet<&EndpointId> = entries.iter().map(|entry| &entry.id).collect();
         let unlisted: Vec<EndpointId> = self
@@ -177,15 +181,15 @@
             return;
         };
         let removed = RemovedEndpoint {
-            entry_started_at: record.entry.started_at,
+            listed_start: record.entry.started_at,
             started_at: record.started_at,
             removed_at: now,
         };
         self.removed.insert(id, removed);
     }
 
-    /// Follows one entry of the list. An endpoint that has not started anew keeps what is known of it.
-    fn apply(&mut self, receipt: UpdateReceipt, entry: Endpoint) {
+    /// Applies one entry of the list. An endpoint that has not restarted keeps its observed state.
+    fn apply_entry(&mut self, receipt: UpdateReceipt, entry: Endpoint) {
         if entry.state == EndpointState::Removed {
             return self.remove(receipt.now, entry.id);
         }
@@ -202,7 +206,8 @@
         self.by_id.insert(id, record);
     }
 
-    /// An endpoint of which nothing is known yet but the attempts in flight from before it started anew.
+    /// Creates the record of an endpoint that is new or has restarted. It has no observed state but `in_flight`, the
+    /// attempts that were sent before the restart and have not ended.
     fn new_record(
         &mut self,
         receipt: UpdateReceipt,
@@ -214,7 +219,7 @@
         let returned = self
             .removed
             .remove(&entry.id)
-            .filter(|removed| removed.entry_started_at == entry.started_at);
+            .filter(|removed| removed.listed_start == entry.started_at);
         let started_at = match returned {
             Some(removed) => removed.started_at,
             None => start_on_adapter_clock(receipt.now, receipt.timing, entry.started_at),
@@ -229,7 +234,7 @@
         }
     }
 
-    /// A change of one endpoint on the ring: thousands are not sorted anew for it.
+    /// Adds one endpoint to the ring or removes it, which avoids sorting thousands of endpoints again.
     fn update_ring(&mut self, entry: &Endpoint) {
         let was_listed = self.by_id.contains_key(&entry.id);
         let is_listed = entry.state != EndpointState::Removed;
@@ -245,17 +250,18 @@
         }
     }
 
-    /// Chooses the subset anew: all endpoints that this gateway can keep connections to open and learn of, or a part.
-    /// Trade-off: a gateway suffers more from what happens to endpoints of its subset; the others are then used too.
+    /// Recomputes the subset: as many endpoints as the traffic needs and keeps connections open to, or all endpoints
+    /// if there is no idle timeout. Trade-off: a failure of endpoints in the subset affects this gateway more; if none
+    /// of the subset is eligible, the other endpoints are used.
     pub(super) fn refresh_subset(&mut self, now: Duration, settings: &Settings, load: SubsetLoad) {
         let idle_timeout = settings.limits.idle_timeout.as_secs_f64();
         let endpoints = self.ring.len();
-        let limit_each = load.concurrency_limit / self.subset.len().max(1) as f64;
+        let limit_per_endpoint = load.concurrency_limit / self.subset.len().max(1) as f64;
         let needed = SubsetSizing {
             attempt_rate: load.attempt_rate,
             idle_timeout_seconds: idle_timeout,
             in_flight: load.in_flight,
-            max_in_flight_per_endpoint: limit_each.min(load.max_per_endpoint),
+            max_in_flight_per_endpoint: limit_per_endpoint.min(load.max_per_endpoint),
         };
         let size = if idle_timeout > 0.0 {
             needed.size(endpoints)
@@ -273,21 +279,22 @@
         self.warmed_up_in_subset = warmed_up.count() as f64;
     }
 
-    /// Forgets removed endpoints that will have started anew by now.
+    /// Forgets the endpoints that were removed at least [`REMEMBER_REMOVED_FOR`] ago.
     pub(super) fn forget_removed(&mut self, now: Duration) {
         self.removed
             .retain(|_, removed| now < removed.removed_at + REMEMBER_REMOVED_FOR);
     }
 }
 
-/// The order of endpoints on the ring.
+/// Returns the sort key that orders the endpoints on the ring.
 fn ring_key(id: &EndpointId) -> (u64, EndpointId) {
     (subset::ring_position(&id.0), id.clone())
 }
 
-/// When an endpoint started, by the adapter's clock. Its age is asked of the wall clock once; from then on it is a span.
-/// An endpoint that the last update did not list is no older than the time since then and [`MAX_NOTIFICATION_DELAY`],
-/// whatever the wall clock says. Trade-off: one that is listed later still is in slow start for longer.
+/// Returns when an endpoint started, on the adapter's clock. The wall clock is used only once, to compute the
+/// endpoint's age at this update. An endpoint that the previous update did not list is at most
+/// [`MAX_NOTIFICATION_DELAY`] older than the time since that update, whatever the wall clock says. Trade-off: one that
+/// is listed with a longer delay stays in slow start for longer.
 fn start_on_adapter_clock(
     now: Duration,
     timing: UpdateTiming,
--- a/src/control/endpoints/tests.rs
+++ b/src/control/endpoints/tests.rs
@@ -1,7 +1,7 @@
 use super::super::test_support::{endpoint, endpoint_table, receipt_at};
 use super::*;
 
-fn started(id: &str, unix_seconds: u64) -> Endpoint {
+fn endpoint_started_at(id: &str, unix_seconds: u64) -> Endpoint {
     Endpoint {
         started_at: Some(UnixTime(Duration::from_secs(unix_seconds))),
         ..endpoint(id)
@@ -12,33 +12,33 @@
     ids.iter().map(|id| endpoint(id)).collect()
 }
 
-/// When "a" started by the adapter's clock, in seconds.
+/// Returns when "a" started, in seconds on the adapter's clock.
 fn start_of_a(table: &EndpointTable) -> Option<f64> {
     let record = table.get(&"a".into()).expect("listed");
     record.started_at.map(|at| at.as_secs_f64())
 }
 
 #[test]
-fn ring_is_the_same_after_changes_as_after_a_whole_list() {
-    let whole = endpoint_table(ready(&["a", "b", "c", "d", "e", "f"]));
+fn ring_after_deltas_equals_the_ring_after_a_snapshot() {
+    let expected = endpoint_table(ready(&["a", "b", "c", "d", "e", "f"]));
     let mut table = endpoint_table(ready(&["a", "b", "x", "y"]));
-    let unlisted = EndpointUpdate::Snapshot(ready(&["x", "b", "a"]));
-    table.update(receipt_at(2.0, None), unlisted);
+    let without_y = EndpointUpdate::Snapshot(ready(&["x", "b", "a"]));
+    table.update(receipt_at(2.0, None), without_y);
     let mut changes = ready(&["f", "c", "d", "e", "c"]);
     changes.extend(["x", "unknown"].map(|id| Endpoint::removed(id.into())));
     table.update(receipt_at(2.0, None), EndpointUpdate::Delta(changes));
-    assert_eq!(table.ring(), whole.ring());
+    assert_eq!(table.ring(), expected.ring());
     assert_eq!(table.len(), 6);
 }
 
 #[test]
-fn endpoint_that_started_anew_keeps_only_its_attempts_in_flight() {
+fn restarted_endpoint_keeps_only_its_attempts_in_flight() {
     for (start, latency_ratio) in [(900, 3.0), (1001, 1.0)] {
-        let mut table = endpoint_table(vec![started("a", 900)]);
+        let mut table = endpoint_table(vec![endpoint_started_at("a", 900)]);
         let before = table.get_mut(&"a".into()).expect("listed");
         before.in_flight = 2;
         before.latency_ratio = 3.0;
-        let update = EndpointUpdate::Delta(vec![started("a", start)]);
+        let update = EndpointUpdate::Delta(vec![endpoint_started_at("a", start)]);
         table.update(receipt_at(2.0, None), update);
         let record = table.get(&"a".into()).expect("listed");
         assert_eq!(record.latency_ratio, latency_ratio, "{start}");
@@ -48,7 +48,8 @@
 
 #[test]
 fn start_is_no_earlier_than_the_time_since_the_last_update_allows() {
-    // The adapter's clock reads 500 s, the wall clock 1500 s. What was not listed 2 s ago is 2 s and 6 s old at the most.
+    // The adapter's clock is at 500 s, the wall clock at 1500 s. An endpoint that was not listed 2 s ago is at most
+    // 2 s + 6 s old.
     for (start, since_last_update, started_at) in [
         (1490, None, 490.0),
         (1490, Some(30), 490.0),
@@ -57,7 +58,7 @@
     ] {
         let mut table = EndpointTable::default();
         let receipt = receipt_at(500.0, since_last_update.map(Duration::from_secs));
-        let update = EndpointUpdate::Delta(vec![started("a", start)]);
+        let update = EndpointUpdate::Delta(vec![endpoint_started_at("a", start)]);
         table.update(receipt, update);
         assert_eq!(start_of_a(&table), Some(started_at), "{start}");
     }
@@ -65,14 +66,14 @@
 }
 
 #[test]
-fn removed_endpoint_that_returns_within_ten_minutes_keeps_its_age() {
-    // It was removed at 2 s; one that is not remembered is taken to be 8 s old at the most.
+fn removed_endpoint_that_returns_within_ten_minutes_keeps_its_start_time() {
+    // The endpoint is removed at 2 s. If it is no longer remembered at 1000 s, it is taken to be at most 8 s old.
     for (forget_at, started_at) in [(601, 0.0), (602, 992.0)] {
-        let mut table = endpoint_table(vec![started("a", 991)]);
+        let mut table = endpoint_table(vec![endpoint_started_at("a", 991)]);
         table.update(receipt_at(2.0, None), EndpointUpdate::Snapshot(Vec::new()));
         table.forget_removed(Duration::from_secs(forget_at));
         let receipt = receipt_at(1000.0, Some(Duration::from_secs(2)));
-        let update = EndpointUpdate::Delta(vec![started("a", 991)]);
+        let update = EndpointUpdate::Delta(vec![endpoint_started_at("a", 991)]);
         table.update(receipt, update);
         assert_eq!(start_of_a(&table), Some(started_at), "{forget_at}");
     }
--- a/src/control/load_balancer.rs
+++ b/src/control/load_balancer.rs
@@ -1,4 +1,4 @@
-//! The gateway's side of the endpoints: which of them it uses, what it has learnt of them, and how many attempts may be
+//! The load balancer: the endpoints that this gateway uses, what it has observed of them, and how many attempts may be
 //! in flight at them.
 
 use super::concurrency_limit::{ConcurrencyLimiter, FleetShare, INITIAL_LIMIT_PER_ENDPOINT};
@@ -18,30 +18,30 @@
 use nanorand::WyRand;
 use std::time::Duration;
 
-/// All that is known of the endpoints.
+/// The state of the endpoints as this gateway observes it.
 pub(super) struct LoadBalancer {
     endpoints: EndpointTable,
-    /// Failure rates of the routes at all endpoints together.
+    /// The failure rates of the routes at all endpoints together.
     failures: FailureRates,
-    /// Baseline latencies of the routes.
+    /// The baseline latencies of the routes.
     latencies: BaselineLatencies,
     machine_types: MachineTypeLatencies,
-    /// How many attempts may be in flight.
+    /// The limit on attempts in flight at all endpoints.
     limiter: ConcurrencyLimiter,
     attempt_rate: AttemptRate,
     answer_rate: AnswerRate,
 }
 
-/// An attempt that was registered at its endpoint.
+/// An attempt that was recorded at its endpoint and can be sent.
 pub(super) struct StartedAttempt {
-    /// When and where.
+    /// When it was started, and the zone and cell of its endpoint.
     pub(super) sent: SentAttempt,
-    /// It must have gone out whole by then; [`Duration::MAX`]: at any time.
+    /// The time by which it must be sent completely; [`Duration::MAX`] means no limit.
     pub(super) send_by: Duration,
 }
 
 impl LoadBalancer {
-    /// No endpoint is known yet.
+    /// Creates a load balancer without endpoints.
     pub(super) fn new() -> LoadBalancer {
         LoadBalancer {
             endpoints: EndpointTable::default(),
@@ -54,17 +54,17 @@
         }
     }
 
-    /// The baseline latency of a route in seconds, once one of its attempts has ended.
+    /// Returns the baseline latency of a route in seconds, or `None` until one of its attempts has ended.
     pub(super) fn baseline_latency(&self, route: &RouteName) -> Option<f64> {
         self.latencies.seconds(route)
     }
 
-    /// How many attempts are in flight, and may be.
+    /// Returns the limiter of the attempts in flight.
     pub(super) fn limiter(&self) -> &ConcurrencyLimiter {
         &self.limiter
     }
 
-    /// News from discovery.
+    /// Applies an update of the endpoint list and refreshes the subset.
     pub(super) fn on_endpoint_update(
         &mut self,
         context: &Context,
@@ -80,7 +80,7 @@
         self.refresh_subset(context);
     }
 
-    /// Chooses the subset of endpoints anew.
+    /// Recomputes the subset of endpoints that this gateway uses.
     pub(super) fn refresh_subset(&mut self, context: &Context) {
         let load = SubsetLoad {
             attempt_rate: self.attempt_rate.per_second(),
@@ -92,14 +92,14 @@
             .refresh_subset(context.now, &context.settings, load);
     }
 
-    /// What is done once a second.
+    /// Does the work that is due once per second.
     pub(super) fn on_second(&mut self, context: &Context) {
         self.attempt_rate.end_second();
         self.refresh_subset(context);
         self.endpoints.forget_removed(context.now);
     }
 
-    /// Picks the endpoint of a request's next attempt, if there is an eligible one.
+    /// Picks the endpoint of a request's next attempt, or returns `None` if no endpoint is eligible.
     pub(super) fn pick(
         &self,
         context: &Context,
@@ -111,7 +111,7 @@
         let picker = EndpointPicker {
             route,
             guard,
-            last: open.last_endpoint.as_ref(),
+            last_endpoint: open.last_endpoint.as_ref(),
             endpoints: &self.endpoints,
             slow_start: self.slow_start(context),
             route_failure_rate: self.failures.overall_rate(route, context.now),
@@ -135,8 +135,9 @@
         }
     }
 
-    /// An attempt begins at an endpoint that was picked; none where it is not listed any more. In slow start it uses a
-    /// permit, and has to go out before it could arrive with later ones.
+    /// Records the start of an attempt at the endpoint that was picked. Returns `None` if the endpoint is no longer
+    /// listed. At an endpoint in slow start the attempt uses a permit and must be sent within half a permit lifetime,
+    /// so that it does not arrive together with the attempts of later permits.
     pub(super) fn start_attempt(
         &mut self,
         context: &Context,
@@ -161,7 +162,7 @@
         Some(StartedAttempt { sent, send_by })
     }
 
-    /// An attempt has ended: what it tells of its endpoint, its route and the load is recorded.
+    /// Records the result of an attempt for its endpoint, its route and the concurrency limit.
     pub(super) fn on_attempt_end(
         &mut self,
         context: &Context,
@@ -183,7 +184,8 @@
         self.record_latency(context, endpoint, route, result);
     }
 
-    /// An endpoint that can't be reached is so for every route.
+    /// Records whether an attempt failed. A failed or broken connection also counts for every route that the endpoint
+    /// has a failure rate for, because an unreachable endpoint fails on all routes.
     fn record_failure(
         &mut self,
         now: Duration,
@@ -208,7 +210,7 @@
         }
     }
 
-    /// The latency of an attempt moves that of its endpoint, of the endpoint's machine type and of its route.
+    /// Updates the latencies of the endpoint, of its machine type and of the route with the latency of an attempt.
     fn record_latency(
         &mut self,
         context: &Context,
@@ -216,7 +218,7 @@
         route: &RouteName,
         result: &AttemptResult,
     ) {
-        let baseline = self.latencies.get_or_assume(route, result.latency);
+        let baseline = self.latencies.get_or_insert(route, result.latency);
         let Some(record) = self.endpoints.get_mut(endpoint) else {
             return;
         };
@@ -225,8 +227,8 @@
             AttemptOutcome::Success | AttemptOutcome::TimedOut
         ) {
             let ratio = result.latency.as_secs_f64() / baseline.seconds();
-            let against_type = self.machine_types.record(&record.entry.machine_type, ratio);
-            record.record_latency_ratio(against_type);
+            let relative_to_type = self.machine_types.record(&record.entry.machine_type, ratio);
+            record.record_latency_ratio(relative_to_type);
         }
         if result.outcome == AttemptOutcome::Success {
             self.latencies.record_answer(route, result.latency);
--- a/src/control/test_support.rs
+++ b/src/control/test_support.rs
@@ -1,4 +1,4 @@
-//! What the unit tests of several parts build alike.
+//! Values that the unit tests of several modules use.
 
 use super::endpoints::{EndpointTable, UpdateReceipt};
 use super::requests::OpenRequest;
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The end of an attempt.
+/// Returns the result of an attempt that did not close its request.
 pub(super) fn attempt_result(outcome: AttemptOutcome, latency: Duration) -> AttemptResult {
     AttemptResult {
         outcome,
@@ -21,15 +21,15 @@
     }
 }
 
-/// Settings of one route.
-pub(super) fn settings_of(route: Route) -> Settings {
+/// Returns settings whose only route has this configuration and the name "route".
+pub(super) fn settings_with_route(route: Route) -> Settings {
     Settings {
         routes: [("route".into(), route)].into(),
         ..Settings::default()
     }
 }
 
-/// A request for three units by one of two gateways, which waits until 10 s.
+/// Returns a request for three units whose customer uses two gateways. Its deadline is at 10 s.
 pub(super) fn request() -> Request {
     Request {
         id: "r1".into(),
@@ -43,12 +43,12 @@
     }
 }
 
-/// That request, received at 1 s.
+/// Returns [`request`] as an open request that was received at 1 s.
 pub(super) fn open_request(route: Route) -> OpenRequest {
     OpenRequest::new(request(), route, Duration::from_secs(1), false)
 }
 
-/// A ready endpoint that has run for long.
+/// Returns a ready endpoint that started long ago.
 pub(super) fn endpoint(id: &str) -> Endpoint {
     Endpoint {
         state: EndpointState::Ready,
@@ -56,7 +56,7 @@
     }
 }
 
-/// An update received at a second of the adapter's clock, which reads 1000 s less than the wall clock.
+/// Returns the receipt of an update at `now` seconds on the adapter's clock, which is 1000 s behind the wall clock.
 pub(super) fn receipt_at(now: f64, since_last_update: Option<Duration>) -> UpdateReceipt {
     UpdateReceipt {
         now: Duration::from_secs_f64(now),
@@ -68,7 +68,7 @@
     }
 }
 
-/// A table of these endpoints, listed at 1 s.
+/// Returns a table of these endpoints, from a snapshot received at 1 s.
 pub(super) fn endpoint_table(entries: Vec<Endpoint>) -> EndpointTable {
     let mut table = EndpointTable::default();
     table.update(receipt_at(1.0, None), EndpointUpdate::Snapshot(entries));
