--- a/tests/random_run/mod.rs
+++ b/tests/random_run/mod.rs
@@ -1,4 +1,4 @@
-//! One run of a controller through random events.
+//! A run of a controller through random events.
 
 mod rule_checker;
 mod settings;
@@ -15,23 +15,23 @@
     RequestId, RouteName, UnixTime, UpdateTiming,
 };
 
-/// When a run begins.
+/// The time at which a run starts, on the only clock of the run.
 const START: Duration = Duration::from_secs(1_700_000_000);
-/// The random events of a run.
-const EVENTS: usize = 250;
-/// After this every request of a run has passed its deadline.
-const LAST_WAIT: Duration = Duration::from_secs(4);
+/// The number of random events in a run.
+const EVENT_COUNT: usize = 250;
+/// How far the clock moves after the last event, so that all requests of the run pass their deadlines.
+const FINAL_WAIT: Duration = Duration::from_secs(4);
 
-/// In milliseconds.
+/// The steps by which the clock moves, in milliseconds.
 const CLOCK_STEPS_MS: [u64; 4] = [1, 20, 400, 2000];
-/// How long clients wait, in milliseconds.
-const TIMEOUTS_MS: [u64; 4] = [1, 50, 600, 3000];
+/// The client timeouts, in milliseconds.
+const CLIENT_TIMEOUTS_MS: [u64; 4] = [1, 50, 600, 3000];
 const CUSTOMERS: [&str; 2] = ["ann", "bob"];
 const UNITS: [f64; 4] = [1e-3, 1.0, 3.0, 1e6];
 const SETTLED_UNITS: [Option<f64>; 3] = [None, Some(1.0), Some(1e6)];
 const WEIGHTS: [f64; 4] = [0.0, 1.0, 1e300, -3.0];
 const COUNTER_TOTALS: [f64; 8] = [0.0, 1.0, 3.0, 5.0, -1e9, 1e18, 1e308, f64::MIN];
-/// More often ready than not.
+/// Three of five are ready, so that most endpoints accept attempts.
 const ENDPOINT_STATES: [EndpointState; 5] = [
     EndpointState::Ready,
     EndpointState::Ready,
@@ -50,22 +50,23 @@
     AttemptOutcome::NotSent,
 ];
 
-/// One of some values, each with the same chance.
+/// Picks one of the values, all with the same probability.
 fn pick<'a, T>(rng: &mut WyRand, values: &'a [T]) -> &'a T {
     &values[rng.generate_range(0..values.len())]
 }
 
-/// A controller under test, the checker of its rules, and the generator of its events.
+/// A controller under test, its port, which checks the rules, and the random generator of the events.
 pub(crate) struct RandomRun {
     seed: u64,
     checker: RuleChecker,
     controller: AdmissionController,
     rng: WyRand,
-    requests: u32,
+    /// The number of requests so far; also the id of the latest.
+    request_count: u32,
 }
 
 impl RandomRun {
-    /// A run with the settings and events of a seed.
+    /// Creates the run whose settings and events are generated from this seed.
     pub(crate) fn new(seed: u64) -> Self {
         let mut rng = WyRand::new_seed(seed);
         let settings = random_settings(&mut rng);
@@ -77,30 +78,30 @@
             checker,
             controller,
             rng,
-            requests: 0,
+            request_count: 0,
         }
     }
 
-    /// Plays random events; panics where a rule is broken or a request is never answered.
+    /// Plays random events. Panics if a rule is broken or a request gets no final answer.
     pub(crate) fn run(mut self) {
         self.update_endpoints();
-        for _ in 0..EVENTS {
+        for _ in 0..EVENT_COUNT {
             self.play_event();
         }
-        self.advance(LAST_WAIT);
+        self.advance(FINAL_WAIT);
         let seed = self.seed;
         let open = &self.checker.state().open_requests;
-        let unanswered: Vec<&RequestId> = open.keys().collect();
+        let unanswered_requests: Vec<&RequestId> = open.keys().collect();
         assert!(
-            unanswered.is_empty(),
-            "run {seed}: never answered: {unanswered:?}"
+            unanswered_requests.is_empty(),
+            "seed {seed}: requests without a final answer after the last deadline: {unanswered_requests:?}"
         );
     }
 
     fn play_event(&mut self) {
         match self.rng.generate_range(0..12u32) {
             0 => self.update_endpoints(),
-            1..=4 => self.request(),
+            1..=4 => self.send_request(),
             5..=7 => self.reply_from_counter(),
             8 | 9 => self.end_attempt(),
             10 => self.disconnect_client(),
@@ -115,7 +116,7 @@
         self.checker.state().now
     }
 
-    /// Moves the clock, firing the timers on the way.
+    /// Moves the clock by `span` and fires the timers that become due, each at its time.
     fn advance(&mut self, span: Duration) {
         let end = self.now() + span;
         loop {
@@ -127,7 +128,7 @@
         self.set_time(end);
     }
 
-    /// Timers may have been set for a time that has passed.
+    /// Sets the clock. It never goes back: a timer may have been set for a time that had passed already.
     fn set_time(&mut self, time: Duration) {
         let now = self.now().max(time);
         self.checker.state_mut().now = now;
@@ -156,12 +157,12 @@
         self.controller.on_endpoint_update(timing, update);
     }
 
-    fn request(&mut self) {
-        self.requests += 1;
+    fn send_request(&mut self) {
+        self.request_count += 1;
         let rng = &mut self.rng;
-        let id: RequestId = self.requests.to_string().as_str().into();
+        let id: RequestId = self.request_count.to_string().as_str().into();
         let route: RouteName = (*pick(rng, &ROUTES)).into();
-        let timeout = Duration::from_millis(*pick(rng, &TIMEOUTS_MS));
+        let timeout = Duration::from_millis(*pick(rng, &CLIENT_TIMEOUTS_MS));
         let deadline = self.checker.state().now + timeout;
         self.checker
             .state_mut()
@@ -179,12 +180,12 @@
         self.controller.on_request(request);
     }
 
-    /// The counter replies to the oldest add, if there is one.
+    /// Replies to the oldest unanswered call on the counter, if there is one.
     fn reply_from_counter(&mut self) {
-        if self.checker.state().unanswered_adds.is_empty() {
+        if self.checker.state().unanswered_counter_calls.is_empty() {
             return;
         }
-        let name = self.checker.state_mut().unanswered_adds.remove(0);
+        let name = self.checker.state_mut().unanswered_counter_calls.remove(0);
         let total = *pick(&mut self.rng, &COUNTER_TOTALS);
         let reply = match self.rng.generate_range(0..8u32) {
             0 => CounterReply::Applied,
@@ -195,14 +196,18 @@
         self.controller.on_counter_reply(name, reply);
     }
 
-    /// An attempt that is out ends, if there is one.
+    /// Ends a random attempt in flight, if there is one.
     fn end_attempt(&mut self) {
-        let count = self.checker.state().attempts_out.len();
+        let count = self.checker.state().attempts_in_flight.len();
         let index = self.rng.generate_range(0..count.max(1));
         if count == 0 {
             return;
         }
-        let (request, attempt) = self.checker.state_mut().attempts_out.swap_remove(index);
+        let (request, attempt) = self
+            .checker
+            .state_mut()
+            .attempts_in_flight
+            .swap_remove(index);
         let outcome = *pick(&mut self.rng, &OUTCOMES);
         let request_closed = self.checker.state_mut().end_attempt(&request, outcome);
         let result = AttemptResult {
@@ -215,7 +220,7 @@
         self.controller.on_attempt_end(&request, attempt, result);
     }
 
-    /// The client of an open request leaves, if there is one.
+    /// Disconnects the client of a random open request, if there is one.
     fn disconnect_client(&mut self) {
         let count = self.checker.state().open_requests.len();
         let index = self.rng.generate_range(0..count.max(1));
@@ -247,7 +252,7 @@
         state,
         started_at: pick(rng, &start_times).map(UnixTime),
         cell,
-        // Zones are as cells here, so that a route's deduplication scope may be either.
+        // Each cell is a zone of its own, so that the rule checker need not distinguish the two deduplication scopes.
         zone: cell.to_string(),
         machine_type: String::new(),
         weight: *pick(rng, &WEIGHTS),
--- a/tests/random_run/rule_checker.rs
+++ b/tests/random_run/rule_checker.rs
@@ -1,4 +1,4 @@
-//! The port of a controller under test: checks with each action that the rules are kept.
+//! The port of the controller under test. It checks each action of the controller against the rules.
 
 use std::cell::{Ref, RefCell, RefMut};
 use std::collections::BTreeMap;
@@ -10,10 +10,10 @@
 };
 use wellcrank::settings::{DeduplicationScope, Idempotency, Settings};
 
-/// The longest span after which a client is told to ask again.
+/// The longest delay after which a client may be told to retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// When an attempt was sent, and to an endpoint of which cell.
+/// When an attempt was sent, and the cell of its endpoint.
 #[derive(Clone, Copy)]
 struct SentAttempt {
     sent_at: Duration,
@@ -24,46 +24,47 @@
 pub(super) struct OpenRequest {
     route: RouteName,
     deadline: Duration,
-    /// The attempt that is out.
-    attempt_out: Option<AttemptNumber>,
-    /// How many attempts there have been.
+    /// The attempt in flight.
+    in_flight: Option<AttemptNumber>,
+    /// The number of attempts that were sent.
     attempts: u32,
-    /// The first attempt that may have run, not counting the one that is out.
-    first_run: Option<SentAttempt>,
+    /// The first attempt that may have run, not counting the attempt in flight.
+    first_execution: Option<SentAttempt>,
+    /// The latest attempt. Before the first one is sent it has no meaning.
     latest: SentAttempt,
 }
 
-/// What the rules have to be checked against.
+/// The state of the run against which the rules are checked.
 #[derive(Default)]
 pub(super) struct RunState {
     pub(super) now: Duration,
     settings: Settings,
-    /// When each timer fires, and its token.
+    /// The pending timers: when each fires, and its token.
     timers: Vec<(Duration, u64)>,
-    /// The adds without a reply, oldest first.
-    pub(super) unanswered_adds: Vec<CounterName>,
+    /// The names of the counter calls without a reply, oldest first.
+    pub(super) unanswered_counter_calls: Vec<CounterName>,
     pub(super) open_requests: BTreeMap<RequestId, OpenRequest>,
-    /// The attempts whose end has not been reported, also of requests that have their final answer.
-    pub(super) attempts_out: Vec<(RequestId, AttemptNumber)>,
-    endpoints: BTreeMap<EndpointId, KnownEndpoint>,
+    /// The attempts whose end has not been reported, including those of requests that have their final answer.
+    pub(super) attempts_in_flight: Vec<(RequestId, AttemptNumber)>,
+    endpoints: BTreeMap<EndpointId, ListedEndpoint>,
 }
 
-/// What discovery said last of an endpoint.
+/// The latest state of an endpoint in the updates from discovery.
 #[derive(Clone, Copy)]
-struct KnownEndpoint {
+struct ListedEndpoint {
     is_ready: bool,
     cell: u64,
 }
 
 impl RunState {
-    /// A request that comes in now.
+    /// Adds a request that is received now.
     pub(super) fn open_request(&mut self, id: RequestId, route: RouteName, deadline: Duration) {
         let request = OpenRequest {
             route,
             deadline,
-            attempt_out: None,
+            in_flight: None,
             attempts: 0,
-            first_run: None,
+            first_execution: None,
             latest: SentAttempt {
                 sent_at: self.now,
                 cell: 0,
@@ -72,13 +73,13 @@
         self.open_requests.insert(id, request);
     }
 
-    /// Takes an update of the endpoint list; with `is_snapshot`, what it does not name is gone.
+    /// Applies an update of the endpoint list. A snapshot removes the endpoints that it does not contain.
     pub(super) fn update_endpoints(&mut self, endpoints: &[Endpoint], is_snapshot: bool) {
         if is_snapshot {
             self.endpoints.clear();
         }
         for endpoint in endpoints {
-            let known = KnownEndpoint {
+            let known = ListedEndpoint {
                 is_ready: endpoint.state == EndpointState::Ready,
                 cell: endpoint.cell,
             };
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Takes the end of an attempt; says whether its request has its final answer.
+    /// Records the end of an attempt. Returns whether its request is closed.
     pub(super) fn end_attempt(&mut self, request: &RequestId, outcome: AttemptOutcome) -> bool {
         if outcome == AttemptOutcome::Success {
             self.open_requests.remove(request);
@@ -95,98 +96,121 @@
         let Some(open) = self.open_requests.get_mut(request) else {
             return true;
         };
-        open.attempt_out = None;
-        let can_not_have_run = matches!(
+        open.in_flight = None;
+        let did_not_run = matches!(
             outcome,
             AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
         );
-        if !can_not_have_run {
-            open.first_run.get_or_insert(open.latest);
+        if !did_not_run {
+            open.first_execution.get_or_insert(open.latest);
         }
         false
     }
 
-    /// Takes the timer that fires first, if it does so by the given time.
+    /// Removes and returns the timer that fires first, if it is due by `now`.
     pub(super) fn take_due_timer(&mut self, now: Duration) -> Option<(Duration, TimerToken)> {
-        let due = self.timers.iter().enumerate();
-        let (index, _) = due
+        let timers = self.timers.iter().enumerate();
+        let (index, _) = timers
             .filter(|(_, timer)| timer.0 <= now)
             .min_by_key(|(_, timer)| **timer)?;
         let (fires_at, token) = self.timers.swap_remove(index);
         Some((fires_at, TimerToken(token)))
     }
 
+    /// Checks that an attempt may be sent to this endpoint now.
     fn check_send(
         &self,
         open: &OpenRequest,
-        endpoint: KnownEndpoint,
+        endpoint: ListedEndpoint,
         timeout: Duration,
         send_by: Duration,
     ) {
-        assert!(open.attempt_out.is_none(), "one attempt out at a time");
+        assert!(
+            open.in_flight.is_none(),
+            "a second attempt was sent while {:?} was in flight",
+            open.in_flight
+        );
         assert!(
             endpoint.is_ready,
-            "an endpoint that drains gets nothing new"
+            "an attempt was sent to an endpoint that is draining or removed"
         );
         assert!(
             self.now + timeout <= open.deadline && send_by > self.now,
-            "there is time left"
+            "an attempt was sent at {:?} with timeout {timeout:?} and send_by {send_by:?}, but the deadline is {:?}",
+            self.now,
+            open.deadline
         );
-        if let Some(first_run) = open.first_run {
-            self.check_repeat(&open.route, first_run, endpoint, send_by);
+        if let Some(first_execution) = open.first_execution {
+            self.check_repeat(&open.route, first_execution, endpoint, send_by);
         }
     }
 
-    /// Checks a send of a request that may have run before.
+    /// Checks an attempt of a request that may have run before.
     fn check_repeat(
         &self,
         route: &RouteName,
-        first_run: SentAttempt,
-        endpoint: KnownEndpoint,
+        first_execution: SentAttempt,
+        endpoint: ListedEndpoint,
         send_by: Duration,
     ) {
         let route = self.settings.route(route);
         match route.idempotency {
             Idempotency::Idempotent => (),
             Idempotency::Keyed => {
-                let forgotten_at = first_run.sent_at + route.deduplication_window;
+                let window_end = first_execution.sent_at + route.deduplication_window;
                 assert!(
-                    self.now < forgotten_at && send_by <= forgotten_at,
-                    "a repeat while the key is remembered"
+                    self.now < window_end && send_by <= window_end,
+                    "a repeat was sent at {:?} with send_by {send_by:?}, but the deduplication window ends at {window_end:?}",
+                    self.now
                 );
-                let is_known_everywhere = route.deduplication_scope == DeduplicationScope::All;
+                let all_endpoints_recognise_key =
+                    route.deduplication_scope == DeduplicationScope::All;
                 assert!(
-                    is_known_everywhere || first_run.cell == endpoint.cell,
-                    "a repeat where the key is remembered"
+                    all_endpoints_recognise_key || first_execution.cell == endpoint.cell,
+                    "a repeat was sent to cell {}, but the deduplication key is known in cell {}",
+                    endpoint.cell,
+                    first_execution.cell
                 );
             }
-            Idempotency::NonIdempotent => panic!("what must not run twice is sent again"),
+            Idempotency::NonIdempotent => {
+                panic!("a non-idempotent request that may have run was sent again")
+            }
         }
     }
 
-    fn record_send(&mut self, request: &RequestId, endpoint: KnownEndpoint) {
+    /// Records that an attempt was sent to this endpoint.
+    fn record_send(&mut self, request: &RequestId, endpoint: ListedEndpoint) {
         let sent_at = self.now;
-        let open = self.open_requests.get_mut(request).expect("checked before");
+        let open = self
+            .open_requests
+            .get_mut(request)
+            .expect("checked in `send`");
         let attempt = AttemptNumber(open.attempts);
-        open.attempt_out = Some(attempt);
+        open.in_flight = Some(attempt);
         open.attempts += 1;
         open.latest = SentAttempt {
             sent_at,
             cell: endpoint.cell,
         };
-        self.attempts_out.push((request.clone(), attempt));
+        self.attempts_in_flight.push((request.clone(), attempt));
     }
 
-    /// Takes a final answer. A rejection promises that it is harmless to ask again.
+    /// Records a final answer and checks that it is the only one and not late. A rejection tells the client that a
+    /// retry is safe, so a request that may have run may be rejected only if its route makes a repeat harmless.
     fn close_request(&mut self, request: &RequestId, is_rejection: bool) {
         let open = self
             .open_requests
             .remove(request)
-            .expect("one final answer, to an open request");
-        assert!(self.now <= open.deadline, "answered in time");
-        let may_have_run = open.first_run.is_some() || open.attempt_out.is_some();
+            .expect("a final answer must be to an open request");
+        assert!(
+            self.now <= open.deadline,
+            "the final answer came at {:?}, after the deadline {:?}",
+            self.now,
+            open.deadline
+        );
+        let may_have_run = open.first_execution.is_some() || open.in_flight.is_some();
         let route = self.settings.route(&open.route);
-        let is_harmless = match route.idempotency {
+        let is_retry_safe = match route.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed => {
                 !may_have_run || route.deduplication_scope == DeduplicationScope::All
@@ -194,18 +218,18 @@
             Idempotency::NonIdempotent => !may_have_run,
         };
         assert!(
-            is_harmless || !is_rejection,
-            "rejected though it may have run"
+            is_retry_safe || !is_rejection,
+            "a request that may have run was rejected, but its route does not make a retry safe"
         );
     }
 }
 
-/// Checks the controller's actions. Clones share one state, as the controller owns its port.
+/// Checks the controller's actions. All clones share one state, because the controller owns its port.
 #[derive(Clone)]
 pub(super) struct RuleChecker(Rc<RefCell<RunState>>);
 
 impl RuleChecker {
-    /// A checker of a run under these settings that begins now.
+    /// Creates the checker of a run that starts at `now` with these settings.
     pub(super) fn new(settings: Settings, now: Duration) -> Self {
         let state = RunState {
             now,
@@ -215,12 +239,12 @@
         RuleChecker(Rc::new(RefCell::new(state)))
     }
 
-    /// The state, to look at.
+    /// Borrows the state for reading.
     pub(super) fn state(&self) -> Ref<'_, RunState> {
         self.0.borrow()
     }
 
-    /// The state, to change.
+    /// Borrows the state for changes.
     pub(super) fn state_mut(&self) -> RefMut<'_, RunState> {
         self.0.borrow_mut()
     }
@@ -238,21 +262,27 @@
         let open = state
             .open_requests
             .get(request)
-            .expect("nothing is sent for a request that has its final answer");
+            .expect("an attempt must be for a request without a final answer");
         let endpoint = *state
             .endpoints
             .get(endpoint)
-            .expect("an endpoint of the list");
+            .expect("an attempt must be to a listed endpoint");
         state.check_send(open, endpoint, timeout, send_by);
         state.record_send(request, endpoint);
     }
 
     fn cancel(&mut self, _: &RequestId, _: AttemptNumber) {
-        assert!(self.state().settings.limits.may_cancel);
+        assert!(
+            self.state().settings.limits.may_cancel,
+            "an attempt was cancelled, but the settings do not permit that"
+        );
     }
 
     fn reject(&mut self, request: &RequestId, retry_after: Duration) {
-        assert!(retry_after <= MAX_RETRY_AFTER);
+        assert!(
+            retry_after <= MAX_RETRY_AFTER,
+            "a client was told to retry after {retry_after:?}, more than {MAX_RETRY_AFTER:?}"
+        );
         self.state_mut().close_request(request, true);
     }
 
@@ -261,8 +291,11 @@
     }
 
     fn add_to_counter(&mut self, name: CounterName, amount: f64, ttl: Duration) {
-        assert!(amount.is_finite() && amount != 0.0 && ttl > Duration::ZERO);
-        self.state_mut().unanswered_adds.push(name);
+        assert!(
+            amount.is_finite() && amount != 0.0 && ttl > Duration::ZERO,
+            "added {amount} to the counter for {ttl:?}; expected a finite amount other than 0 and a duration above 0"
+        );
+        self.state_mut().unanswered_counter_calls.push(name);
     }
 
     fn set_timer(&mut self, token: TimerToken, at: Duration) {
--- a/tests/random_run/settings.rs
+++ b/tests/random_run/settings.rs
@@ -1,19 +1,19 @@
-//! Random settings.
+//! Generates random settings.
 
 use super::pick;
 use crate::named_settings;
 use nanorand::{Rng, WyRand};
 use wellcrank::settings::Settings;
 
-/// The plans of a run; some are named like settings, which must not matter.
+/// The names of the plans. Some are also names of settings, which must make no difference.
 pub(super) const PLANS: [&str; 3] = ["basic", "once", "plans"];
-/// The routes of a run; some are named like settings, which must not matter.
+/// The names of the routes. Some are also names of settings, which must make no difference.
 pub(super) const ROUTES: [&str; 4] = ["read", "rate_ns", "routes", "cap"];
 
-/// Names of settings and a usual figure for each.
-type UsualFigures = &'static [(&'static str, f64)];
+/// Names of settings, each with a typical value.
+type TypicalValues = &'static [(&'static str, f64)];
 
-const GENERAL_FIGURES: UsualFigures = &[
+const GENERAL_VALUES: TypicalValues = &[
     ("gateways", 3.0),
     ("gateway_index", 1.0),
     ("timer_resolution", 0.004),
@@ -28,7 +28,7 @@
     ("rules.overload_window", 1.0),
     ("rules.drain_grace", 0.5),
 ];
-const PLAN_FIGURES: UsualFigures = &[
+const PLAN_VALUES: TypicalValues = &[
     ("rate", 4.0),
     ("burst", 8.0),
     ("concurrency_limit", 3.0),
@@ -36,29 +36,29 @@
     ("ceiling_rate", 9.0),
     ("ceiling_burst", 9.0),
 ];
-const ROUTE_FIGURES: UsualFigures = &[
+const ROUTE_VALUES: TypicalValues = &[
     ("latency_target", 0.5),
     ("late_value_ratio", 0.2),
     ("value", 2.0),
     ("deduplication_window", 0.6),
     ("client_timeout", 2.0),
 ];
-/// Figures that no deployment means.
-const ABSURD_FIGURES: [f64; 7] = [0.0, 1e-12, 1e-3, 1e4, 1e18, 1e300, -1.0];
+/// Values that no deployment would be configured with on purpose.
+const EXTREME_VALUES: [f64; 7] = [0.0, 1e-12, 1e-3, 1e4, 1e18, 1e300, -1.0];
 const IDEMPOTENCIES: [&str; 4] = ["idempotent", "keyed", "non_idempotent", "other"];
 const DEDUPLICATION_SCOPES: [&str; 4] = ["all", "cell", "zone", ""];
 const FLAGS: [&str; 2] = ["counter.present", "limits.may_cancel"];
 
-/// Settings in which each figure may be missing, absurd or near a usual one.
+/// Returns settings in which each number may be missing, extreme or near its typical value.
 pub(super) fn random_settings(rng: &mut WyRand) -> Settings {
     let mut settings = Settings::default();
-    set_figures(&mut settings, rng, "", GENERAL_FIGURES);
+    set_numbers(&mut settings, rng, "", GENERAL_VALUES);
     for plan in PLANS {
-        set_figures(&mut settings, rng, &format!("plans.{plan}."), PLAN_FIGURES);
+        set_numbers(&mut settings, rng, &format!("plans.{plan}."), PLAN_VALUES);
     }
     for route in ROUTES {
         let prefix = format!("routes.{route}.");
-        set_figures(&mut settings, rng, &prefix, ROUTE_FIGURES);
+        set_numbers(&mut settings, rng, &prefix, ROUTE_VALUES);
     }
     for route in ROUTES {
         let idempotency = pick(rng, &IDEMPOTENCIES);
@@ -78,19 +78,24 @@
     settings
 }
 
-fn set_figures(settings: &mut Settings, rng: &mut WyRand, prefix: &str, figures: UsualFigures) {
-    for (name, usual) in figures {
-        if let Some(figure) = random_figure(rng, *usual) {
-            named_settings::set(settings, &format!("{prefix}{name}"), &figure.to_string());
+fn set_numbers(
+    settings: &mut Settings,
+    rng: &mut WyRand,
+    prefix: &str,
+    typical_values: TypicalValues,
+) {
+    for (name, typical_value) in typical_values {
+        if let Some(value) = random_value(rng, *typical_value) {
+            named_settings::set(settings, &format!("{prefix}{name}"), &value.to_string());
         }
     }
 }
 
-/// A figure, or none where the setting is to be missing.
-fn random_figure(rng: &mut WyRand, usual: f64) -> Option<f64> {
+/// Returns a random value, or `None` if the setting is to be missing.
+fn random_value(rng: &mut WyRand, typical_value: f64) -> Option<f64> {
     match rng.generate_range(0..10u32) {
         0 => None,
-        1 | 2 => Some(*pick(rng, &ABSURD_FIGURES)),
-        _ => Some(usual * (0.2 + 2.0 * rng.generate::<f64>())),
+        1 | 2 => Some(*pick(rng, &EXTREME_VALUES)),
+        _ => Some(typical_value * (0.2 + 2.0 * rng.generate::<f64>())),
     }
 }
--- a/tests/random_settings.rs
+++ b/tests/random_settings.rs
@@ -1,14 +1,14 @@
-//! Runs a controller through random events under random settings, some of which are missing or absurd, and checks the
-//! rules that hold under any: it does not panic, each request gets one final answer in time and nothing is sent for it
-//! afterwards, no request has two attempts out at once, and what may have run is sent again or refused only as its
-//! route permits.
+//! Runs controllers through random events under random settings, some of which are missing or extreme, and checks the
+//! rules that hold under all settings: the controller does not panic; each request gets exactly one final answer by its
+//! deadline, and nothing is sent for it afterwards; no request has two attempts in flight at the same time; a request
+//! that may have run is sent again or rejected only if its route permits that.
 
 mod named_settings;
 mod random_run;
 
 use random_run::RandomRun;
 
-/// How many runs there are, each with a seed of its own.
+/// The number of runs. Each has its own seed.
 const RUNS: u64 = 1500;
 
 #[test]
--- a/tests/step_arguments/mod.rs
+++ b/tests/step_arguments/mod.rs
@@ -1,56 +1,58 @@
-//! Reads the words of one scenario step, with errors that name the argument that is wrong.
+//! Parses the words of a scenario step. Errors name the argument that is wrong.
 
 use std::fmt::{self, Display};
 use std::str::FromStr;
 
-/// Why a step can't be read.
+/// The error of a step that can't be parsed.
 #[derive(Debug)]
 pub(crate) enum StepError {
-    /// No step begins with this word.
+    /// There is no step with this name.
     UnknownStep(String),
-    /// The step needs an argument that is not there.
+    /// A required argument is missing.
     Missing(&'static str),
-    /// An argument has a value that it can't have.
+    /// An argument has an invalid value.
     Invalid {
-        /// Which argument.
+        /// The name of the argument.
         argument: &'static str,
         /// Its value.
         value: String,
     },
-    /// Something follows the last argument.
+    /// There is text after the last argument.
     Unexpected(String),
 }
 
 impl Display for StepError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StepError::UnknownStep(word) => write!(out, "no such step: '{word}'"),
-            StepError::Missing(argument) => write!(out, "it lacks the {argument}"),
+            StepError::UnknownStep(word) => write!(out, "unknown step '{word}'"),
+            StepError::Missing(argument) => write!(out, "missing argument: {argument}"),
             StepError::Invalid { argument, value } => {
                 write!(out, "'{value}' is not a valid {argument}")
             }
-            StepError::Unexpected(rest) => write!(out, "'{rest}' follows the last argument"),
+            StepError::Unexpected(rest) => {
+                write!(out, "unexpected text after the last argument: '{rest}'")
+            }
         }
     }
 }
 
 impl std::error::Error for StepError {}
 
-/// The words of a step that have not been read yet.
+/// The words of a step that have not been parsed yet.
 pub(crate) struct Arguments<'a> {
     rest: &'a str,
 }
 
-#[allow(dead_code, reason = "each test crate uses a part of it")]
+#[allow(dead_code, reason = "each test crate uses only some of the methods")]
 impl<'a> Arguments<'a> {
-    /// The arguments in a text.
+    /// Creates the arguments from the text of a step.
     pub(crate) fn new(text: &'a str) -> Self {
         Arguments {
             rest: text.trim_start(),
         }
     }
 
-    /// The next word, if there is one.
+    /// Returns the next word, if there is one.
     pub(crate) fn optional_word(&mut self) -> Option<&'a str> {
         let end = self
             .rest
@@ -61,18 +63,18 @@
         Some(word).filter(|word| !word.is_empty())
     }
 
-    /// The next word, which the step needs.
+    /// Returns the next word, which is required.
     pub(crate) fn word(&mut self, argument: &'static str) -> Result<&'a str, StepError> {
         self.optional_word().ok_or(StepError::Missing(argument))
     }
 
-    /// The next word as a value of a type, such as a number.
+    /// Parses the next word, which is required.
     pub(crate) fn value<T: FromStr>(&mut self, argument: &'static str) -> Result<T, StepError> {
         let word = self.word(argument)?;
         parse_value(argument, word)
     }
 
-    /// The next word as a value of a type, if there is one.
+    /// Parses the next word, if there is one.
     pub(crate) fn optional_value<T: FromStr>(
         &mut self,
         argument: &'static str,
@@ -82,12 +84,12 @@
             .transpose()
     }
 
-    /// All words that are left.
+    /// Returns all remaining words.
     pub(crate) fn words(&mut self) -> impl Iterator<Item = &'a str> {
         std::mem::take(&mut self.rest).split_whitespace()
     }
 
-    /// The text that is left, which the step needs.
+    /// Returns the remaining text, which is required.
     pub(crate) fn text(&mut self, argument: &'static str) -> Result<&'a str, StepError> {
         let text = std::mem::take(&mut self.rest);
         if text.is_empty() {
@@ -96,7 +98,7 @@
         Ok(text)
     }
 
-    /// Refuses what is left.
+    /// Returns an error if any text remains.
     pub(crate) fn end(&self) -> Result<(), StepError> {
         if self.rest.is_empty() {
             return Ok(());
@@ -105,12 +107,12 @@
     }
 }
 
-/// A word as a value of a type.
+/// Parses a word as the value of the named argument.
 pub(crate) fn parse_value<T: FromStr>(argument: &'static str, word: &str) -> Result<T, StepError> {
     word.parse().map_err(|_| invalid(argument, word))
 }
 
-/// The error for an argument that can't have this value.
+/// Returns the error for an invalid value of the named argument.
 pub(crate) fn invalid(argument: &'static str, value: &str) -> StepError {
     StepError::Invalid {
         argument,
