--- a/src/control.rs
+++ b/src/control.rs
@@ -1,13 +1,13 @@
 //! The admission controller: the decisions of one gateway.
 //!
-//! An adapter creates an [`AdmissionController`] with the settings, a seed and a [`Port`]. Before each event it sets the
-//! time ([`AdmissionController::set_time`]), then it passes the event (`on_request`, `on_counter_reply`,
+//! An adapter creates an [`AdmissionController`] with the settings, a seed and a [`Port`]. Before each event it sets
+//! the time ([`AdmissionController::set_time`]), then it passes the event (`on_request`, `on_counter_reply`,
 //! `on_attempt_end` and so on). The controller acts through the port; [`crate::port`] describes both directions.
 //!
 //! A request goes through these steps: the controller acquires a concurrency lease on the shared counter, reserves the
 //! request's units and sends an attempt. When the attempt ends, the request gets its final answer or a retry. A typed
-//! record says what a step waits for: a `CallPurpose` for a reply of the counter, an `InFlightAttempt` for the end of an
-//! attempt, a `Timer` for a time.
+//! record says what a step waits for: a `CallPurpose` for a reply of the counter, an `InFlightAttempt` for the end of
+//! an attempt, a `Timer` for a time.
 //!
 //! The controller takes each request through these steps and connects the modules, each of which owns its state:
 //!
@@ -88,6 +88,7 @@
 pub struct AdmissionController {
     context: Context,
     rng: WyRand,
+    /// When the controller was created, on the adapter's clock.
     started_at: Duration,
     requests: BTreeMap<RequestId, OpenRequest>,
     /// Attempts whose end has not been reported yet, including those of requests that already have their final answer.
@@ -108,8 +109,8 @@
 }
 
 impl AdmissionController {
-    /// Creates a controller without endpoints. `seed` seeds its random numbers and should differ at each start; `now` is
-    /// the current time on the adapter's clock.
+    /// Creates a controller without endpoints. `seed` seeds its random numbers and should differ at each start; `now`
+    /// is the current time on the adapter's clock.
     pub fn new(settings: Rc<Settings>, seed: u64, now: Duration, port: Box<dyn Port>) -> Self {
         let mut controller = AdmissionController {
             quotas: CustomerQuotas::new(&settings, now),
@@ -134,8 +135,8 @@
         controller
     }
 
-    /// Replaces the settings. Open requests keep the route settings that they were received with. Leases, reserved units
-    /// and attempts in flight stay counted where they were counted.
+    /// Replaces the settings. Open requests keep the route settings that they were received with. Leases, reserved
+    /// units and attempts in flight stay counted where they were counted.
     pub fn reconfigure(&mut self, settings: Rc<Settings>) {
         let old = std::mem::replace(&mut self.context.settings, settings);
         let new = &self.context.settings;
@@ -175,8 +176,8 @@
         self.acquire_lease(&id, LeasePurpose::FirstAttempt);
     }
 
-    /// Rejects a request that the adapter has read but not passed to [`AdmissionController::on_request`], so that nothing
-    /// of it has run.
+    /// Rejects a request that the adapter has read but not passed to [`AdmissionController::on_request`], so that
+    /// nothing of it has run.
     pub fn reject_unadmitted(&mut self, request: &RequestId) {
         self.context.port.reject(request, DEFAULT_RETRY_AFTER);
     }
@@ -232,8 +233,8 @@
         }
     }
 
-    /// Handles the end of an attempt: records its result, releases its lease and settles its units. The request then gets
-    /// its final answer or a retry.
+    /// Handles the end of an attempt: records its result, releases its lease and settles its units. The request then
+    /// gets its final answer or a retry.
     pub fn on_attempt_end(
         &mut self,
         request: &RequestId,
@@ -313,8 +314,8 @@
         self.requests.insert(id, open);
     }
 
-    /// Returns whether a request is shed. A random fraction of one attempt is added to the attempts in flight: where the
-    /// limit is only a few attempts, the share of requests that is shed then still grows gradually with the load.
+    /// Returns whether a request is shed. A random fraction of one attempt is added to the attempts in flight: where
+    /// the limit is only a few attempts, the share of requests that is shed then still grows gradually with the load.
     fn should_shed(&mut self, id: &RequestId) -> bool {
         let Some(open) = self.requests.get(id) else {
             return false;
@@ -344,8 +345,8 @@
         }
     }
 
-    /// Continues an attempt with its lease, or ends the request if the lease was denied. The request's units are reserved
-    /// once, after the first attempt has its lease.
+    /// Continues an attempt with its lease, or ends the request if the lease was denied. The request's units are
+    /// reserved once, after the first attempt has its lease.
     fn on_lease_outcome(
         &mut self,
         id: &RequestId,
@@ -386,7 +387,8 @@
     }
 
     /// Sends an attempt if the rules permit it, otherwise ends the request. All attempts pass through here, so this is
-    /// where the rules on closed requests, repeated execution, draining endpoints, slow start and ceilings are enforced.
+    /// where the rules on closed requests, repeated execution, draining endpoints, slow start and ceilings are
+    /// enforced.
     fn send_attempt(&mut self, id: &RequestId, customer: &CustomerId, lease: GrantedLease) {
         if !self.requests.contains_key(id) {
             return self
--- a/src/control/endpoints.rs
+++ b/src/control/endpoints.rs
@@ -8,7 +8,8 @@
 use wellcrank_fleet::slow_start::SlowStartPermits;
 use wellcrank_fleet::subset::{self, SubsetSizing};
 
-/// How long a removed endpoint is remembered. One that is listed again with the same start time may not have restarted.
+/// How long a removed endpoint is remembered. If it is listed again within this time, with the same start time as
+/// before, it has not restarted and keeps its age.
 const REMEMBER_REMOVED_FOR: Duration = Duration::from_secs(600);
 
 /// The longest time between the start of an endpoint and its appearance in the endpoint list.
--- a/src/control/retries.rs
+++ b/src/control/retries.rs
@@ -18,8 +18,8 @@
 /// The shortest remaining time in which a retry is still made.
 const MIN_REMAINING_TIME: Duration = Duration::from_millis(50);
 
-/// The longest time for which the gateway's process is expected to be suspended between reading its clock and writing to
-/// a connection.
+/// The longest time for which the gateway's process is expected to be suspended between reading its clock and writing
+/// to a connection.
 const MAX_PROCESS_SUSPENSION: Duration = Duration::from_millis(150);
 
 /// A budget of retries that grows with each request, so that retries stay a limited share of the traffic.
@@ -67,8 +67,8 @@
     )
 }
 
-/// Returns whether a request may be retried: it has enough time and attempts left, and it is not a non-idempotent request
-/// that may have run. Does not check the retry budget or the endpoints.
+/// Returns whether a request may be retried: it has enough time and attempts left, and it is not a non-idempotent
+/// request that may have run. Does not check the retry budget or the endpoints.
 pub(super) fn is_retryable(open: &OpenRequest, now: Duration, max_attempts: u32) -> bool {
     let must_not_repeat =
         open.first_execution.is_some() && open.route.idempotency == Idempotency::NonIdempotent;
@@ -77,8 +77,8 @@
         && open.attempts < max_attempts
 }
 
-/// Returns whether a retry by the client is safe: the request can't have run, it is idempotent, or all endpoints recognise
-/// the repeat by its deduplication key.
+/// Returns whether a retry by the client is safe: the request can't have run, it is idempotent, or all endpoints
+/// recognise the repeat by its deduplication key.
 pub(super) fn is_safe_for_client_to_retry(open: &OpenRequest) -> bool {
     match open.route.idempotency {
         Idempotency::Idempotent => true,
@@ -89,8 +89,9 @@
     }
 }
 
-/// Decides where and until when an attempt may be sent without the request running twice. A retry of a keyed request that
-/// may have run must reach an endpoint in the first attempt's deduplication scope within the deduplication window.
+/// Decides where and until when an attempt may be sent without the request running twice. A retry of a keyed request
+/// that may have run must reach an endpoint in the first attempt's deduplication scope within the deduplication
+/// window.
 pub(super) struct RepeatGuard<'a> {
     /// The time by which the command must be sent completely; [`Duration::MAX`] means no limit.
     pub(super) send_by: Duration,
@@ -100,8 +101,8 @@
 }
 
 impl RepeatGuard<'_> {
-    /// Returns the guard of a request's next attempt. `timer_slack` is how much later than planned the gateway may handle
-    /// an event.
+    /// Returns the guard of a request's next attempt. `timer_slack` is how much later than planned the gateway may
+    /// handle an event.
     pub(super) fn of(open: &OpenRequest, timer_slack: Duration) -> RepeatGuard<'_> {
         let unrestricted = RepeatGuard {
             send_by: Duration::MAX,
--- a/src/control/retries/tests.rs
+++ b/src/control/retries/tests.rs
@@ -5,8 +5,8 @@
 use DeduplicationScope::{All, Cell, Zone};
 use Idempotency::{Idempotent, Keyed, NonIdempotent};
 
-/// A request with a deduplication window of 5 s. If `may_have_run` is set, its first attempt may have run at 2 s in zone
-/// "z", cell 7.
+/// A request with a deduplication window of 5 s. If `may_have_run` is set, its first attempt may have run at 2 s in
+/// zone "z", cell 7.
 fn request(idempotency: Idempotency, scope: DeduplicationScope, may_have_run: bool) -> OpenRequest {
     let mut open = open_request(Route {
         idempotency,
--- a/src/control/retry_after.rs
+++ b/src/control/retry_after.rs
@@ -20,16 +20,16 @@
     wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
 
-/// Returns the delay for a customer that has reached the concurrency limit of its plan: the route's baseline latency, in
-/// seconds, for each attempt that is ahead. [`DEFAULT_RETRY_AFTER`] stands in for a baseline that is not known yet.
+/// Returns the delay for a customer that has reached the concurrency limit of its plan: the route's baseline latency,
+/// in seconds, for each attempt that is ahead. [`DEFAULT_RETRY_AFTER`] stands in for a baseline that is not known yet.
 pub(super) fn until_lease_is_free(baseline_latency: Option<f64>, attempts_ahead: f64) -> Duration {
     baseline_latency
         .map_or(DEFAULT_RETRY_AFTER, seconds)
         .mul_f64(attempts_ahead.clamp(1.0, MAX_ATTEMPTS_AHEAD))
 }
 
-/// Returns the delay for a customer whose rate quota is exhausted: the time until `rejected_until`, when its token bucket
-/// is expected to hold enough units, or [`DEFAULT_RETRY_AFTER`] if that time has passed.
+/// Returns the delay for a customer whose rate quota is exhausted: the time until `rejected_until`, when its token
+/// bucket is expected to hold enough units, or [`DEFAULT_RETRY_AFTER`] if that time has passed.
 pub(super) fn until_quota_refills(rejected_until: Duration, now: Duration) -> Duration {
     if rejected_until > now {
         rejected_until - now
