--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -5,13 +5,11 @@
     CounterSettings, DeduplicationScope, DiscoveryMode, Idempotency, Limits, Plan, Route, Rules,
 };
 
-fn refusal(json: Value) -> String {
-    decode(&json)
-        .expect_err("these settings can't be used")
-        .to_string()
+fn error_text(json: Value) -> String {
+    decode(&json).expect_err("invalid settings").to_string()
 }
 
-/// Settings as the platform writes them, with keys that are not known and with absent ones.
+/// Settings in the platform's format, in which some keys are unknown and some are absent.
 fn platform_settings() -> Settings {
     let json = json!({
         "index": 2, "balancers": 60, "resolution_ns": 4000000, "registry_mode": "subscribe",
@@ -89,23 +87,24 @@
 
 #[test]
 fn absent_settings_take_their_defaults() {
-    for stated_nothing in [json!({}), json!({"rules": null, "contracts": []})] {
-        let settings = decode(&stated_nothing).expect("valid settings");
-        assert_eq!(settings, Settings::default(), "{stated_nothing}");
+    for without_values in [json!({}), json!({"rules": null, "contracts": []})] {
+        let settings = decode(&without_values).expect("valid settings");
+        assert_eq!(settings, Settings::default(), "{without_values}");
     }
 }
 
 #[test]
-fn unknown_repeat_and_group_codes_are_the_strictest() {
-    let odd = json!({"classes": [{"name": "odd", "repeat": "sometimes", "group": "some"}]});
-    let settings = decode(&odd).expect("valid settings");
-    let route = settings.route(&"odd".into());
+fn unknown_repeat_and_group_codes_are_treated_as_the_most_restrictive() {
+    let unknown_codes =
+        json!({"classes": [{"name": "read", "repeat": "sometimes", "group": "some"}]});
+    let settings = decode(&unknown_codes).expect("valid settings");
+    let route = settings.route(&"read".into());
     assert_eq!(route.idempotency, Idempotency::NonIdempotent);
     assert_eq!(route.deduplication_scope, DeduplicationScope::Cell);
 }
 
 #[test]
-fn durations_are_cut_to_thirty_years() {
+fn durations_are_limited_to_a_billion_seconds() {
     let settings = decode(&json!({"resolution_ns": 1e30})).expect("valid settings");
     assert_eq!(
         settings.timer_resolution,
@@ -114,39 +113,39 @@
 }
 
 #[test]
-fn an_invalid_value_is_refused_with_its_place_and_the_reason() {
+fn the_error_for_an_invalid_value_names_its_place_and_the_reason() {
     let with_second_plan = |second: Value| json!({"contracts": [{"name": "a"}, second]});
     assert_eq!(
-        refusal(with_second_plan(json!({"name": "b", "refill": -2.0}))),
-        "settings: contracts[1].refill: -2 is below nothing; expected 0 or more"
+        error_text(with_second_plan(json!({"name": "b", "refill": -2.0}))),
+        "settings: contracts[1].refill: -2 is negative; expected a number of at least 0"
     );
     assert_eq!(
-        refusal(with_second_plan(json!({"name": "a"}))),
-        "settings: contracts[1].name: 'a' stands twice; expected a name of its own"
+        error_text(with_second_plan(json!({"name": "a"}))),
+        "settings: contracts[1].name: 'a' is the name of an earlier entry; expected a unique name"
     );
     assert_eq!(
-        refusal(with_second_plan(json!({"name": "b", "parallel": 1.5}))),
-        "settings: contracts[1].parallel: 1.5 is no count; expected a whole number, 0 or more"
+        error_text(with_second_plan(json!({"name": "b", "parallel": 1.5}))),
+        "settings: contracts[1].parallel: 1.5 is not a count; expected a whole number from 0 to 4294967295"
     );
     assert_eq!(
-        refusal(json!({"rules": {"cold_from": 21}})),
-        "settings: rules.cold_from: 21 is no share; expected 0 to 1"
+        error_text(json!({"rules": {"cold_from": 21}})),
+        "settings: rules.cold_from: 21 is not a ratio; expected a number from 0 to 1"
     );
     assert_eq!(
-        refusal(json!({"index": -1})),
-        "settings: index: -1 is no count; expected a whole number, 0 or more"
+        error_text(json!({"index": -1})),
+        "settings: index: -1 is not a count; expected a whole number from 0 to 4294967295"
     );
 }
 
 #[test]
-fn a_value_of_the_wrong_type_is_refused_with_its_place() {
-    let text_for_a_number = refusal(json!({"classes": [{"name": "read", "target_ns": "fast"}]}));
+fn the_error_for_a_value_of_the_wrong_type_names_its_place() {
+    let text_for_a_number = error_text(json!({"classes": [{"name": "read", "target_ns": "fast"}]}));
     assert!(
         text_for_a_number
             .starts_with("settings: classes[0].target_ns: invalid type: string \"fast\""),
         "{text_for_a_number}"
     );
-    let number_for_an_object = refusal(json!({"ceilings": 7}));
+    let number_for_an_object = error_text(json!({"ceilings": 7}));
     assert!(
         number_for_an_object.starts_with("settings: ceilings: invalid type"),
         "{number_for_an_object}"
--- a/settings/src/wire.rs
+++ b/settings/src/wire.rs
@@ -1,5 +1,6 @@
-//! The settings as the platform writes them. The structs here have the platform's keys, and their `validate` functions
-//! are the one place that maps these to the names and types of [`wellcrank::settings`].
+//! The settings in the platform's format. The fields of these structs are the platform's keys. Only the `validate`
+//! functions map the keys to the names and types of [`wellcrank::settings`], where the settings are documented. Keys that
+//! end in `_ns` hold nanoseconds.
 
 use crate::{InvalidSetting, SettingsError};
 use serde::Deserialize;
@@ -7,11 +8,11 @@
 use std::time::Duration;
 use wellcrank::settings as typed;
 
-/// The longest duration in nanoseconds, about thirty years: longer ones are cut to it, so that sums of them don't
+/// The maximum duration, about thirty years. Longer durations are shortened to it, so that sums of durations don't
 /// overflow.
 const MAX_DURATION_NANOSECONDS: f64 = 1e18;
 
-/// All that one gateway is configured with.
+/// All settings of one gateway: the outermost JSON object.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct Settings {
@@ -26,7 +27,7 @@
     classes: Vec<Class>,
 }
 
-/// What the deployment permits.
+/// The object `ceilings`: limits and permitted actions of the deployment.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Ceilings {
@@ -39,7 +40,7 @@
     peers: bool,
 }
 
-/// Figures of the rules on drains and slow starts.
+/// The object `rules`: parameters of the rules on draining endpoints and on endpoints in slow start.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Rules {
@@ -51,7 +52,7 @@
     ask_within_ns: f64,
 }
 
-/// Facts of this kind of service: the shared counter, and what a request may count.
+/// The object `family_info`: the shared counter and the maximum units of a request.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct FamilyInfo {
@@ -60,7 +61,7 @@
     units_top: f64,
 }
 
-/// A plan of customers.
+/// An entry of the list `contracts`: a customer plan.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Contract {
@@ -73,7 +74,7 @@
     cap_depth: f64,
 }
 
-/// A route of requests.
+/// An entry of the list `classes`: a route.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Class {
@@ -88,7 +89,7 @@
 }
 
 impl Settings {
-    /// The typed settings, or the first value that is invalid.
+    /// Converts to the gateway's types. Fails with the first invalid value.
     pub(crate) fn validate(&self) -> Result<typed::Settings, SettingsError> {
         let section = Section::root();
         Ok(typed::Settings {
@@ -102,13 +103,13 @@
             limits: self.ceilings.validate()?,
             rules: self.rules.validate()?,
             counter: self.family_info.validate()?,
-            plans: by_name(
+            plans: validate_by_name(
                 "contracts",
                 &self.contracts,
                 |contract| &contract.name,
                 Contract::validate,
             )?,
-            routes: by_name(
+            routes: validate_by_name(
                 "classes",
                 &self.classes,
                 |class| &class.name,
@@ -174,7 +175,7 @@
 impl Class {
     fn validate(&self, section: &Section) -> Result<typed::Route, SettingsError> {
         Ok(typed::Route {
-            // A code that is not known is taken to be the strictest.
+            // Unknown codes are treated as the most restrictive one, here and below.
             idempotency: match self.repeat.as_str() {
                 "repeatable" => typed::Idempotency::Idempotent,
                 "by_key" => typed::Idempotency::Keyed,
@@ -194,35 +195,35 @@
     }
 }
 
-/// One object of the settings, which validates its values and adds their place to what is wrong with them.
+/// One JSON object of the settings. Validates its values and adds their place to the errors.
 struct Section {
-    /// Where the object stands, as in `contracts[1]`; empty for the outermost one.
+    /// The path of the object, such as `contracts[1]`; empty for the outermost object.
     place: String,
 }
 
 impl Section {
-    /// The outermost object.
+    /// Returns the outermost object.
     fn root() -> Section {
         Section {
             place: String::new(),
         }
     }
 
-    /// The object under a key of the outermost one.
+    /// Returns the object under a key of the outermost object.
     fn under_key(key: &str) -> Section {
         Section {
             place: key.to_string(),
         }
     }
 
-    /// One entry of the list under a key of the outermost object.
+    /// Returns the entry at `index` (from 0) of the list under a key of the outermost object.
     fn list_entry(list: &str, index: usize) -> Section {
         Section {
             place: format!("{list}[{index}]"),
         }
     }
 
-    /// The error for the value of a key.
+    /// Returns the error for an invalid value under a key of this object.
     fn invalid(&self, key: &str, reason: InvalidSetting) -> SettingsError {
         let place = if self.place.is_empty() {
             key.to_string()
@@ -232,7 +233,7 @@
         SettingsError { place, reason }
     }
 
-    /// A number, 0 or more.
+    /// Checks that the number is finite and at least 0.
     fn non_negative(&self, key: &str, value: f64) -> Result<f64, SettingsError> {
         if value.is_finite() && value >= 0.0 {
             Ok(value)
@@ -241,7 +242,7 @@
         }
     }
 
-    /// A whole number, 0 or more.
+    /// Checks that the number is a whole number from 0 to `u32::MAX`.
     fn count(&self, key: &str, value: f64) -> Result<u32, SettingsError> {
         if value.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&value) {
             Ok(value as u32)
@@ -250,7 +251,7 @@
         }
     }
 
-    /// A duration, in nanoseconds on the wire.
+    /// Converts nanoseconds, which must be at least 0, to a duration of at most [`MAX_DURATION_NANOSECONDS`].
     fn duration(&self, key: &str, nanoseconds: f64) -> Result<Duration, SettingsError> {
         let nanoseconds = self.non_negative(key, nanoseconds)?;
         Ok(Duration::from_nanos(
@@ -258,7 +259,7 @@
         ))
     }
 
-    /// A number from 0 to 1.
+    /// Checks that the number is from 0 to 1.
     fn ratio(&self, key: &str, value: f64) -> Result<f64, SettingsError> {
         if (0.0..=1.0).contains(&value) {
             Ok(value)
@@ -268,8 +269,8 @@
     }
 }
 
-/// A list as a map by the names of its entries, each of which must be unique.
-fn by_name<Entry, Name: Ord + for<'a> From<&'a str>, Validated>(
+/// Validates the entries of a list and returns them by name. Fails with the first invalid entry or duplicate name.
+fn validate_by_name<Entry, Name: Ord + for<'a> From<&'a str>, Validated>(
     list: &str,
     entries: &[Entry],
     name_of: impl Fn(&Entry) -> &str,
--- a/simulator/src/batch/tests.rs
+++ b/simulator/src/batch/tests.rs
@@ -69,7 +69,7 @@
         ),
         (
             r#"{"event_type":"open_instance","i":3,"config":{"index":-1}}"#,
-            "line 3: settings: index: -1 is no count; expected a whole number, 0 or more",
+            "line 3: settings: index: -1 is not a count; expected a whole number from 0 to 4294967295",
         ),
     ];
     for (line, expected) in refused {
--- a/simulator/src/message/tests.rs
+++ b/simulator/src/message/tests.rs
@@ -97,7 +97,7 @@
         (start(json!({}), Value::Null), "field 'salt' is missing"),
         (
             start(json!({"rules": {"cold_from": 21}}), json!(1)),
-            "settings: rules.cold_from: 21 is no share; expected 0 to 1",
+            "settings: rules.cold_from: 21 is not a ratio; expected a number from 0 to 1",
         ),
     ];
     for (line, reason) in refused {
