--- a/fleet/src/backoff.rs
+++ b/fleet/src/backoff.rs
@@ -6,17 +6,18 @@
 
 use std::time::Duration;
 
-/// The first span is the base for each so many gateways: a fleet's calls after a failure that met all of them are spread
-/// over a span that grows with the fleet (a hundred gateways: twenty times the base).
-const GATEWAYS_PER_BASE: f64 = 5.0;
+/// The number of gateways for which the initial interval is one base interval. The initial interval grows in proportion
+/// to the fleet, so that the calls after a failure that affected all gateways are spread out: for a hundred gateways it
+/// is twenty times the base interval.
+const GATEWAYS_PER_BASE_INTERVAL: f64 = 5.0;
 
-/// The first span is no more than so many times the base.
+/// The maximum ratio of the initial interval to the base interval.
 const MAX_FLEET_FACTOR: f64 = 1e6;
 
-/// The span is doubled so often at most.
+/// How often the interval is doubled at most.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// The least wait, as a divisor of the first span: a gateway never calls again at once.
+/// The shortest wait is the initial interval divided by this, so that a gateway never calls again immediately.
 const MIN_WAIT_DIVISOR: u32 = 4;
 
 /// The backoff intervals after consecutive failures.
@@ -35,10 +36,10 @@
     /// Rejecting a call costs the service capacity too. A fleet that retries faster than the service can answer keeps
     /// it overloaded indefinitely; it recovers only if the initial interval grows with the size of the fleet.
     pub fn for_shared_service(base: Duration, gateways: f64, max: Duration) -> Backoff {
-        let fleet_factor = (gateways / GATEWAYS_PER_BASE).clamp(1.0, MAX_FLEET_FACTOR);
-        let first = base.min(max).mul_f64(fleet_factor);
+        let fleet_factor = (gateways / GATEWAYS_PER_BASE_INTERVAL).clamp(1.0, MAX_FLEET_FACTOR);
+        let initial_interval = base.min(max).mul_f64(fleet_factor);
         Backoff {
-            initial_interval: first.min(max),
+            initial_interval: initial_interval.min(max),
             max_interval: max,
         }
     }
@@ -59,11 +60,12 @@
     /// in [0, 1) that selects a point of the interval; the wait is at least a quarter of the initial interval. It is
     /// zero if there were no failures.
     pub fn wait(&self, failures: u32, random: f64) -> Duration {
-        let span = self.interval(failures);
-        if span.is_zero() {
-            return span;
+        let interval = self.interval(failures);
+        if interval.is_zero() {
+            return interval;
         }
-        span.mul_f64(random.clamp(0.0, 1.0))
+        interval
+            .mul_f64(random.clamp(0.0, 1.0))
             .max(self.initial_interval / MIN_WAIT_DIVISOR)
     }
 }
--- a/fleet/src/discovery_retry.rs
+++ b/fleet/src/discovery_retry.rs
@@ -25,38 +25,40 @@
 /// before the next call and the answer to it fit into this delay together.
 pub const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 
-/// The longest wait of a watch: what a watch misses that stops answering at once is found by the next call within
-/// [`MAX_NOTIFICATION_DELAY`].
+/// The longest wait of a watch, half of [`MAX_NOTIFICATION_DELAY`]. If discovery stops answering at the start of a
+/// watch, the next call finds what the watch missed within that delay.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(3);
 
-/// The longest time between the beginnings of two calls after timeouts.
+/// The maximum of [`DiscoveryRetryPolicy::call_interval`].
 const MAX_CALL_INTERVAL: Duration = Duration::from_millis(125);
 
-/// The longest time in which a connection may come up.
+/// The maximum of [`DiscoveryRetryPolicy::connect_timeout`].
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The longest time that an answer may take beyond the wait that was asked for.
+/// The longest timeout for an answer that is not the complete list, in addition to the wait of a watch.
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The same for a whole list; an overloaded service takes as long to reject a call.
+/// The longest timeout for the complete list. An overloaded service takes this long to reject a call.
 const MAX_LIST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest wait after rejections: with [`MAX_LIST_RESPONSE_TIMEOUT`] it fits into [`MAX_NOTIFICATION_DELAY`].
+/// The longest wait after rejections. Together with [`MAX_LIST_RESPONSE_TIMEOUT`] it fits into
+/// [`MAX_NOTIFICATION_DELAY`].
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// An answer may take so many times the connect timeout at the most.
+/// The highest ratio of the response timeout to the configured connect timeout for an answer that is not the complete
+/// list.
 const MAX_RESPONSE_FACTOR: u32 = 4;
 
-/// The same for a whole list.
+/// The highest ratio of the response timeout to the configured connect timeout for the complete list.
 const MAX_LIST_RESPONSE_FACTOR: u32 = 16;
 
-/// The least time that anything is waited for.
+/// The shortest watch wait, connect timeout and response timeout, and the shortest base interval of the backoff.
 const MIN_WAIT: Duration = Duration::from_millis(100);
 
-/// The least time between the beginnings of two calls.
+/// The minimum of [`DiscoveryRetryPolicy::call_interval`].
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How often the time for an answer is doubled at most.
+/// How often the response timeout is doubled at most. It keeps the shift of a `u32` by the number of failures in range.
 const MAX_DOUBLINGS: u32 = 8;
 
 /// The settings from which the waits are computed.
@@ -77,7 +79,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryRetryPolicy {
     timing: DiscoveryTiming,
-    timeouts: u32,
+    /// Failures of the kind [`DiscoveryFailure::NoResponse`] since the last list.
+    unanswered: u32,
+    /// Failures of the kind [`DiscoveryFailure::Rejection`] since the last list.
     rejections: u32,
 }
 
@@ -86,7 +90,7 @@
     pub fn new(timing: DiscoveryTiming) -> DiscoveryRetryPolicy {
         DiscoveryRetryPolicy {
             timing,
-            timeouts: 0,
+            unanswered: 0,
             rejections: 0,
         }
     }
@@ -98,12 +102,12 @@
 
     /// Returns the number of failures since the last list.
     pub fn failures(&self) -> u32 {
-        self.timeouts.saturating_add(self.rejections)
+        self.unanswered.saturating_add(self.rejections)
     }
 
     /// Returns whether a call has failed as [`DiscoveryFailure::NoResponse`] since the last list.
     pub fn has_gone_unanswered(&self) -> bool {
-        self.timeouts > 0
+        self.unanswered > 0
     }
 
     /// Returns whether a call has failed as [`DiscoveryFailure::Rejection`] since the last list.
@@ -113,7 +117,7 @@
 
     /// Records a successful call, which resets the failures.
     pub fn record_success(&mut self) {
-        self.timeouts = 0;
+        self.unanswered = 0;
         self.rejections = 0;
     }
 
@@ -122,8 +126,8 @@
     /// find what the watch missed before the gateway counts as notified of it. Without a usable refresh interval the
     /// maximum applies.
     pub fn watch_wait(&self) -> Duration {
-        let half = Some(self.timing.refresh_interval / 2).filter(|half| *half >= MIN_WAIT);
-        half.unwrap_or(MAX_WATCH_WAIT).min(MAX_WATCH_WAIT)
+        let half_interval = Some(self.timing.refresh_interval / 2).filter(|half| *half >= MIN_WAIT);
+        half_interval.unwrap_or(MAX_WATCH_WAIT).min(MAX_WATCH_WAIT)
     }
 
     /// Returns the shortest time between the starts of two calls: a quarter of the drain grace, so that one such
@@ -140,10 +144,10 @@
     /// the configured one, limited to half of the drain grace, but not to less than half of the configured one, which a
     /// connection may need. It is between 100 ms and 500 ms.
     pub fn connect_timeout(&self) -> Duration {
-        let fits = (self.timing.drain_grace / 2).max(self.timing.connect_timeout / 2);
+        let limit = (self.timing.drain_grace / 2).max(self.timing.connect_timeout / 2);
         self.timing
             .connect_timeout
-            .min(fits)
+            .min(limit)
             .clamp(MIN_WAIT, MAX_CONNECT_TIMEOUT)
     }
 
@@ -158,13 +162,13 @@
             (MAX_RESPONSE_FACTOR, MAX_RESPONSE_TIMEOUT)
         };
         let factor = (1u32 << self.failures().min(MAX_DOUBLINGS)).min(max_factor);
-        let wanted = self.timing.connect_timeout.min(MAX_NOTIFICATION_DELAY) * factor;
+        let timeout = self.timing.connect_timeout.min(MAX_NOTIFICATION_DELAY) * factor;
         let min = if whole_list && self.timing.sharing_gateways.is_some() {
             max
         } else {
             MIN_WAIT
         };
-        wanted.clamp(min, max)
+        timeout.clamp(min, max)
     }
 
     /// Returns whether the first call on a new connection should request an answer at once, and only the next one
@@ -178,16 +182,16 @@
     /// hundreds of gateways start together and call a shared service at the same time, most calls are rejected and keep
     /// the service overloaded. The delay is zero if the gateway calls an agent of its own.
     pub fn first_call_delay(&self, gateway: u32) -> Duration {
-        let span = self
+        let max_delay = self
             .timing
             .sharing_gateways
             .map_or(Duration::ZERO, |gateways| {
                 self.backoff(gateways).initial_interval
             });
-        span.mul_f64(golden_ratio_phase(gateway))
+        max_delay.mul_f64(golden_ratio_phase(gateway))
     }
 
-    /// The waits after rejections, over a fleet of so many gateways.
+    /// Returns the backoff after rejections by a service that `gateways` gateways share.
     fn backoff(&self, gateways: f64) -> Backoff {
         Backoff::for_shared_service(
             self.timing.connect_timeout.max(MIN_WAIT),
@@ -206,19 +210,20 @@
     ) -> Duration {
         match failure {
             DiscoveryFailure::Rejection => self.rejections = self.rejections.saturating_add(1),
-            DiscoveryFailure::NoResponse => self.timeouts = self.timeouts.saturating_add(1),
+            DiscoveryFailure::NoResponse => self.unanswered = self.unanswered.saturating_add(1),
         }
         match (failure, self.timing.sharing_gateways) {
             (DiscoveryFailure::Rejection, Some(gateways)) => {
                 self.backoff(gateways).wait(self.rejections, random)
             }
-            _ => self.prompt_retry(elapsed, random),
+            _ => self.remaining_call_interval(elapsed, random),
         }
     }
 
-    /// At the call interval, counted from the call that failed: at once after one that was waited for. The random
-    /// number parts gateways that failed together.
-    fn prompt_retry(&self, elapsed: Duration, random: f64) -> Duration {
+    /// Returns the wait until the next call, which starts between half of the call interval and the whole interval
+    /// after the start of the failed call, or at once if the failed call took longer. `random` selects the point, so
+    /// that the calls of gateways that failed at the same time are spread.
+    fn remaining_call_interval(&self, elapsed: Duration, random: f64) -> Duration {
         self.call_interval()
             .mul_f64(0.5 + random.clamp(0.0, 1.0) / 2.0)
             .saturating_sub(elapsed)
--- a/fleet/src/slow_start.rs
+++ b/fleet/src/slow_start.rs
@@ -33,8 +33,9 @@
 /// The permits of one gateway for one endpoint in slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartPermits {
-    /// Sends that have accumulated by `updated_at`, with the fraction of the next.
+    /// The number of sends that the gateway had accumulated at `updated_at`, including the fraction of the next one.
     credit: f64,
+    /// The time for which `credit` was computed, on the clock of the callers.
     updated_at: Duration,
 }
 
@@ -42,7 +43,7 @@
     /// Returns the initial permits, at `now`, of the gateway with this index (from 0). `salt` should differ between
     /// endpoints, so that a gateway which gets its first permit early for one endpoint gets it late for another.
     pub fn new(gateway: u32, salt: u64, now: Duration) -> SlowStartPermits {
-        // The upper 53 bits of the salt as a fraction of one: all that a double can hold.
+        // The upper 53 bits of the salt as a fraction in [0, 1); an f64 has 53 significant bits.
         let salt = (salt >> 11) as f64 / (1u64 << 53) as f64;
         SlowStartPermits {
             credit: (golden_ratio_phase(gateway) + salt).fract(),
@@ -50,12 +51,13 @@
         }
     }
 
-    /// Permits that may be used now, and the fraction of the next.
+    /// Returns the number of valid permits at `now`, and the accumulated fraction of the next one.
     fn available(&self, now: Duration, budget: SlowStartBudget) -> (f64, f64) {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         let credit = self.credit + elapsed * budget.rate;
         let fraction = credit.fract();
-        // The latest permit was complete when the fraction began, each one before it a whole send earlier.
+        // The newest permit was completed when the fraction started to accumulate, and each older one the time of one
+        // whole send (1 / rate) before the next.
         let unexpired =
             (budget.rate * budget.permit_lifetime.as_secs_f64() - fraction).floor() + 1.0;
         (credit.floor().min(unexpired).max(0.0), fraction)
--- a/fleet/src/slow_start/tests.rs
+++ b/fleet/src/slow_start/tests.rs
@@ -1,16 +1,17 @@
 use super::*;
 use nanorand::{Rng, WyRand};
 
-const WINDOW: f64 = 1.0;
+const WINDOW_SECONDS: f64 = 1.0;
 
-/// The highest number of sends in any window, where each gateway sends whenever it is permitted and `wants` says so, and a send
-/// arrives up to `late` seconds after it was decided.
+/// Returns the highest number of sends that arrive in any window of [`WINDOW_SECONDS`]. Each gateway sends whenever it
+/// has a permit and `wants_to_send` returns true for the time in seconds. A send arrives up to `max_delay_seconds`
+/// after it was permitted.
 fn max_sends_in_a_window(
     gateways: u32,
     budget: SlowStartBudget,
-    late: f64,
+    max_delay_seconds: f64,
     rng: &mut WyRand,
-    wants: impl Fn(f64) -> bool,
+    wants_to_send: impl Fn(f64) -> bool,
 ) -> usize {
     let start = Duration::from_secs(1_700_000_000);
     let salt = rng.generate::<u64>();
@@ -21,15 +22,16 @@
     for step in 0..500 {
         let at = f64::from(step) * 0.02;
         let now = start + Duration::from_secs_f64(at);
-        for permits in permits_of_all.iter_mut().filter(|_| wants(at)) {
+        for permits in permits_of_all.iter_mut().filter(|_| wants_to_send(at)) {
             while permits.has_permit(now, budget) {
                 permits.take_permit(now, budget);
-                sends.push(at + late * rng.generate::<f64>());
+                sends.push(at + max_delay_seconds * rng.generate::<f64>());
             }
         }
     }
     sends.sort_by(f64::total_cmp);
-    let within = |from: usize| sends.partition_point(|at| *at < sends[from] + WINDOW) - from;
+    let within =
+        |from: usize| sends.partition_point(|at| *at < sends[from] + WINDOW_SECONDS) - from;
     (0..sends.len()).map(within).max().unwrap_or(0)
 }
 
@@ -38,30 +40,32 @@
     let mut rng = WyRand::new_seed(5);
     for gateways in [3, 20, 30, 100, 350, 1024] {
         for total_rate in [0.5, 4.0, 12.0, 60.0, 900.0] {
-            // The module uses 0.4 of the budget, its permits expire in a window, and a send begins half of one late at most.
+            // As in the controller, 0.4 of the budget is used and permits expire after one window. A send arrives up
+            // to half a window late.
             let budget = SlowStartBudget::share_of(
                 total_rate * 0.4,
                 f64::from(gateways),
-                Duration::from_secs_f64(WINDOW),
+                Duration::from_secs_f64(WINDOW_SECONDS),
             );
             let allowed = total_rate + 2.0 * f64::sqrt(total_rate) + 2.0;
             let steady = max_sends_in_a_window(gateways, budget, 0.0, &mut rng, |_| true);
             let burst = max_sends_in_a_window(gateways, budget, 0.0, &mut rng, |at| {
                 (4.0..4.1).contains(&at)
             });
-            let late = max_sends_in_a_window(gateways, budget, WINDOW / 2.0, &mut rng, |at| {
-                !(3.0..5.0).contains(&at)
-            });
-            for (pattern, sends) in [("steady", steady), ("burst", burst), ("late", late)] {
+            let delayed =
+                max_sends_in_a_window(gateways, budget, WINDOW_SECONDS / 2.0, &mut rng, |at| {
+                    !(3.0..5.0).contains(&at)
+                });
+            for (pattern, sends) in [("steady", steady), ("burst", burst), ("delayed", delayed)] {
                 assert!(
                     sends as f64 <= allowed,
-                    "{gateways} gateways, {total_rate}, {pattern}: {sends} of {allowed}"
+                    "{gateways} gateways, {total_rate} per second, {pattern}: {sends} sends, allowed {allowed}"
                 );
             }
-            let least = (total_rate * 0.4 * WINDOW).floor() * 0.8 - 1.0;
+            let min_sends = (total_rate * 0.4 * WINDOW_SECONDS).floor() * 0.8 - 1.0;
             assert!(
-                steady as f64 >= least,
-                "{gateways} gateways, {total_rate}: {steady} of {least}"
+                steady as f64 >= min_sends,
+                "{gateways} gateways, {total_rate} per second: {steady} sends, expected {min_sends}"
             );
         }
     }
@@ -83,7 +87,7 @@
     assert!(!permits.has_permit(at(5999), budget));
     assert!(
         permits.has_permit(at(6001), budget),
-        "by its coming together, not by its use"
+        "complete 4 s after the previous permit was complete, not after it was used"
     );
     assert!(!SlowStartPermits::new(7, 9, start).has_permit(
         at(3_600_000),
@@ -92,18 +96,18 @@
 }
 
 #[test]
-fn gateways_begin_at_credits_that_are_spread_evenly() {
+fn gateways_start_with_credits_that_are_spread_evenly() {
     for gateways in [3u32, 30, 350, 1024] {
         let mut credits: Vec<f64> = (0..gateways)
             .map(|gateway| SlowStartPermits::new(gateway, 77, Duration::ZERO).credit)
             .collect();
         credits.sort_by(f64::total_cmp);
-        let even = f64::from(gateways);
+        let gateway_count = f64::from(gateways);
         assert!(
             credits
                 .windows(2)
-                .all(|pair| pair[1] - pair[0] < 2.7 / even),
-            "{gateways}"
+                .all(|pair| pair[1] - pair[0] < 2.7 / gateway_count),
+            "{gateways} gateways"
         );
     }
 }
--- a/fleet/src/subset.rs
+++ b/fleet/src/subset.rs
@@ -10,25 +10,26 @@
 use rustc_hash::FxHasher;
 use std::hash::Hasher;
 
-/// How often a connection should be used within its idle timeout: at random intervals it is then closed before its next
-/// use in under one case of seven.
+/// How many times a connection should be used on average within its idle timeout. If it is used at random intervals,
+/// it is then closed before its next use in fewer than one of seven cases.
 const USES_PER_IDLE_TIMEOUT: f64 = 2.0;
 
-/// How often, in seconds, an endpoint should answer something, for what is known of it to be of use.
-const MAX_SECONDS_UNHEARD: f64 = 3.0;
+/// The longest average time between two answers of an endpoint. After a longer time, what the gateway knows about the
+/// endpoint is out of date.
+const MAX_RESPONSE_INTERVAL_SECONDS: f64 = 3.0;
 
-/// The subset could have so many times the attempts in flight that there are.
-const LOAD_HEADROOM: f64 = 2.0;
+/// The subset accepts this many times the attempts that are currently in flight.
+const LOAD_HEADROOM_FACTOR: f64 = 2.0;
 
-/// The least size, however few attempts there are: some endpoints may be bad, starting or full.
-const MIN_SIZE: f64 = 8.0;
+/// The minimum size of a subset for any number of attempts, because some endpoints may be faulty, starting or full.
+const MIN_SUBSET_ENDPOINTS: f64 = 8.0;
 
 /// Returns the position of an endpoint on the ring, a hash of its id. It is the same at every gateway and in every
 /// build.
 pub fn ring_position(endpoint: &str) -> u64 {
     let mut hasher = FxHasher::default();
     hasher.write(endpoint.as_bytes());
-    // The hasher's low bits are poor; spread them.
+    // The low bits of the hasher's result are distributed poorly, so the bits are mixed.
     let hash = hasher.finish();
     let hash = (hash ^ (hash >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash ^ (hash >> 29)
@@ -49,12 +50,18 @@
 
 impl SubsetSizing {
     /// Returns how many of `endpoints` to use: as many as the traffic keeps connections open to, or more if the
-    /// attempts in flight need it, and at least `MIN_SIZE`, but never more than `endpoints`.
+    /// attempts in flight need it, and at least `MIN_SUBSET_ENDPOINTS`, but never more than `endpoints`.
     pub fn size(&self, endpoints: usize) -> usize {
-        let kept_open = self.attempt_rate
-            * (self.idle_timeout_seconds / USES_PER_IDLE_TIMEOUT).min(MAX_SECONDS_UNHEARD);
-        let for_load = LOAD_HEADROOM * self.in_flight / self.max_in_flight_per_endpoint.max(1.0);
-        (kept_open.max(for_load).max(MIN_SIZE).ceil() as usize).min(endpoints)
+        let for_connections = self.attempt_rate
+            * (self.idle_timeout_seconds / USES_PER_IDLE_TIMEOUT)
+                .min(MAX_RESPONSE_INTERVAL_SECONDS);
+        let for_load =
+            LOAD_HEADROOM_FACTOR * self.in_flight / self.max_in_flight_per_endpoint.max(1.0);
+        (for_connections
+            .max(for_load)
+            .max(MIN_SUBSET_ENDPOINTS)
+            .ceil() as usize)
+            .min(endpoints)
     }
 }
 
--- a/fleet/src/subset/tests.rs
+++ b/fleet/src/subset/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Endpoints in the order of their position on the ring.
+/// Returns the endpoints in ascending order of their position on the ring.
 fn ring(endpoints: &[String]) -> Vec<String> {
     let mut ring = endpoints.to_vec();
     ring.sort_by_key(|endpoint| ring_position(endpoint));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn every_endpoint_has_as_many_gateways_as_any_other() {
+fn endpoints_are_used_by_almost_equal_numbers_of_gateways() {
     for (endpoints, gateways, size) in [
         (200, 300, 12),
         (37, 300, 8),
@@ -36,34 +36,34 @@
                 *counts.entry(endpoint).or_default() += 1;
             }
         }
-        let least = counts.values().min().expect("some");
-        let most = counts.values().max().expect("some");
-        let even = gateways as usize * size / endpoints;
+        let fewest = counts.values().min().expect("endpoints are used");
+        let most = counts.values().max().expect("endpoints are used");
+        let average = gateways as usize * size / endpoints;
         assert!(
             counts.len() == endpoints || gateways as usize * size < endpoints * 2,
-            "{}",
+            "{} of {endpoints} endpoints are used",
             counts.len()
         );
         assert!(
-            *most <= even + size.min(2) + 1 && *least + 2 >= even.min(*least + 2),
-            "{least} {most} {even}"
+            *most <= average + size.min(2) + 1 && *fewest + 2 >= average.min(*fewest + 2),
+            "fewest {fewest}, most {most}, average {average}"
         );
     }
 }
 
 #[test]
-fn endpoint_that_comes_or_goes_changes_two_members_of_a_subset_at_most() {
+fn adding_or_removing_an_endpoint_changes_at_most_two_members_of_a_subset() {
     let all = names(200);
     let before = ring(&all);
-    for gone in [0, 57, 199] {
+    for removed in [0, 57, 199] {
         let mut others = all.clone();
-        others.remove(gone);
+        others.remove(removed);
         let after = ring(&others);
         for gateway in 0..300 {
             let subset_before = subset(&before, gateway, 300, 12);
             let subset_after = subset(&after, gateway, 300, 12);
-            let left = subset_before.difference(&subset_after).count();
-            assert!(left <= 2, "gateway {gateway}");
+            let changed = subset_before.difference(&subset_after).count();
+            assert!(changed <= 2, "gateway {gateway}");
         }
     }
 }
@@ -74,7 +74,7 @@
         (0.1, 0.0, 200, 8),
         (8.0, 2.0, 200, 24),
         (100.0, 2.0, 200, 200),
-        // Much is out at once: more endpoints, whatever the connections cost.
+        // Many attempts in flight need more endpoints than the attempt rate keeps connections open to.
         (0.1, 60.0, 200, 30),
         (0.0, 0.0, 5, 5),
     ] {
--- a/settings/src/wire.rs
+++ b/settings/src/wire.rs
@@ -1,6 +1,6 @@
 //! The settings in the platform's format. The fields of these structs are the platform's keys. Only the `validate`
-//! functions map the keys to the names and types of [`wellcrank::settings`], where the settings are documented. Keys that
-//! end in `_ns` hold nanoseconds.
+//! functions map the keys to the names and types of [`wellcrank::settings`], where the settings are documented. Keys
+//! that end in `_ns` hold nanoseconds.
 
 use crate::{InvalidSetting, SettingsError};
 use serde::Deserialize;
