--- a/simulator/src/action.rs
+++ b/simulator/src/action.rs
@@ -1,4 +1,4 @@
-//! Encodes what the controllers do as the wire's actions, and collects them as the reply to a batch.
+//! Encodes the controllers' commands as actions of the simulator's protocol and collects the reply to a batch.
 
 use crate::message::InstanceId;
 use serde_json::{json, Value};
@@ -11,10 +11,11 @@
 /// The last line of each reply.
 const END_OF_REPLY: &str = "{\"event_type\":\"finished\"}\n";
 
-/// What a span is on the wire that has more nanoseconds than a `u64` holds.
+/// What is written for a duration whose nanoseconds don't fit into a `u64`: the largest signed 64-bit integer.
 const MAX_NANOSECONDS: u64 = u64::MAX >> 1;
 
-/// The reply to the batch at hand: the actions of all instances, in the order in which they were taken.
+/// The reply to the current batch: the actions of all instances, one JSON object per line, in the order in which they
+/// were taken. Clones share the same text.
 #[derive(Clone, Default)]
 pub(crate) struct Reply(Rc<RefCell<String>>);
 
@@ -25,7 +26,7 @@
         text.push('\n');
     }
 
-    /// Writes the reply out whole, and begins an empty one.
+    /// Writes the complete reply and its last line to `output`, and empties the reply.
     pub(crate) fn send(&self, output: &mut impl Write) -> io::Result<()> {
         let mut text = self.0.borrow_mut();
         text.push_str(END_OF_REPLY);
@@ -36,14 +37,14 @@
     }
 }
 
-/// The port of one instance's controller: its actions go into the reply.
+/// The port of one instance's controller. It appends the controller's actions to the reply.
 pub(crate) struct ActionEncoder {
     instance: InstanceId,
     reply: Reply,
 }
 
 impl ActionEncoder {
-    /// A port whose actions bear the number of the instance.
+    /// Returns a port whose actions carry the id of `instance`.
     pub(crate) fn new(instance: InstanceId, reply: Reply) -> Self {
         ActionEncoder { instance, reply }
     }
@@ -55,8 +56,8 @@
     }
 }
 
-fn nanoseconds(span: Duration) -> u64 {
-    u64::try_from(span.as_nanos()).unwrap_or(MAX_NANOSECONDS)
+fn nanoseconds(duration: Duration) -> u64 {
+    u64::try_from(duration.as_nanos()).unwrap_or(MAX_NANOSECONDS)
 }
 
 impl Port for ActionEncoder {
--- a/simulator/src/batch.rs
+++ b/simulator/src/batch.rs
@@ -1,4 +1,4 @@
-//! The loop over the input: reads batches line by line and answers each as soon as it is complete.
+//! Reads the input line by line and replies to each batch as soon as it is complete.
 
 use crate::action::Reply;
 use crate::error::{LineError, SimulatorError};
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::io::{BufRead, Write};
 
-/// Answers batches until the input ends.
+/// Replies to batches until the input ends. An invalid line ends the loop with an error, without a reply to its batch.
 pub(crate) fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), SimulatorError> {
     let reply = Reply::default();
     let mut host = InstanceHost::new(reply.clone());
@@ -25,12 +25,12 @@
     Ok(())
 }
 
-/// Whether a line was the last one of its batch.
+/// Whether a batch is complete after a line.
 #[derive(PartialEq, Eq)]
 enum BatchProgress {
     /// More lines follow before the reply.
     Incomplete,
-    /// The reply is due.
+    /// The line ended the batch, so the reply must be sent.
     Complete,
 }
 
--- a/simulator/src/batch/tests.rs
+++ b/simulator/src/batch/tests.rs
@@ -8,7 +8,7 @@
 const START: &str =
     r#"{"event_type":"open_instance","i":3,"salt":7,"config":{"classes":[{"name":"read"}]}}"#;
 
-/// What is written on standard output, and the error that ended the program, if one did.
+/// Returns what is written to the output for these lines, and the error that ends the program, if there is one.
 fn replies(lines: &[&str]) -> (String, Option<String>) {
     let input = lines.join("\n");
     let mut output = Vec::new();
@@ -25,72 +25,71 @@
 
 #[test]
 fn an_instance_acts_in_the_reply_to_its_batch() {
-    let request =
-        r#"{"event_type":"inbound","i":3,"txn":"r","qos":"read","valid_until_ns":9412250000}"#;
+    let request = r#"{"event_type":"inbound","i":3,"txn":"request-1","qos":"read","valid_until_ns":9412250000}"#;
     let endpoints =
-        r#"{"event_type":"fleet","i":3,"scope":"C","lines":[{"server":"s","phase":"IN"}]}"#;
+        r#"{"event_type":"fleet","i":3,"scope":"C","lines":[{"server":"server-1","phase":"IN"}]}"#;
     let (output, error) = replies(&[FRAME, START, endpoints, request, END, FRAME, END]);
     assert_eq!(error, None);
     let (first, second) = output.split_once(EMPTY_REPLY).expect("two replies");
     assert!(
         first
             .lines()
-            .any(|action| action.contains(r#""event_type":"transmit","i":3,"server":"s""#)),
+            .any(|action| action.contains(r#""event_type":"transmit","i":3,"server":"server-1""#)),
         "{first}"
     );
     assert_eq!(second, EMPTY_REPLY);
 }
 
 #[test]
-fn events_for_instances_that_do_not_run_have_no_effect_whatever_they_hold() {
+fn events_for_instances_that_are_not_running_have_no_effect_even_if_invalid() {
     let stop = r#"{"event_type":"crash_now","i":3}"#;
-    let undecodable = r#"{"event_type":"report_back","i":3,"disposition":7}"#;
+    let invalid_event = r#"{"event_type":"report_back","i":3,"disposition":7}"#;
     assert_eq!(
-        replies(&[FRAME, undecodable, END]),
+        replies(&[FRAME, invalid_event, END]),
         (EMPTY_REPLY.to_string(), None)
     );
-    let (output, error) = replies(&[FRAME, START, stop, undecodable, stop, END]);
+    let (output, error) = replies(&[FRAME, START, stop, invalid_event, stop, END]);
     assert_eq!(error, None);
     assert!(output.ends_with(EMPTY_REPLY), "{output}");
 }
 
 #[test]
-fn an_invalid_line_ends_the_program_with_its_number_and_the_reason() {
-    let refused = [
+fn the_error_for_an_invalid_line_names_its_number_and_the_reason() {
+    let invalid = [
         (
             "{",
-            "line 3: EOF while parsing an object at line 1 column 1",
+            "line 3 of the input is invalid: not valid JSON: EOF while parsing an object at line 1 column 1",
         ),
-        ("[]", "line 3: not an object"),
-        ("{}", "line 3: field 'event_type' is missing"),
+        ("[]", "line 3 of the input is invalid: invalid value []; expected a JSON object"),
+        ("{}", "line 3 of the input is invalid: field 'event_type' is missing or null; expected a string"),
         (
             r#"{"event_type":"wake","i":3,"token":"x"}"#,
-            "line 3: field 'token' has a wrong value: \"x\"",
+            "line 3 of the input is invalid: field 'token' has the invalid value \"x\"; expected a whole number of at least 0",
         ),
         (
             r#"{"event_type":"open_instance","i":3,"config":{"index":-1}}"#,
-            "line 3: settings: index: -1 is not a count; expected a whole number from 0 to 4294967295",
+            "line 3 of the input is invalid: settings: index: -1 is not a count; expected a whole number from 0 to 4294967295",
         ),
     ];
-    for (line, expected) in refused {
+    for (line, expected) in invalid {
         let (output, error) = replies(&[FRAME, START, line, END]);
         assert_eq!(error.as_deref(), Some(expected));
-        assert_eq!(output, "", "the batch is not answered");
+        assert_eq!(output, "", "no reply to the invalid batch");
     }
 }
 
 #[test]
-fn input_that_is_no_text_ends_the_program_with_the_lines_number() {
+fn the_error_for_input_that_is_not_utf8_names_the_line() {
     let end = serve(&b"{\"event_type\":\"eob\"}\n\xff\n"[..], Vec::new());
-    let error = end.expect_err("that is no text");
+    let error = end.expect_err("the input is not UTF-8");
     assert_eq!(
         with_causes(&error),
-        "line 2: stream did not contain valid UTF-8"
+        "line 2 of the input cannot be read: stream did not contain valid UTF-8"
     );
 }
 
 #[test]
-fn a_reply_that_nobody_takes_ends_the_program() {
+fn a_reply_that_cannot_be_written_ends_the_program() {
     struct ClosedPipe;
     impl Write for ClosedPipe {
         fn write(&mut self, _bytes: &[u8]) -> io::Result<usize> {
@@ -101,9 +100,9 @@
         }
     }
     let end = serve(END.as_bytes(), ClosedPipe);
-    let error = end.expect_err("nobody takes the reply");
+    let error = end.expect_err("the output is closed");
     assert_eq!(
         with_causes(&error),
-        "cannot write a reply: the pipe is closed"
+        "the reply to a batch cannot be written: the pipe is closed"
     );
 }
--- a/simulator/src/event.rs
+++ b/simulator/src/event.rs
@@ -1,4 +1,5 @@
-//! Decodes what happens to a running instance into the controller's types. The wire's names and codes stand here only.
+//! Decodes the events for a running instance into the controller's types. The protocol's field names and codes for
+//! these events appear only in this module.
 
 use crate::error::LineError;
 use crate::fields::Fields;
@@ -9,59 +10,60 @@
     EndpointState, EndpointUpdate, Request, RequestId, TimerToken, UnixTime,
 };
 
-/// An event for an instance, named after the controller's function that takes it.
+/// An event for an instance. [`InstanceHost::deliver`](crate::host::InstanceHost::deliver) passes each kind to the
+/// controller's function for it.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// Discovery has sent endpoints.
+    /// Discovery sent a list of endpoints or changes to it.
     EndpointUpdate(EndpointUpdate),
     /// A call to discovery failed, or the subscription broke.
     DiscoveryFailure,
-    /// A client's request has come in.
+    /// A client sent a request.
     Request(Request),
-    /// An upstream attempt has ended.
+    /// An upstream attempt ended.
     AttemptEnd {
-        /// The request that was sent on.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which of its attempts.
+        /// The attempt's number within the request.
         attempt: AttemptNumber,
-        /// How it ended.
+        /// The outcome of the attempt and what was learnt from it.
         result: AttemptResult,
     },
-    /// The first part of a streamed answer has come.
+    /// The first part of a streamed response arrived.
     ResponseStarted(RequestId),
-    /// The client of a request has gone.
+    /// The client of a request disconnected.
     ClientDisconnect(RequestId),
-    /// A timer has fired.
+    /// A timer fired.
     Timer(TimerToken),
-    /// The shared counter has replied.
+    /// The shared counter replied.
     CounterReply {
-        /// The number that was added to.
+        /// The name of the counter value to which an amount was added.
         name: CounterName,
-        /// The reply.
+        /// The new total, or why there is none.
         reply: CounterReply,
     },
-    /// An event of a type that is not known, or that the controller has no use for: it sends no probes and no messages
-    /// to peers, so it needs no answers to them.
+    /// An event of an unknown type, or of one that the controller doesn't need: it sends no probes and no messages to
+    /// peers, so it needs no replies to them.
     Ignored,
 }
 
-/// An event whose fields have not been looked at.
+/// An event whose fields have not been decoded or checked.
 pub(crate) struct UndecodedEvent<'a> {
     event_type: &'a str,
     fields: Fields<'a>,
 }
 
 impl<'a> UndecodedEvent<'a> {
-    /// An event of the type that the wire names so.
+    /// Returns an event with this `event_type` of the protocol.
     pub(crate) fn new(event_type: &'a str, fields: Fields<'a>) -> Self {
         UndecodedEvent { event_type, fields }
     }
 
-    /// Decodes the fields that the event's type has.
+    /// Decodes the fields that belong to the event's type.
     pub(crate) fn decode(&self) -> Result<Event, LineError> {
         let fields = &self.fields;
         Ok(match self.event_type {
-            "fleet" => decode_discovery_news(fields)?,
+            "fleet" => decode_discovery_event(fields)?,
             "inbound" => Event::Request(decode_request(fields)?),
             "report_back" => decode_attempt_end(fields)?,
             "first_byte" => Event::ResponseStarted(decode_request_id(fields)?),
@@ -80,16 +82,18 @@
     fields.text("txn").map(RequestId::from)
 }
 
-/// What a `fleet` event says of the endpoint list.
+/// Which part of the endpoint list a `fleet` event contains.
 enum UpdateScope {
-    /// Only the entries that have changed.
+    /// Only the changed entries.
     Delta,
-    /// The whole list.
+    /// The complete list.
     Snapshot,
-    /// Nothing: the call failed.
+    /// Nothing, because the call failed.
     Failure,
 }
 
+const UPDATE_SCOPE_CODES: &str = "'D', 'F', 'C' or 'X'";
+
 fn update_scope(code: &str) -> Option<UpdateScope> {
     match code {
         "D" => Some(UpdateScope::Delta),
@@ -99,8 +103,8 @@
     }
 }
 
-fn decode_discovery_news(fields: &Fields) -> Result<Event, LineError> {
-    let update = match fields.code("scope", update_scope)? {
+fn decode_discovery_event(fields: &Fields) -> Result<Event, LineError> {
+    let update = match fields.code("scope", UPDATE_SCOPE_CODES, update_scope)? {
         UpdateScope::Delta => EndpointUpdate::Delta(decode_endpoints(fields)?),
         UpdateScope::Snapshot => EndpointUpdate::Snapshot(decode_endpoints(fields)?),
         UpdateScope::Failure => return Ok(Event::DiscoveryFailure),
@@ -109,16 +113,25 @@
 }
 
 fn decode_endpoints(fields: &Fields) -> Result<Vec<Endpoint>, LineError> {
-    let entries = fields.required("lines", Value::as_array)?;
-    entries.iter().map(decode_endpoint).collect()
+    let entries = fields.required("lines", "a list", Value::as_array)?;
+    entries
+        .iter()
+        .enumerate()
+        .map(|(index, entry)| {
+            decode_endpoint(entry).map_err(|reason| LineError::InvalidEndpoint {
+                index,
+                reason: Box::new(reason),
+            })
+        })
+        .collect()
 }
 
 fn decode_endpoint(entry: &Value) -> Result<Endpoint, LineError> {
-    let fields = Fields::of_object(entry).ok_or(LineError::EntryNotAnObject)?;
+    let fields = Fields::of_object(entry)?;
     Ok(Endpoint {
         id: fields.text("server")?.into(),
-        state: fields.code("phase", endpoint_state)?,
-        // Absent and 0 both mean that it started long ago.
+        state: fields.code("phase", ENDPOINT_STATE_CODES, endpoint_state)?,
+        // If the field is absent, invalid or 0, the endpoint started long ago.
         started_at: fields
             .duration("since_ns")
             .ok()
@@ -131,6 +144,8 @@
     })
 }
 
+const ENDPOINT_STATE_CODES: &str = "'IN', 'LAME' or 'OUT'";
+
 fn endpoint_state(code: &str) -> Option<EndpointState> {
     match code {
         "IN" => Some(EndpointState::Ready),
@@ -155,10 +170,10 @@
 
 fn decode_attempt_end(fields: &Fields) -> Result<Event, LineError> {
     let result = AttemptResult {
-        outcome: fields.code("disposition", attempt_outcome)?,
+        outcome: fields.code("disposition", ATTEMPT_OUTCOME_CODES, attempt_outcome)?,
         latency: fields.duration("lag_ns")?,
         request_closed: fields.flag("closed")?,
-        // Absent and 0 both mean that no units are settled.
+        // If the field is absent, not a number or not above 0, no units are settled.
         settled_units: fields.number("settled").ok().filter(|units| *units > 0.0),
         load: decode_load(fields),
     };
@@ -170,6 +185,8 @@
     })
 }
 
+const ATTEMPT_OUTCOME_CODES: &str = "'S', 'E', 'F', 'T', 'C', 'R', 'X' or 'N'";
+
 fn attempt_outcome(code: &str) -> Option<AttemptOutcome> {
     match code {
         "S" => Some(AttemptOutcome::Success),
@@ -184,7 +201,7 @@
     }
 }
 
-/// The load report, if there is one; figures that are no numbers are left out.
+/// Returns the load report, which is empty if the event has none. Values that are not numbers are left out.
 fn decode_load(fields: &Fields) -> BTreeMap<String, f64> {
     fields
         .optional("pressure")
@@ -195,16 +212,18 @@
         .collect()
 }
 
-/// What the code of a counter's reply says of the amount.
+/// Whether the amount of a counter call was added, according to the code in the reply.
 enum CounterOutcome {
-    /// It was added; the total stands beside the code.
+    /// The amount was added, and the event contains the new total.
     Applied,
-    /// It was not added.
+    /// The amount was not added.
     NotApplied,
-    /// It may have been added.
+    /// The amount may or may not have been added.
     Unknown,
 }
 
+const COUNTER_OUTCOME_CODES: &str = "'S', 'F', 'C' or 'T'";
+
 fn counter_outcome(code: &str) -> Option<CounterOutcome> {
     match code {
         "S" => Some(CounterOutcome::Applied),
@@ -215,11 +234,13 @@
 }
 
 fn decode_counter_reply(fields: &Fields) -> Result<CounterReply, LineError> {
-    Ok(match fields.code("disposition", counter_outcome)? {
-        CounterOutcome::Applied => CounterReply::Total(fields.number("total")?),
-        CounterOutcome::NotApplied => CounterReply::NotApplied,
-        CounterOutcome::Unknown => CounterReply::Unknown,
-    })
+    Ok(
+        match fields.code("disposition", COUNTER_OUTCOME_CODES, counter_outcome)? {
+            CounterOutcome::Applied => CounterReply::Total(fields.number("total")?),
+            CounterOutcome::NotApplied => CounterReply::NotApplied,
+            CounterOutcome::Unknown => CounterReply::Unknown,
+        },
+    )
 }
 
 #[cfg(test)]
--- a/simulator/src/event/tests.rs
+++ b/simulator/src/event/tests.rs
@@ -2,26 +2,32 @@
 use serde_json::json;
 use std::time::Duration;
 
+const STRING: &str = "a string";
+const WHOLE_NUMBER: &str = "a whole number of at least 0";
+const SCOPE_CODES: &str = "'D', 'F', 'C' or 'X'";
+const ATTEMPT_CODES: &str = "'S', 'E', 'F', 'T', 'C', 'R', 'X' or 'N'";
+const COUNTER_CODES: &str = "'S', 'F', 'C' or 'T'";
+
 fn decode(event: &Value) -> Result<Event, LineError> {
     let fields = Fields::of_object(event).expect("an object");
     let event_type = fields.text("event_type").expect("an event type");
     UndecodedEvent::new(event_type, fields).decode()
 }
 
-/// The controller's types can't be compared, so their debug texts are.
+/// Compares the `Debug` texts, because the controller's types don't implement `PartialEq`.
 fn assert_decodes(event: Value, expected: Event) {
     let decoded = decode(&event).unwrap_or_else(|error| panic!("{event}: {error}"));
     assert_eq!(format!("{decoded:?}"), format!("{expected:?}"), "{event}");
 }
 
-fn assert_refused(event: Value, reason: &str) {
+fn assert_invalid(event: Value, reason: &str) {
     match decode(&event) {
-        Ok(decoded) => panic!("{event} is {decoded:?}"),
+        Ok(decoded) => panic!("{event} was decoded as {decoded:?}"),
         Err(error) => assert_eq!(error.to_string(), reason, "{event}"),
     }
 }
 
-/// The event with one field changed; null takes it away.
+/// Returns the event with a different value of one field; null removes the field.
 fn with(event: &Value, field: &str, value: Value) -> Value {
     let mut changed = event.clone();
     changed[field] = value;
@@ -87,7 +93,7 @@
 }
 
 #[test]
-fn a_request_has_defaults_for_what_is_absent_or_of_the_wrong_type() {
+fn absent_or_mistyped_optional_fields_of_a_request_take_their_defaults() {
     assert_decodes(request_event(), Event::Request(request()));
     let defaults = [
         (
@@ -212,7 +218,7 @@
 }
 
 #[test]
-fn a_counter_reply_is_a_total_or_the_reason_why_there_is_none() {
+fn a_counter_reply_is_decoded_by_its_code() {
     let replies = [
         (counter_event("S", json!(38)), CounterReply::Total(38.0)),
         (counter_event("F", Value::Null), CounterReply::NotApplied),
@@ -242,83 +248,118 @@
 }
 
 #[test]
-fn events_that_the_controller_has_no_use_for_are_ignored() {
+fn events_that_the_controller_does_not_need_are_ignored() {
     for event_type in ["status_back", "message", "not-on-the-wire-yet"] {
         assert_decodes(json!({"event_type": event_type}), Event::Ignored);
     }
 }
 
 #[test]
-fn a_required_field_that_is_absent_is_named() {
+fn the_error_for_a_missing_field_names_the_field_and_what_was_expected() {
     let required = [
-        (request_event(), vec!["txn", "qos", "valid_until_ns"]),
+        (
+            request_event(),
+            vec![
+                ("txn", STRING),
+                ("qos", STRING),
+                ("valid_until_ns", WHOLE_NUMBER),
+            ],
+        ),
         (
             attempt_event(),
-            vec!["disposition", "lag_ns", "closed", "attempt", "txn"],
+            vec![
+                ("disposition", ATTEMPT_CODES),
+                ("lag_ns", WHOLE_NUMBER),
+                ("closed", "true or false"),
+                ("attempt", WHOLE_NUMBER),
+                ("txn", STRING),
+            ],
+        ),
+        (
+            endpoint_event("F", json!([])),
+            vec![("scope", SCOPE_CODES), ("lines", "a list")],
         ),
-        (endpoint_event("F", json!([])), vec!["scope", "lines"]),
         (
             json!({"event_type": "first_byte", "txn": "5d3a"}),
-            vec!["txn"],
+            vec![("txn", STRING)],
         ),
         (
             json!({"event_type": "vanished", "txn": "5d3a"}),
-            vec!["txn"],
+            vec![("txn", STRING)],
+        ),
+        (
+            json!({"event_type": "wake", "token": 1}),
+            vec![("token", WHOLE_NUMBER)],
         ),
-        (json!({"event_type": "wake", "token": 1}), vec!["token"]),
         (
             json!({"event_type": "tallied", "name": 1, "disposition": "S", "total": 1}),
-            vec!["name", "disposition", "total"],
+            vec![
+                ("name", WHOLE_NUMBER),
+                ("disposition", COUNTER_CODES),
+                ("total", "a number"),
+            ],
         ),
     ];
     for (event, fields) in required {
-        for field in fields {
-            let reason = format!("field '{field}' is missing");
-            assert_refused(with(&event, field, Value::Null), &reason);
+        for (field, expected) in fields {
+            let reason = format!("field '{field}' is missing or null; expected {expected}");
+            assert_invalid(with(&event, field, Value::Null), &reason);
         }
     }
 }
 
 #[test]
-fn a_wrong_value_is_shown_with_its_field() {
-    let wrong_values = [
-        (request_event(), "valid_until_ns", json!(-5)),
-        (request_event(), "txn", json!(7)),
-        (attempt_event(), "disposition", json!("Q")),
-        (attempt_event(), "closed", json!("true")),
-        (attempt_event(), "lag_ns", json!(1.5)),
-        (endpoint_event("F", json!([])), "scope", json!("Q")),
-        (endpoint_event("F", json!([])), "lines", json!({})),
-        (json!({"event_type": "wake"}), "token", json!("7")),
+fn the_error_for_an_invalid_value_names_the_field_the_value_and_what_was_expected() {
+    let invalid_values = [
+        (request_event(), "valid_until_ns", json!(-5), WHOLE_NUMBER),
+        (request_event(), "txn", json!(7), STRING),
+        (attempt_event(), "disposition", json!("Q"), ATTEMPT_CODES),
+        (attempt_event(), "closed", json!("true"), "true or false"),
+        (attempt_event(), "lag_ns", json!(1.5), WHOLE_NUMBER),
+        (
+            endpoint_event("F", json!([])),
+            "scope",
+            json!("Q"),
+            SCOPE_CODES,
+        ),
+        (endpoint_event("F", json!([])), "lines", json!({}), "a list"),
+        (
+            json!({"event_type": "wake"}),
+            "token",
+            json!("7"),
+            WHOLE_NUMBER,
+        ),
         (
             json!({"event_type": "tallied", "name": 1}),
             "disposition",
             json!("E"),
+            COUNTER_CODES,
         ),
         (
             json!({"event_type": "tallied", "disposition": "T"}),
             "name",
             json!(-1),
+            WHOLE_NUMBER,
         ),
     ];
-    for (event, field, value) in wrong_values {
-        let reason = format!("field '{field}' has a wrong value: {value}");
-        assert_refused(with(&event, field, value), &reason);
+    for (event, field, value, expected) in invalid_values {
+        let reason = format!("field '{field}' has the invalid value {value}; expected {expected}");
+        assert_invalid(with(&event, field, value), &reason);
     }
 }
 
 #[test]
-fn an_entry_of_the_endpoint_list_names_its_endpoint_and_state() {
-    let refused = [
-        (json!([7]), "an entry is no object"),
-        (json!([{"phase": "IN"}]), "field 'server' is missing"),
-        (json!([{"server": "server.a"}]), "field 'phase' is missing"),
+fn the_error_for_an_invalid_endpoint_names_its_index_and_the_reason() {
+    let invalid = [
+        (json!([{"server": "server.a", "phase": "IN"}, 7]), "lines[1]: invalid value 7; expected a JSON object"),
+        (json!([{"phase": "IN"}]), "lines[0]: field 'server' is missing or null; expected a string"),
+        (json!([{"server": "server.a"}]), "lines[0]: field 'phase' is missing or null; expected 'IN', 'LAME' or 'OUT'"),
         (
             json!([{"server": "server.a", "phase": "GONE"}]),
-            "field 'phase' has a wrong value: \"GONE\"",
+            "lines[0]: field 'phase' has the invalid value \"GONE\"; expected 'IN', 'LAME' or 'OUT'",
         ),
     ];
-    for (entries, reason) in refused {
-        assert_refused(endpoint_event("D", entries), reason);
+    for (entries, reason) in invalid {
+        assert_invalid(endpoint_event("D", entries), reason);
     }
 }
--- a/simulator/src/host.rs
+++ b/simulator/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts the controllers of the running instances. Each has its own, and none sees another's events.
+//! Runs one controller for each running instance. A controller gets only the events for its own instance.
 
 use crate::action::{ActionEncoder, Reply};
 use crate::error::LineError;
@@ -14,13 +14,13 @@
 /// The running instances of this process.
 pub(crate) struct InstanceHost {
     controllers: BTreeMap<InstanceId, AdmissionController>,
-    /// The clock of the batch at hand.
+    /// The time of the current batch on the simulator's wall clock.
     now: Duration,
     reply: Reply,
 }
 
 impl InstanceHost {
-    /// A host without instances, whose actions will go into `reply`.
+    /// Returns a host without instances. The instances that it starts append their actions to `reply`.
     pub(crate) fn new(reply: Reply) -> Self {
         InstanceHost {
             controllers: BTreeMap::new(),
@@ -29,24 +29,24 @@
         }
     }
 
-    /// Sets the clock of all instances.
+    /// Sets the time for all instances.
     pub(crate) fn set_time(&mut self, now: Duration) {
         self.now = now;
     }
 
-    /// Starts an instance without any state of an earlier life.
+    /// Starts an instance. It keeps no state from before a restart.
     pub(crate) fn start(&mut self, instance: InstanceId, settings: Rc<Settings>, seed: u64) {
         let port = ActionEncoder::new(instance, self.reply.clone());
         let controller = AdmissionController::new(settings, seed, self.now, Box::new(port));
         self.controllers.insert(instance, controller);
     }
 
-    /// Forgets an instance and all its state.
+    /// Removes an instance and all its state.
     pub(crate) fn stop(&mut self, instance: InstanceId) {
         self.controllers.remove(&instance);
     }
 
-    /// Hands an event to its instance. An event for an instance that doesn't run has no effect.
+    /// Passes an event to its instance. An event for an instance that is not running has no effect and is not decoded.
     pub(crate) fn deliver(
         &mut self,
         instance: InstanceId,
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -1,8 +1,9 @@
-//! The adapter that runs the controllers of many gateways on the simulator's wire: batches of events come in as JSON
-//! lines on standard input, and each batch is answered by the actions of the controllers on standard output.
+//! The adapter that runs the controllers of many gateways for a simulator. It reads batches of events as JSON lines
+//! from standard input and replies to each batch with the controllers' actions as JSON lines on standard output.
 //!
-//! It decodes events ([`message`], [`event`]), hands them to the controller of their instance ([`host`]) and encodes
-//! what the controllers do ([`action`]). It decides nothing, and the instances share nothing.
+//! The adapter decodes events ([`message`], [`event`]), passes them to the controller of their instance ([`host`]) and
+//! encodes the controllers' actions ([`action`]). All decisions are made by the controllers, and the instances share no
+//! state.
 
 mod action;
 mod batch;
@@ -25,7 +26,7 @@
     }
 }
 
-/// The text of an error and of its causes in one line, separated by colons.
+/// Returns the texts of an error and of its causes in one line, separated by colons.
 fn with_causes(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/simulator/src/message.rs
+++ b/simulator/src/message.rs
@@ -1,4 +1,4 @@
-//! Decodes the lines of a batch: its frame, the life of instances, and the events for them.
+//! Decodes the lines of a batch: its start and end, starts and stops of instances, and events for instances.
 
 use crate::error::LineError;
 use crate::event::UndecodedEvent;
@@ -8,21 +8,21 @@
 use std::time::Duration;
 use wellcrank::settings::Settings;
 
-/// The number of an instance: one gateway's controller.
+/// The number that identifies an instance. An instance is one gateway's controller.
 pub(crate) type InstanceId = u64;
 
 /// One line of the input.
 pub(crate) enum Message<'a> {
-    /// A batch begins, and the clock stands at `now` until the next one.
+    /// A batch starts, and the clock of all instances is set to `now`.
     BatchStart {
-        /// The clock of all instances.
+        /// The time on the simulator's wall clock.
         now: Duration,
     },
-    /// The batch is complete and is to be answered.
+    /// The batch is complete, and the reply must be sent.
     BatchEnd,
     /// An instance starts, for the first time or after a restart.
     StartInstance {
-        /// Which instance.
+        /// The instance that starts.
         instance: InstanceId,
         /// The settings of its deployment.
         settings: Rc<Settings>,
@@ -31,25 +31,25 @@
     },
     /// An instance was killed and loses all its state.
     StopInstance {
-        /// Which instance.
+        /// The instance that was killed.
         instance: InstanceId,
     },
-    /// Something happened to an instance. It stays undecoded until the instance is known to run, as events for any
-    /// other have no effect, whatever they hold.
+    /// An event for an instance. It is decoded only if the instance is running: for an instance that is not running,
+    /// even an invalid event has no effect.
     Event {
-        /// Which instance.
+        /// The instance that the event is for.
         instance: InstanceId,
-        /// What happened.
+        /// The event, not yet decoded.
         event: UndecodedEvent<'a>,
     },
-    /// A line that is for no instance and has no effect.
+    /// A line that names no instance and has no effect.
     Ignored,
 }
 
 impl<'a> Message<'a> {
     /// Decodes a line that was parsed as JSON.
     pub(crate) fn decode(line: &'a Value) -> Result<Message<'a>, LineError> {
-        let fields = Fields::of_object(line).ok_or(LineError::NotAnObject)?;
+        let fields = Fields::of_object(line)?;
         match fields.text("event_type")? {
             "frame" => Ok(Message::BatchStart {
                 now: fields.duration("wall_ns")?,
@@ -79,7 +79,9 @@
 }
 
 fn decode_start<'a>(instance: InstanceId, fields: Fields) -> Result<Message<'a>, LineError> {
-    let config = fields.required("config", |value| value.is_object().then_some(value))?;
+    let config = fields.required("config", "a JSON object", |value| {
+        value.is_object().then_some(value)
+    })?;
     let settings = wellcrank_settings::decode(config)?;
     Ok(Message::StartInstance {
         instance,
--- a/simulator/src/message/tests.rs
+++ b/simulator/src/message/tests.rs
@@ -2,15 +2,15 @@
 use crate::event::Event;
 use serde_json::json;
 
-fn refusal(line: Value) -> String {
+fn error_text(line: Value) -> String {
     match Message::decode(&line) {
-        Ok(_) => panic!("{line} is accepted"),
+        Ok(_) => panic!("{line} was decoded"),
         Err(error) => error.to_string(),
     }
 }
 
 #[test]
-fn a_batch_begins_with_its_clock_and_ends() {
+fn a_batch_starts_with_its_time_and_ends() {
     let frame = json!({"event_type": "frame", "wall_ns": 8412250000u64});
     assert!(matches!(
         Message::decode(&frame),
@@ -29,7 +29,7 @@
         seed,
     }) = Message::decode(&start)
     else {
-        panic!("{start} starts an instance");
+        panic!("{start} was not decoded as the start of an instance");
     };
     assert_eq!(instance, 3);
     assert_eq!(seed, 77);
@@ -50,14 +50,14 @@
 fn an_event_goes_to_its_instance() {
     let line = json!({"event_type": "vanished", "i": 5, "txn": "0e6f"});
     let Ok(Message::Event { instance: 5, event }) = Message::decode(&line) else {
-        panic!("{line} is an event for instance 5");
+        panic!("{line} was not decoded as an event for instance 5");
     };
     let decoded = event.decode();
     assert!(matches!(decoded, Ok(Event::ClientDisconnect(request)) if request == "0e6f".into()));
 }
 
 #[test]
-fn a_line_without_an_instance_is_ignored_whatever_it_holds() {
+fn a_line_without_an_instance_is_ignored_even_if_its_fields_are_invalid() {
     for line in [
         json!({"event_type": "wake"}),
         json!({"event_type": "open_instance", "i": null, "config": 7}),
@@ -71,36 +71,48 @@
 }
 
 #[test]
-fn an_invalid_line_is_refused_with_the_field_and_the_reason() {
+fn the_error_for_an_invalid_line_names_the_field_and_the_reason() {
     let start = |config: Value, salt: Value| json!({"event_type": "open_instance", "i": 1, "config": config, "salt": salt});
-    let refused = [
-        (json!([]), "not an object"),
-        (json!({"i": 1}), "field 'event_type' is missing"),
+    let invalid = [
+        (json!([]), "invalid value []; expected a JSON object"),
+        (
+            json!({"i": 1}),
+            "field 'event_type' is missing or null; expected a string",
+        ),
         (
             json!({"event_type": 7}),
-            "field 'event_type' has a wrong value: 7",
+            "field 'event_type' has the invalid value 7; expected a string",
+        ),
+        (
+            json!({"event_type": "frame"}),
+            "field 'wall_ns' is missing or null; expected a whole number of at least 0",
         ),
-        (json!({"event_type": "frame"}), "field 'wall_ns' is missing"),
         (
             json!({"event_type": "frame", "wall_ns": -1}),
-            "field 'wall_ns' has a wrong value: -1",
+            "field 'wall_ns' has the invalid value -1; expected a whole number of at least 0",
         ),
         (
             json!({"event_type": "wake", "i": "3"}),
-            "field 'i' has a wrong value: \"3\"",
+            "field 'i' has the invalid value \"3\"; expected a whole number of at least 0",
+        ),
+        (
+            start(Value::Null, json!(1)),
+            "field 'config' is missing or null; expected a JSON object",
         ),
-        (start(Value::Null, json!(1)), "field 'config' is missing"),
         (
             start(json!("x"), json!(1)),
-            "field 'config' has a wrong value: \"x\"",
+            "field 'config' has the invalid value \"x\"; expected a JSON object",
+        ),
+        (
+            start(json!({}), Value::Null),
+            "field 'salt' is missing or null; expected a whole number of at least 0",
         ),
-        (start(json!({}), Value::Null), "field 'salt' is missing"),
         (
             start(json!({"rules": {"cold_from": 21}}), json!(1)),
             "settings: rules.cold_from: 21 is not a ratio; expected a number from 0 to 1",
         ),
     ];
-    for (line, reason) in refused {
-        assert_eq!(refusal(line), reason);
+    for (line, reason) in invalid {
+        assert_eq!(error_text(line), reason);
     }
 }
