--- a/fault-injection/src/injector.rs
+++ b/fault-injection/src/injector.rs
@@ -1,6 +1,6 @@
-//! The test's side of fault injection: how the system calls of the processes that a test starts are made to fail.
+//! The test's side of fault injection: makes system calls fail in the processes that a test starts.
 //!
-//! Tests include this file by its path, as to link the library would put its system calls into the test itself.
+//! Tests include this file by its path. Linking the library would replace the system calls of the test itself too.
 
 mod layout;
 
@@ -13,8 +13,8 @@
 use std::path::PathBuf;
 use std::str::FromStr;
 
-/// The library's file name; the build leaves it beside the tests.
-const LIBRARY: &str = "libwellcrank_fault_injection.so";
+/// The library's file name. The build places the library in the folder of the test executables.
+const LIBRARY_FILE_NAME: &str = "libwellcrank_fault_injection.so";
 
 /// The size of one slot of the shared file.
 const SLOT_BYTES: usize = size_of::<i64>();
@@ -22,38 +22,40 @@
 const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
 
 /// Makes system calls fail in the processes that are started with its [`environment`](FaultInjector::environment). It
-/// owns the file that it shares with them, and removes it in the end.
+/// owns the file that it shares with them, and removes it when it is dropped.
 pub(crate) struct FaultInjector {
     path: PathBuf,
     file: File,
 }
 
 impl FaultInjector {
-    /// An injector that changes nothing yet; `name` is unique among those of this test process.
+    /// Returns an injector that injects no faults yet. `name` must be unique within this test process.
     ///
     /// # Panics
-    /// When the shared file can't be made.
+    /// If the shared file can't be created.
     pub(crate) fn create(name: &str) -> FaultInjector {
         let file_name = format!("wellcrank-{}-{name}.faults", std::process::id());
         let path = std::env::temp_dir().join(file_name);
-        std::fs::write(&path, [0; SLOT_COUNT * SLOT_BYTES]).expect("the shared file is made");
+        std::fs::write(&path, [0; SLOT_COUNT * SLOT_BYTES])
+            .expect("the shared file can be created");
         let file = File::options()
             .write(true)
             .open(&path)
-            .expect("the shared file opens");
+            .expect("the shared file can be opened");
         FaultInjector { path, file }
     }
 
-    /// The environment variables by which a process loads the library and finds the shared file.
+    /// Returns the environment variables with which a process loads the library and finds the shared file.
     ///
     /// # Panics
-    /// When the library is not beside the test.
+    /// If the library is not in the folder of the test executable.
     pub(crate) fn environment(&self) -> Vec<(String, OsString)> {
-        let test = std::env::current_exe().expect("a test has a path");
-        let library = test.with_file_name(LIBRARY);
+        let test_executable =
+            std::env::current_exe().expect("the path of the test executable is known");
+        let library = test_executable.with_file_name(LIBRARY_FILE_NAME);
         assert!(
             library.exists(),
-            "the build leaves the library beside the tests: {}",
+            "{} does not exist; the build places it in the folder of the test executables",
             library.display()
         );
         vec![
@@ -62,25 +64,25 @@
         ]
     }
 
-    /// Makes the next `count` calls fail with an error number.
+    /// Makes the next `count` calls of a system call fail with an error number (`errno`).
     pub(crate) fn fail_calls(&self, call: SystemCall, error_number: i32, count: i64) {
         self.set(Slot::ErrorNumber(call), i64::from(error_number));
         self.set(Slot::FailureCount(call), count);
     }
 
-    /// Lets each read and write move no more than `max_bytes`; 0: as many as it can.
+    /// Limits each read and write to `max_bytes` bytes; 0 means no limit.
     pub(crate) fn limit_transfers(&self, max_bytes: i64) {
         self.set(Slot::MaxReadBytes, max_bytes);
         self.set(Slot::MaxWriteBytes, max_bytes);
     }
 
-    /// Stalls the next `count` writes for so many milliseconds each.
+    /// Delays each of the next `count` writes by `milliseconds`.
     pub(crate) fn stall_writes(&self, milliseconds: i64, count: i64) {
         self.set(Slot::StallMilliseconds, milliseconds);
         self.set(Slot::StalledWrites, count);
     }
 
-    /// Sets the wall clock so many seconds ahead of the machine's, or behind it.
+    /// Sets the wall clock `seconds` ahead of the machine's clock, or behind it if negative.
     pub(crate) fn step_wall_clock(&self, seconds: i64) {
         self.set(Slot::WallClockOffset, seconds * NANOSECONDS_PER_SECOND);
     }
@@ -89,24 +91,28 @@
         let offset = slot.index() * SLOT_BYTES;
         self.file
             .write_all_at(&value.to_ne_bytes(), offset as u64)
-            .expect("the shared file takes a value");
+            .expect("the shared file can be written");
     }
 }
 
 impl Drop for FaultInjector {
     fn drop(&mut self) {
-        // A file that is left in the temporary folder does no harm.
+        // An error is ignored: a file that stays in the temporary folder does no harm.
         let _ = std::fs::remove_file(&self.path);
     }
 }
 
-/// No system call that can fail has this name.
+/// The name is not the name of a system call that can be made to fail.
 #[derive(Debug)]
 pub(crate) struct UnknownSystemCall(String);
 
 impl fmt::Display for UnknownSystemCall {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        write!(out, "no system call '{}' can be made to fail", self.0)
+        write!(
+            out,
+            "unknown system call '{}'; expected accept, socket, connect, register, wait, read or write",
+            self.0
+        )
     }
 }
 
@@ -115,7 +121,7 @@
 impl FromStr for SystemCall {
     type Err = UnknownSystemCall;
 
-    /// The system call that scenarios name so.
+    /// Returns the system call with this name in scenario files.
     fn from_str(name: &str) -> Result<SystemCall, UnknownSystemCall> {
         Ok(match name {
             "accept" => SystemCall::Accept,
--- a/fault-injection/src/layout.rs
+++ b/fault-injection/src/layout.rs
@@ -1,13 +1,13 @@
-//! The layout of the memory that a test shares with the processes into which it has loaded the library: a file of
-//! slots, each an `i64` in the machine's byte order. All zero, it changes nothing.
+//! The layout of the memory that a test shares with the processes that load the library: a file of slots, each an `i64`
+//! in the machine's byte order. If all slots are zero, no faults are injected.
 
-/// The environment variable that names the shared file.
+/// The environment variable that holds the path of the shared file.
 pub(crate) const FILE_VARIABLE: &str = "WELLCRANK_FAULT_INJECTION";
 
-/// How many slots there are.
+/// The number of slots in the shared file.
 pub(crate) const SLOT_COUNT: usize = 64;
 
-/// The first of the slots of system calls, of which each call has two.
+/// The index of the first slot for system calls. Each system call has two slots.
 const FIRST_CALL_SLOT: usize = 8;
 
 /// A system call that can be made to fail.
@@ -19,7 +19,8 @@
     Socket,
     /// connect(2).
     Connect,
-    /// epoll_ctl(2) that adds a descriptor. To change or remove one needs no memory, so these never fail.
+    /// epoll_ctl(2) that adds a descriptor. Changing or removing a descriptor needs no memory, so it is never made to
+    /// fail.
     PollAdd,
     /// epoll_wait(2).
     PollWait,
@@ -29,27 +30,27 @@
     Write,
 }
 
-/// What a slot holds.
+/// A slot, named after the value that it holds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Slot {
-    /// By how many nanoseconds the wall clock is ahead.
+    /// The offset of the wall clock from the machine's, in nanoseconds; negative if it is behind.
     WallClockOffset,
-    /// The most bytes that one read moves; 0: no limit.
+    /// The maximum number of bytes that one read returns; 0 means no limit.
     MaxReadBytes,
-    /// The most bytes that one write moves; 0: no limit.
+    /// The maximum number of bytes that one write sends; 0 means no limit.
     MaxWriteBytes,
-    /// How many of the next writes are stalled.
+    /// The number of next writes that are delayed.
     StalledWrites,
-    /// For how many milliseconds each of them is stalled.
+    /// The delay of each of these writes, in milliseconds.
     StallMilliseconds,
-    /// The error number with which a system call fails.
+    /// The error number (`errno`) with which a system call fails.
     ErrorNumber(SystemCall),
-    /// How many of the next calls fail with it.
+    /// The number of next calls of a system call that fail with its error number.
     FailureCount(SystemCall),
 }
 
 impl Slot {
-    /// Where the slot stands among all.
+    /// Returns the index of the slot in the shared file.
     pub(crate) fn index(self) -> usize {
         match self {
             Slot::WallClockOffset => 0,
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -1,10 +1,11 @@
-//! Fault injection for tests of the edge node. Loaded into a process by `LD_PRELOAD`, this library takes the place of
-//! the C library's functions for the network and the clocks, and makes them fail, move less or tell another time as the
-//! test says in [shared memory](shared_memory). All other calls go to the kernel unchanged.
+//! Fault injection for tests of the edge node. When it is loaded into a process with `LD_PRELOAD`, this library
+//! replaces functions of the C library for the network and the clock. Depending on the values that the test writes to
+//! [shared memory](shared_memory), these functions fail, transfer fewer bytes, are delayed or return a different time.
+//! Otherwise they pass the call to the kernel unchanged.
 
 #![allow(
     unsafe_code,
-    reason = "functions of the C library are replaced, and memory is shared with another process"
+    reason = "replaces functions of the C library and shares memory with another process"
 )]
 #![deny(unsafe_op_in_unsafe_fn)]
 
@@ -17,39 +18,41 @@
 
 const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
 
-/// Makes a system call, or fails as the test has said. To be used in functions whose callers keep the call's contract.
+/// Makes a system call, or returns -1 if the test has requested a failure. Must be used only in functions whose safety
+/// section requires the caller to keep the contract of the system call.
 macro_rules! call_or_fail {
     ($call:expr, $number:expr, $($argument:expr),*) => {
-        if fails($call) {
+        if inject_failure($call) {
             -1
         } else {
-            // SAFETY: the caller keeps the contract of the system call; its arguments go on as they are, or with a
-            // length that is shorter.
+            // SAFETY: the caller keeps the contract of the system call. The arguments are passed on unchanged, except
+            // that a length may be shorter.
             unsafe { libc::syscall($number, $($argument),*) as _ }
         }
     };
 }
 
-/// Whether this call is to fail; if so, the thread's error number is set.
-fn fails(call: SystemCall) -> bool {
+/// Returns whether this call must fail. If so, sets the thread's error number and uses up one of the requested
+/// failures.
+fn inject_failure(call: SystemCall) -> bool {
     if !shared_memory::decrement(Slot::FailureCount(call)) {
         return false;
     }
     let error_number = shared_memory::value(Slot::ErrorNumber(call)) as c_int;
-    // SAFETY: the C library gives the address of this thread's own error number, which is always valid.
+    // SAFETY: the C library returns the address of this thread's error number, which is always valid.
     unsafe { *libc::__errno_location() = error_number };
     true
 }
 
-/// The length of a transfer, cut to the limit that a slot holds.
-fn limited(length: size_t, limit: Slot) -> size_t {
+/// Returns the length of a transfer in bytes, reduced to the limit in a slot.
+fn limit_length(length: size_t, limit: Slot) -> size_t {
     match shared_memory::value(limit) {
         0 => length,
         max_bytes => length.min(max_bytes as size_t),
     }
 }
 
-/// Waits, if this write is to be stalled.
+/// Delays this write if the test has requested that.
 fn stall_write() {
     if shared_memory::decrement(Slot::StalledWrites) {
         let milliseconds = shared_memory::value(Slot::StallMilliseconds) as u64;
@@ -57,32 +60,33 @@
     }
 }
 
-/// Adds the offset of the wall clock to a time.
-fn step_wall_clock(time: &mut timespec) {
+/// Adds the wall clock's offset to a time.
+fn add_wall_clock_offset(time: &mut timespec) {
     let nanoseconds = time.tv_nsec + shared_memory::value(Slot::WallClockOffset);
     time.tv_sec += nanoseconds.div_euclid(NANOSECONDS_PER_SECOND);
     time.tv_nsec = nanoseconds.rem_euclid(NANOSECONDS_PER_SECOND);
 }
 
-/// Tells the time of a clock, the wall clock's with its offset.
+/// Returns the time of a clock, to which the offset is added if it is the wall clock.
 ///
 /// # Safety
-/// As clock_gettime(2).
+/// The caller keeps the contract of clock_gettime(2).
 #[no_mangle]
 unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     // SAFETY: the caller keeps the contract of the system call.
     let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) } as c_int;
     if result == 0 && clock == libc::CLOCK_REALTIME {
-        // SAFETY: the kernel has just written the time there, and the caller lends it until this function returns.
-        step_wall_clock(unsafe { &mut *time });
+        // SAFETY: the kernel has written the time to this address, and the caller keeps it valid until this function
+        // returns.
+        add_wall_clock_offset(unsafe { &mut *time });
     }
     result
 }
 
-/// Accepts a connection, or fails.
+/// Accepts a connection, unless the call must fail.
 ///
 /// # Safety
-/// As accept4(2).
+/// The caller keeps the contract of accept4(2).
 #[no_mangle]
 unsafe extern "C" fn accept4(
     listener: c_int,
@@ -100,19 +104,19 @@
     )
 }
 
-/// Makes a socket, or fails.
+/// Creates a socket, unless the call must fail.
 ///
 /// # Safety
-/// As socket(2).
+/// The caller keeps the contract of socket(2).
 #[no_mangle]
 unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     call_or_fail!(SystemCall::Socket, libc::SYS_socket, domain, kind, protocol)
 }
 
-/// Begins a connection, or fails.
+/// Starts to connect a socket, unless the call must fail.
 ///
 /// # Safety
-/// As connect(2).
+/// The caller keeps the contract of connect(2).
 #[no_mangle]
 unsafe extern "C" fn connect(
     socket: c_int,
@@ -128,10 +132,10 @@
     )
 }
 
-/// Changes what a poll waits for; to add a descriptor may fail.
+/// Changes the descriptors of an epoll instance. Only a call that adds a descriptor can be made to fail.
 ///
 /// # Safety
-/// As epoll_ctl(2).
+/// The caller keeps the contract of epoll_ctl(2).
 #[no_mangle]
 unsafe extern "C" fn epoll_ctl(
     poll: c_int,
@@ -153,10 +157,10 @@
     unsafe { libc::syscall(libc::SYS_epoll_ctl, poll, operation, descriptor, event) as c_int }
 }
 
-/// Waits for a poll's events, or fails.
+/// Waits for events of an epoll instance, unless the call must fail.
 ///
 /// # Safety
-/// As epoll_wait(2).
+/// The caller keeps the contract of epoll_wait(2).
 #[no_mangle]
 unsafe extern "C" fn epoll_wait(
     poll: c_int,
@@ -174,10 +178,10 @@
     )
 }
 
-/// Reads from a socket no more than the limit, or fails.
+/// Reads at most the limit of bytes from a socket, unless the call must fail.
 ///
 /// # Safety
-/// As recv(2).
+/// The caller keeps the contract of recv(2).
 #[no_mangle]
 unsafe extern "C" fn recv(
     socket: c_int,
@@ -191,17 +195,17 @@
         libc::SYS_recvfrom,
         socket,
         buffer,
-        limited(length, Slot::MaxReadBytes),
+        limit_length(length, Slot::MaxReadBytes),
         flags,
         no_address,
         no_address
     )
 }
 
-/// Writes to a socket no more than the limit, perhaps after a stall, or fails.
+/// Writes at most the limit of bytes to a socket, unless the call must fail. The write may be delayed first.
 ///
 /// # Safety
-/// As send(2).
+/// The caller keeps the contract of send(2).
 #[no_mangle]
 unsafe extern "C" fn send(
     socket: c_int,
@@ -216,7 +220,7 @@
         libc::SYS_sendto,
         socket,
         buffer,
-        limited(length, Slot::MaxWriteBytes),
+        limit_length(length, Slot::MaxWriteBytes),
         flags,
         no_address,
         0
--- a/fault-injection/src/shared_memory.rs
+++ b/fault-injection/src/shared_memory.rs
@@ -1,4 +1,4 @@
-//! The library's view of the memory that it shares with a test, which the [`layout`](crate::layout) describes.
+//! The library's access to the memory that it shares with a test. Its layout is described in [`layout`](crate::layout).
 
 use crate::layout::{Slot, FILE_VARIABLE, SLOT_COUNT};
 use std::fs::{File, OpenOptions};
@@ -8,12 +8,13 @@
 
 type Slots = [AtomicI64; SLOT_COUNT];
 
-/// The value of a slot; 0 where no memory is shared.
+/// Returns the value of a slot, or 0 if no memory is shared.
 pub(crate) fn value(slot: Slot) -> i64 {
     slots().map_or(0, |slots| slots[slot.index()].load(Ordering::Relaxed))
 }
 
-/// Takes one off a slot that is above zero; false if it was not.
+/// Decrements a slot whose value is above zero. Returns false, without a change, if the value is not above zero or no
+/// memory is shared.
 pub(crate) fn decrement(slot: Slot) -> bool {
     let one_less = |count: i64| (count > 0).then(|| count - 1);
     slots().is_some_and(|slots| {
@@ -23,7 +24,8 @@
     })
 }
 
-/// The shared memory, mapped at the first use; none if the environment names no file that can be mapped.
+/// Returns the shared memory, which is mapped at the first use, or `None` if the environment variable is not set or its
+/// file can't be mapped.
 fn slots() -> Option<&'static Slots> {
     static SLOTS: OnceLock<Option<&'static Slots>> = OnceLock::new();
     *SLOTS.get_or_init(|| {
@@ -34,7 +36,7 @@
 }
 
 fn map_slots(file: &File) -> Option<&'static Slots> {
-    // SAFETY: the kernel chooses an address that is free, so no memory of the process is replaced.
+    // SAFETY: the kernel chooses a free address, so no existing mapping of the process is replaced.
     let address = unsafe {
         libc::mmap(
             std::ptr::null_mut(),
@@ -48,7 +50,8 @@
     if address == libc::MAP_FAILED {
         return None;
     }
-    // SAFETY: the mapping is aligned to a page and never unmapped, the test has made the file as long as all slots, and
-    // any bytes are valid numbers. The test writes while the process reads, which is sound as all accesses are atomic.
+    // SAFETY: the mapping is aligned to a page and never unmapped, the test created the file with the size of all
+    // slots, and any bytes are valid integers. The test writes to the file while this process reads it, which is sound
+    // because this process accesses the slots only atomically.
     Some(unsafe { &*address.cast::<Slots>() })
 }
