--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -1,5 +1,6 @@
-//! Connections to endpoints: one upstream attempt at a time on each, the latest used first, closed before the endpoint
-//! would. Whether the last byte of a command was written decides if it may have run; nothing is sent again from here.
+//! The pool of connections to endpoints. A connection carries one upstream attempt at a time. The most recently used
+//! idle connection is reused first, and idle connections are closed before the endpoint would close them. A command may
+//! have run at the endpoint only if its last byte was written. The pool retries nothing.
 
 mod attempt;
 mod endpoint_table;
@@ -23,35 +24,36 @@
 use upstream_connection::{idle_lifetime, outcome_on_open_error, UpstreamConnection};
 use wellcrank::port::{AttemptNumber, AttemptOutcome, EndpointId, RequestId};
 
-/// A second response to an attempt may come some milliseconds behind the first: only a connection that has been idle
-/// for so long is used again. Trade-off: a busy gateway opens a few connections more.
+/// How long a connection must have been idle before it is reused. A faulty endpoint may send a second response to an
+/// attempt some milliseconds after the first, which must not be taken for the response to the next attempt. Trade-off:
+/// a busy gateway opens a few more connections.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
 
-/// A turn of the event loop that has gone on for so long has not seen which clients have left and which endpoints drain
-/// since: an attempt that is to begin is deferred until the poll has been asked again.
-const LONG_TURN: Duration = Duration::from_millis(50);
+/// In an event loop iteration that has run for longer than this, an attempt that is about to be written is deferred to
+/// the next iteration, because clients may have disconnected and endpoints may have begun to drain since the last poll.
+const MAX_ITERATION_BEFORE_DEFERRAL: Duration = Duration::from_millis(50);
 
-/// An attempt that is to be begun.
+/// The parameters of an attempt to start. Times are durations since the start of the gateway's clock.
 pub(crate) struct NewAttempt<'a> {
     pub(crate) request: &'a RequestId,
     pub(crate) number: AttemptNumber,
     pub(crate) endpoint: &'a EndpointId,
-    /// Until when its response is waited for.
+    /// The deadline for the whole response.
     pub(crate) deadline: Duration,
-    /// By when the whole command must have gone out.
+    /// The deadline for writing the whole command.
     pub(crate) send_by: Duration,
 }
 
-/// All connections to endpoints and the attempts that they carry.
+/// All connections to endpoints, with the attempts that they carry.
 #[derive(Default)]
 pub(crate) struct Pool {
     connections: Slab<UpstreamConnection>,
     endpoints: EndpointTable,
-    /// The connection that carries each attempt.
+    /// The key of the connection that carries each attempt.
     in_flight: BTreeMap<(RequestId, AttemptNumber), usize>,
 }
 
-/// Gives a value to the client that asked for it, if it still waits.
+/// Sends an endpoint's value to the client, unless its request is closed or already answered.
 fn serve_client(
     reactor: &mut Reactor,
     request: &RequestId,
@@ -67,12 +69,12 @@
 }
 
 impl Pool {
-    /// How many connections are open.
+    /// The number of open connections, idle and busy.
     pub(crate) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Reports that an attempt was not begun.
+    /// Reports to the controller that an attempt was not sent.
     pub(crate) fn report_not_sent(
         &mut self,
         reactor: &mut Reactor,
@@ -83,13 +85,13 @@
         report_end(reactor, request.clone(), number, result);
     }
 
-    /// Makes an update of the endpoint list one that the controller and the pool can follow.
+    /// Resolves unreadable entries of an update with what the pool knows, see [`EndpointTable::complete_update`].
     pub(crate) fn complete_update(&self, update: &mut ParsedUpdate) {
         self.endpoints.complete_update(update);
     }
 
-    /// Discovery has told: addresses are known, and what has not begun at an endpoint that drains or is gone is not
-    /// begun any more.
+    /// Applies an update of the endpoint list. Closes the idle connections that it makes unusable, and fails attempts
+    /// that have written nothing to an endpoint that now drains or was removed.
     pub(crate) fn apply_update(
         &mut self,
         reactor: &mut Reactor,
@@ -97,10 +99,10 @@
         entries: Vec<ListedEndpoint>,
     ) {
         let mut closing = self.endpoints.apply_update(is_snapshot, entries);
-        let unbegun = self.connections.iter().filter(|(_, connection)| {
-            connection.has_unbegun_attempt() && !self.endpoints.is_ready(&connection.endpoint)
+        let unwritten = self.connections.iter().filter(|(_, connection)| {
+            connection.has_unwritten_attempt() && !self.endpoints.is_ready(&connection.endpoint)
         });
-        closing.extend(unbegun.map(|(key, _)| key));
+        closing.extend(unwritten.map(|(key, _)| key));
         for key in closing {
             self.fail_connection(reactor, key);
         }
@@ -112,10 +114,11 @@
         self.endpoints.forget_unconnected(&connected);
     }
 
-    /// Begins an upstream attempt. The one place every send passes: its end is reported in any case.
+    /// Starts an upstream attempt on an idle or new connection. All attempts start here; the end of each is reported to
+    /// the controller, also where no connection could be opened.
     pub(crate) fn send(&mut self, reactor: &mut Reactor, attempt: &NewAttempt) {
         match self.connection_to(reactor, attempt.endpoint) {
-            Ok(key) => self.assign(reactor, key, attempt),
+            Ok(key) => self.assign_attempt(reactor, key, attempt),
             Err(outcome) => {
                 let result = result_without_response(outcome, Duration::ZERO);
                 report_end(reactor, attempt.request.clone(), attempt.number, result);
@@ -123,7 +126,8 @@
         }
     }
 
-    /// A connection that carries nothing: the latest used idle one, or a new one.
+    /// Returns a connection without an attempt: the most recently used idle one that is reusable, or else a new one. Where
+    /// the budget is used up, the connection that has been idle longest is closed for it.
     fn connection_to(
         &mut self,
         reactor: &mut Reactor,
@@ -165,21 +169,22 @@
         Ok(self.connections.insert(connection))
     }
 
-    /// Has a connection carry an attempt; its command is written when the turn ends and the connection is up.
-    fn assign(&mut self, reactor: &mut Reactor, key: usize, new: &NewAttempt) {
+    /// Assigns an attempt to a connection. The command is written at the end of an event loop iteration, once the
+    /// connection is established.
+    fn assign_attempt(&mut self, reactor: &mut Reactor, key: usize, new: &NewAttempt) {
         let connection = &mut self.connections[key];
         invariant!(
             reactor,
             connection.attempt.is_none(),
-            "one upstream attempt on a connection"
+            "a connection carries at most one upstream attempt"
         );
         connection.stream.schedule_flush(reactor);
-        let connected_by = if connection.stream.is_connected {
+        let connect_deadline = if connection.stream.is_connected {
             new.deadline
         } else {
             reactor.now + reactor.connect_timeout()
         };
-        let first_deadline = new.deadline.min(new.send_by).min(connected_by);
+        let first_deadline = new.deadline.min(new.send_by).min(connect_deadline);
         let timer = reactor.set_deadline(first_deadline, connection.timer(key));
         connection.attempt = Some(Attempt {
             request: new.request.clone(),
@@ -194,9 +199,9 @@
             .insert((new.request.clone(), new.number), key);
     }
 
-    /// The connection to an endpoint that was idle for the shortest time, but for `MIN_IDLE_BEFORE_REUSE` at least, and
-    /// not for as long as the endpoint may keep it open. One on which anything has come since its last response, or that
-    /// has ended, is no longer of use: what came would serve the next attempt.
+    /// Takes the most recently used idle connection to an endpoint that has been idle for at least
+    /// `MIN_IDLE_BEFORE_REUSE`. Closes candidates that have exceeded their idle lifetime, that the endpoint has closed, or
+    /// that have received bytes since their last response: these would be taken for the response to the next attempt.
     fn reuse_idle_connection(
         &mut self,
         reactor: &mut Reactor,
@@ -222,7 +227,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    /// Closes the connection that has been idle longest. Returns whether there was an idle one.
     fn evict_idle_connection(&mut self, reactor: &mut Reactor) -> bool {
         let longest_idle = self
             .endpoints
@@ -235,7 +240,7 @@
         longest_idle.is_some()
     }
 
-    /// Gives an upstream attempt up, by closing its connection.
+    /// Cancels an upstream attempt by closing its connection. Does nothing if the attempt has ended.
     pub(crate) fn cancel(
         &mut self,
         reactor: &mut Reactor,
@@ -243,11 +248,12 @@
         number: AttemptNumber,
     ) {
         if let Some(key) = self.in_flight.get(&(request.clone(), number)).copied() {
-            self.end_with(reactor, key, Attempt::outcome_on_cancel);
+            self.end_attempt_and_close(reactor, key, Attempt::outcome_on_cancel);
         }
     }
 
-    /// The time of an attempt is up, or that to connect for it, or that for its command to go out.
+    /// Handles a timer of an attempt: for its response, for writing its command or for establishing its connection. A
+    /// timer of a connection that is closed by now, whose key may be in use again, has no effect.
     pub(crate) fn on_timeout(&mut self, reactor: &mut Reactor, key: usize, serial: Serial) {
         let Some(connection) = self
             .connections
@@ -263,15 +269,17 @@
         };
         let deadline = attempt.current_deadline();
         if !is_connected || reactor.now >= deadline {
-            return self.end_with(reactor, key, |ended| ended.outcome_on_timeout(is_connected));
+            return self.end_attempt_and_close(reactor, key, |ended| {
+                ended.outcome_on_timeout(is_connected)
+            });
         }
         if attempt.state == AttemptState::ReadingResponse {
-            return self.end_malformed(reactor, key);
+            return self.fail_malformed_response(reactor, key);
         }
         attempt.timer = reactor.set_deadline(deadline, timer);
     }
 
-    /// The poll tells of a connection.
+    /// Handles a readiness event of a connection.
     pub(crate) fn on_ready(
         &mut self,
         reactor: &mut Reactor,
@@ -283,9 +291,9 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let wants_to_write =
-            connection.has_unbegun_attempt() || connection.stream.pending_bytes() > 0;
-        if readiness.is_writable() && wants_to_write {
+        let has_output =
+            connection.has_unwritten_attempt() || connection.stream.pending_bytes() > 0;
+        if readiness.is_writable() && has_output {
             if connection.stream.check_connected().is_err() {
                 return self.fail_connection(reactor, key);
             }
@@ -296,7 +304,7 @@
         }
     }
 
-    /// Reads what has come on a connection, if it is still there.
+    /// Reads from a connection, if it is still open, and handles the input.
     fn read_response(
         &mut self,
         reactor: &mut Reactor,
@@ -309,19 +317,19 @@
         };
         connection.stream.read_would_block = false;
         let is_open = connection.stream.read(reactor, resp::MAX_MESSAGE);
-        let exceeds_a_response = !connection.stream.read_would_block;
+        let exceeds_max_response = !connection.stream.read_would_block;
         self.handle_input(reactor, key, requests, clients);
         if !self.connections.contains(key) {
             return;
         }
         if !is_open {
             self.fail_connection(reactor, key);
-        } else if exceeds_a_response {
-            self.end_malformed(reactor, key);
+        } else if exceeds_max_response {
+            self.fail_malformed_response(reactor, key);
         }
     }
 
-    /// Hands a whole response to the attempt that waits for it.
+    /// Parses the input of a connection and ends its attempt once the response is complete.
     fn handle_input(
         &mut self,
         reactor: &mut Reactor,
@@ -333,7 +341,7 @@
         if connection.stream.input.is_empty() {
             return;
         }
-        // What comes before the command has gone out is no response to it.
+        // Input that arrives before the whole command was written can't be the response to it.
         let Some(attempt) = connection
             .attempt
             .as_ref()
@@ -344,7 +352,7 @@
         let (reply, length) = match resp::parse_reply(&connection.stream.input) {
             Ok(Some(parsed)) => parsed,
             Ok(None) => return connection.await_rest_of_response(reactor, key),
-            Err(_) => return self.end_malformed(reactor, key),
+            Err(_) => return self.fail_malformed_response(reactor, key),
         };
         if let Reply::Value { value, .. } = &reply {
             serve_client(reactor, &attempt.request, value, requests, clients);
@@ -358,8 +366,8 @@
         self.recycle(reactor, key, length);
     }
 
-    /// Takes a whole response off a connection's input, and keeps the connection for the next attempt if it can carry
-    /// one.
+    /// Removes a complete response from a connection's input. Keeps the connection as idle if its endpoint may get further
+    /// attempts and no other input is left; closes it otherwise.
     fn recycle(&mut self, reactor: &mut Reactor, key: usize, response_length: usize) {
         let connection = &mut self.connections[key];
         connection.stream.consume(reactor, response_length);
@@ -373,16 +381,16 @@
         }
     }
 
-    /// Writes what it can of a command.
+    /// Writes as much of the attempt's command as the socket accepts.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
-        let Some(is_unbegun) = self
+        let Some(is_unwritten) = self
             .connections
             .get(key)
-            .map(UpstreamConnection::has_unbegun_attempt)
+            .map(UpstreamConnection::has_unwritten_attempt)
         else {
             return;
         };
-        if is_unbegun && !self.begin_attempt(reactor, key, requests) {
+        if is_unwritten && !self.queue_command(reactor, key, requests) {
             return;
         }
         let connection = &mut self.connections[key];
@@ -397,10 +405,11 @@
         }
     }
 
-    /// Queues the command of an attempt of which nothing has gone out, perhaps long after it was decided, since its
-    /// connection had to come up: the terms under which it was decided must hold still. Returns whether there is
-    /// anything to write now.
-    fn begin_attempt(
+    /// Queues the command of an attempt that has written nothing so far. The controller may have decided on the attempt
+    /// long ago, before the connection was established, so this checks again that the client still waits, that the
+    /// endpoint may get attempts and that the deadline has not passed; otherwise the attempt ends as not sent. Returns
+    /// whether there is anything to write now.
+    fn queue_command(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
@@ -413,10 +422,12 @@
         if !connection.stream.is_connected {
             return false;
         }
-        // The turn may have been long: the remaining time is reckoned by the clock, not by the turn, and what has
-        // happened since is met first, once.
+        // The iteration may have started long ago, so the remaining time is computed from the clock. Events that came
+        // since the poll are handled first, but an attempt is deferred only once.
         let now = reactor.clock.now();
-        if now > reactor.polled_at + LONG_TURN && attempt.state != AttemptState::Deferred {
+        if now > reactor.polled_at + MAX_ITERATION_BEFORE_DEFERRAL
+            && attempt.state != AttemptState::Deferred
+        {
             attempt.state = AttemptState::Deferred;
             reactor.defer_flush(Component::Upstream.token(key));
             return false;
@@ -431,7 +442,7 @@
             .filter(|open| open.is_wanted() && is_usable && is_in_time);
         let Some(open) = open else {
             reactor.metrics.lapsed_attempts += 1;
-            self.end_with(reactor, key, |_| AttemptOutcome::NotSent);
+            self.end_attempt_and_close(reactor, key, |_| AttemptOutcome::NotSent);
             return false;
         };
         let timeout = advertised_timeout(attempt.deadline - now);
@@ -442,19 +453,19 @@
         true
     }
 
-    /// What has come can't be read: an error of the endpoint's, after the command may have run.
-    fn end_malformed(&mut self, reactor: &mut Reactor, key: usize) {
+    /// Ends an attempt whose response is malformed, incomplete or too long, as a server error: the command may have run.
+    fn fail_malformed_response(&mut self, reactor: &mut Reactor, key: usize) {
         reactor.metrics.malformed_responses += 1;
-        self.end_with(reactor, key, |_| AttemptOutcome::ServerError);
+        self.end_attempt_and_close(reactor, key, |_| AttemptOutcome::ServerError);
     }
 
-    /// The connection broke, ended or never came up.
+    /// Handles a connection that broke, was closed by the endpoint or was never established.
     fn fail_connection(&mut self, reactor: &mut Reactor, key: usize) {
-        self.end_with(reactor, key, Attempt::outcome_on_disconnect);
+        self.end_attempt_and_close(reactor, key, Attempt::outcome_on_disconnect);
     }
 
-    /// Ends the attempt that a connection carries, if any, and the connection with it.
-    fn end_with(
+    /// Ends the attempt on a connection, if any, with the outcome that `outcome` returns for it, and closes the connection.
+    fn end_attempt_and_close(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
@@ -468,7 +479,7 @@
         self.close(reactor, key);
     }
 
-    /// The attempt is no longer in flight.
+    /// Removes the attempt from its connection and from those in flight, and cancels its timer.
     fn detach_attempt(&mut self, reactor: &mut Reactor, key: usize) -> Option<Attempt> {
         let attempt = self.connections[key].attempt.take()?;
         reactor.cancel_deadline(attempt.timer);
@@ -482,7 +493,7 @@
         invariant!(
             reactor,
             connection.attempt.is_none(),
-            "an attempt's end is reported before its connection closes"
+            "a connection is closed only after the end of its attempt was reported"
         );
         if let Some(known) = self.endpoints.get_mut(&connection.endpoint) {
             known.idle.retain(|other| *other != key);
@@ -490,7 +501,7 @@
         connection.stream.close(reactor);
     }
 
-    /// Closes the connections to an endpoint that carry nothing.
+    /// Closes the idle connections to an endpoint.
     pub(crate) fn close_idle_connections(&mut self, reactor: &mut Reactor, endpoint: &EndpointId) {
         let idle = self
             .endpoints
@@ -501,7 +512,7 @@
         }
     }
 
-    /// Closes what has been idle for long, before the endpoint would.
+    /// Closes the connections that have reached their idle lifetime, before the endpoint would.
     pub(crate) fn close_expired_connections(&mut self, reactor: &mut Reactor) {
         let Some(lifetime) = idle_lifetime(reactor) else {
             return;
--- a/edge/src/pool/attempt.rs
+++ b/edge/src/pool/attempt.rs
@@ -1,4 +1,4 @@
-//! One upstream attempt: how far it has come, until when it may go on, and how it ends in which state.
+//! One upstream attempt: its state, its deadlines, and the outcome with which it ends in each state.
 
 use crate::deadlines::DeadlineId;
 use crate::notification::Notification;
@@ -7,33 +7,33 @@
 use std::time::Duration;
 use wellcrank::port::{AttemptNumber, AttemptOutcome, AttemptResult, RequestId};
 
-/// The most of a client's time that may have passed before its command was read; where little is left, a quarter of
-/// that is assumed instead.
-const MAX_UNSEEN_TIME: Duration = Duration::from_millis(50);
+/// The longest part of a client's timeout that may have passed unnoticed, before the gateway read the command and before
+/// it writes the command to the endpoint. At most a quarter of the remaining time is assumed to have passed.
+const MAX_UNOBSERVED_TIME: Duration = Duration::from_millis(50);
 
-/// How far an attempt has come. An attempt that has not begun can be given up without a trace; one that has begun but
-/// was not sent whole can't have run; one that was sent whole may have run.
+/// The state of an attempt. It tells whether the endpoint may have run the command: only if all of it was written. While
+/// nothing was written, an attempt can be abandoned without the endpoint having seen anything of it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum AttemptState {
-    /// Not one byte has gone out: the connection is not up yet, or it has taken nothing so far.
+    /// No byte was written: the connection is not established yet, or the socket has accepted nothing so far.
     Queued,
-    /// As `Queued`; its beginning was deferred, once, until the poll had been asked again.
+    /// As `Queued`, but the attempt was deferred once to the next event loop iteration.
     Deferred,
-    /// A part of the command has gone out.
+    /// A part of the command was written.
     Writing,
-    /// The whole command has gone out.
+    /// The whole command was written, and no byte of the response has arrived.
     AwaitingResponse,
-    /// A part of the response has come as well; the rest must follow soon.
+    /// A part of the response has arrived; the rest must follow within the connect timeout.
     ReadingResponse,
 }
 
 impl AttemptState {
-    /// Whether any byte of the command has gone out.
-    pub(super) fn has_begun(self) -> bool {
+    /// Whether any byte of the command was written.
+    pub(super) fn has_written(self) -> bool {
         !matches!(self, AttemptState::Queued | AttemptState::Deferred)
     }
 
-    /// Whether the whole command has gone out, so that the endpoint may have run it.
+    /// Whether the whole command was written, so that the endpoint may have run it.
     pub(super) fn is_sent(self) -> bool {
         matches!(
             self,
@@ -41,7 +41,8 @@
         )
     }
 
-    /// The state after a write which did or did not get bytes out and left so many.
+    /// The state after a write. `has_progressed`: the socket accepted some bytes; `pending_bytes`: the number of bytes
+    /// still to be written.
     pub(super) fn after_write(self, has_progressed: bool, pending_bytes: usize) -> AttemptState {
         match self {
             AttemptState::Queued | AttemptState::Deferred if !has_progressed => self,
@@ -57,23 +58,24 @@
     }
 }
 
-/// The attempt that a connection carries.
+/// An attempt on a connection. Times are durations since the start of the gateway's clock.
 pub(super) struct Attempt {
     pub(super) request: RequestId,
     pub(super) number: AttemptNumber,
-    /// When the controller asked for it; its latency is counted from here.
+    /// When the controller started the attempt. Its latency is measured from here.
     pub(super) started_at: Duration,
-    /// Until when its response is waited for.
+    /// The deadline for the whole response.
     pub(super) deadline: Duration,
-    /// By when the whole command must have gone out.
+    /// The deadline for writing the whole command.
     pub(super) send_by: Duration,
-    /// The timer that is set for it.
+    /// The timer for the current state.
     pub(super) timer: DeadlineId,
     pub(super) state: AttemptState,
 }
 
 impl Attempt {
-    /// Until when the attempt may stay as it is.
+    /// The deadline for leaving the current state: `deadline` once the command is written, before that the earlier of
+    /// `deadline` and `send_by`.
     pub(super) fn current_deadline(&self) -> Duration {
         if self.state.is_sent() {
             self.deadline
@@ -82,18 +84,18 @@
         }
     }
 
-    /// How it ends when its time is up.
+    /// The outcome when the current deadline passes; `is_connected`: its connection is established.
     pub(super) fn outcome_on_timeout(&self, is_connected: bool) -> AttemptOutcome {
         if self.state.is_sent() {
             AttemptOutcome::TimedOut
-        } else if is_connected && !self.state.has_begun() {
+        } else if is_connected && !self.state.has_written() {
             AttemptOutcome::NotSent
         } else {
             AttemptOutcome::ConnectFailed
         }
     }
 
-    /// How it ends when its connection breaks, ends or never comes up.
+    /// The outcome when its connection breaks, is closed by the endpoint or is never established.
     pub(super) fn outcome_on_disconnect(&self) -> AttemptOutcome {
         if self.state.is_sent() {
             AttemptOutcome::Reset
@@ -102,9 +104,9 @@
         }
     }
 
-    /// How it ends when the controller cancels it.
+    /// The outcome when the controller cancels the attempt.
     pub(super) fn outcome_on_cancel(&self) -> AttemptOutcome {
-        if self.state.has_begun() {
+        if self.state.has_written() {
             AttemptOutcome::Cancelled
         } else {
             AttemptOutcome::NotSent
@@ -112,10 +114,11 @@
     }
 }
 
-/// The timeout that a command states to the endpoint, where so much of the request's time remains. The client's clock
-/// began before its command was read, and the gateway may stall once more before the command goes out.
+/// The timeout to state in the command to the endpoint, given the time that remains of the attempt. It is shorter than
+/// that, since the client's timeout started before the gateway read its command, and since the gateway may stall once
+/// more before the command is written.
 pub(super) fn advertised_timeout(remaining_time: Duration) -> Duration {
-    remaining_time - MAX_UNSEEN_TIME.min(remaining_time / 4)
+    remaining_time - MAX_UNOBSERVED_TIME.min(remaining_time / 4)
 }
 
 /// The result of an attempt that ended without a response.
@@ -129,7 +132,7 @@
     }
 }
 
-/// Reports the end of an attempt to the controller.
+/// Queues the end of an attempt for the controller.
 pub(super) fn report_end(
     reactor: &mut Reactor,
     request: RequestId,
--- a/edge/src/pool/attempt/tests.rs
+++ b/edge/src/pool/attempt/tests.rs
@@ -3,14 +3,14 @@
 use crate::deadlines::{Deadline, DeadlineQueue};
 use wellcrank::port::TICK_TIMER;
 
-/// The id of a deadline that no queue holds any more.
+/// The id of a deadline whose queue is gone, for attempts whose timer does not matter.
 fn unset_timer() -> DeadlineId {
     DeadlineQueue::default().set(Duration::ZERO, 0, Deadline::ControllerTimer(TICK_TIMER))
 }
 
 #[test]
-fn a_write_moves_an_attempt_on_by_what_went_out_and_what_is_left() {
-    // The state before, whether bytes went out, how many are left, the state after.
+fn the_state_after_a_write_depends_on_progress_and_pending_bytes() {
+    // The state before, whether bytes were written, the number of pending bytes, the state after.
     let cases = [
         (Queued, false, 100, Queued),
         (Queued, true, 40, Writing),
@@ -36,7 +36,8 @@
 #[test]
 fn the_state_of_an_attempt_decides_how_it_ends() {
     use AttemptOutcome::{Cancelled, ConnectFailed, NotSent, Reset, TimedOut};
-    // The state, and its outcome on a timeout before and after the connection came up, on a disconnect, on a cancel.
+    // The state, and its outcomes: on a timeout without and with an established connection, on a disconnect, on a
+    // cancellation.
     let cases = [
         (Queued, ConnectFailed, NotSent, ConnectFailed, NotSent),
         (Deferred, ConnectFailed, NotSent, ConnectFailed, NotSent),
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn the_advertised_timeout_leaves_out_at_most_a_quarter_of_the_remaining_time() {
+fn the_advertised_timeout_is_shorter_by_50_ms_or_a_quarter_of_the_remaining_time() {
     let cases = [(1000, 950), (200, 150), (100, 75), (0, 0)];
     for (remaining, advertised) in cases {
         assert_eq!(
--- a/edge/src/pool/endpoint_table.rs
+++ b/edge/src/pool/endpoint_table.rs
@@ -1,5 +1,5 @@
-//! The endpoints that discovery has named: their addresses, whether they may get further attempts, and which
-//! connections to each are idle.
+//! The endpoints that discovery has listed: their addresses, whether they may get further attempts, and the idle
+//! connections to each.
 
 use crate::discovery::{ListedEndpoint, ParsedUpdate};
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,24 +10,26 @@
 pub(super) struct KnownEndpoint {
     pub(super) address: SocketAddr,
     started_at: Option<UnixTime>,
-    /// Counts its starts and moves: a connection belongs to one incarnation of the endpoint.
+    /// Incremented when the endpoint's start time or address changes. A connection belongs to one incarnation.
     pub(super) incarnation: u32,
+    /// Whether the endpoint may get further attempts.
     ready: bool,
-    /// Keys of connections that carry nothing, the latest used last.
+    /// The keys of its idle connections, the most recently used last.
     pub(super) idle: Vec<usize>,
 }
 
-/// All known endpoints. One that was removed stays as long as connections to it are open.
+/// All known endpoints. A removed endpoint stays in the table as long as connections to it are open.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     known: BTreeMap<EndpointId, KnownEndpoint>,
-    /// Those of them that are to get no further attempts.
+    /// The known endpoints that get no further attempts: draining or removed.
     unready: BTreeSet<EndpointId>,
 }
 
 impl EndpointTable {
-    /// An endpoint without an address that can be read keeps the one it has; one that never had one is left out. Where
-    /// entries of a whole list can't be read, their endpoints stay as they are, so the list becomes a delta.
+    /// Resolves the unreadable parts of an update. A listed endpoint without a readable address keeps the address that is
+    /// known, and is dropped from the update if none is known. Endpoints whose entries in a snapshot are unreadable keep
+    /// their state; for that, the snapshot is turned into a delta that removes the known endpoints which it does not list.
     pub(super) fn complete_update(&self, update: &mut ParsedUpdate) {
         update.endpoints.retain(|listed| {
             listed.address.is_some() || self.known.contains_key(&listed.endpoint.id)
@@ -35,7 +37,7 @@
         if !update.is_snapshot || update.unreadable_endpoints.is_empty() {
             return;
         }
-        let named: BTreeSet<&EndpointId> = update
+        let listed_ids: BTreeSet<&EndpointId> = update
             .endpoints
             .iter()
             .map(|listed| &listed.endpoint.id)
@@ -44,7 +46,7 @@
         let missing: Vec<EndpointId> = self
             .known
             .keys()
-            .filter(|id| !named.contains(id))
+            .filter(|id| !listed_ids.contains(id))
             .cloned()
             .collect();
         update.is_snapshot = false;
@@ -56,8 +58,8 @@
             }));
     }
 
-    /// Takes an update over. Returns the idle connections that are of no further use: those to former incarnations,
-    /// and those to endpoints that are to get no further attempts.
+    /// Applies an update. Returns the keys of the idle connections that are no longer usable: those to former incarnations
+    /// and those to endpoints that get no further attempts.
     pub(super) fn apply_update(
         &mut self,
         is_snapshot: bool,
@@ -65,23 +67,23 @@
     ) -> Vec<usize> {
         let mut unusable = Vec::new();
         if is_snapshot {
-            self.mark_unnamed(&entries);
+            self.mark_unlisted(&entries);
         }
         for listed in entries {
             self.apply_entry(listed.endpoint, listed.address, &mut unusable);
         }
-        // Thousands of endpoints are not looked through for a change of one.
-        let leaving = self.unready.iter().map(|id| &self.known[id]);
-        unusable.extend(leaving.flat_map(|known| known.idle.iter().copied()));
+        // Only the endpoints that are not ready are scanned, since there may be thousands of others.
+        let unready = self.unready.iter().map(|id| &self.known[id]);
+        unusable.extend(unready.flat_map(|known| known.idle.iter().copied()));
         unusable
     }
 
-    /// What a whole list does not name is to get no further attempts.
-    fn mark_unnamed(&mut self, entries: &[ListedEndpoint]) {
-        let named: BTreeSet<&EndpointId> =
+    /// Marks the endpoints that a snapshot does not list as not ready.
+    fn mark_unlisted(&mut self, entries: &[ListedEndpoint]) {
+        let listed_ids: BTreeSet<&EndpointId> =
             entries.iter().map(|listed| &listed.endpoint.id).collect();
         for (id, known) in &mut self.known {
-            known.ready &= named.contains(id);
+            known.ready &= listed_ids.contains(id);
         }
         let unready = self.known.iter().filter(|(_, known)| !known.ready);
         self.unready = unready.map(|(id, _)| id.clone()).collect();
@@ -102,7 +104,7 @@
         }
         if let Some(known) = self.known.get_mut(&entry.id) {
             let address = address.unwrap_or(known.address);
-            // A machine that was silent may be back without having ended its old connections.
+            // A machine that was unreachable may return without having closed its old connections.
             if (address, entry.started_at) != (known.address, known.started_at) {
                 known.incarnation += 1;
                 unusable.append(&mut known.idle);
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Forgets endpoints that are to get no further attempts and to which no connection is open.
+    /// Removes the endpoints that get no further attempts and to which no connection is open.
     pub(super) fn forget_unconnected(&mut self, connected: &BTreeSet<&EndpointId>) {
         let known = &mut self.known;
         self.unready.retain(|id| {
@@ -143,7 +145,8 @@
         self.known.get_mut(id)
     }
 
-    /// The endpoint, if it may get further attempts on connections to this incarnation.
+    /// Returns the endpoint if it is ready and `incarnation` is its current one, so that connections to that incarnation
+    /// may carry further attempts.
     pub(super) fn usable(
         &mut self,
         id: &EndpointId,
--- a/edge/src/pool/response.rs
+++ b/edge/src/pool/response.rs
@@ -1,4 +1,5 @@
-//! What a whole response of an endpoint says: the outcome of its attempt, the units it took, the endpoint's load.
+//! Translates a complete response of an endpoint into the result of an attempt: its outcome, the units that the request
+//! used and the endpoint's load.
 
 use crate::invariants::invariant;
 use crate::reactor::Reactor;
@@ -8,10 +9,10 @@
 use std::time::Duration;
 use wellcrank::port::{AttemptOutcome, AttemptResult};
 
-/// The name under which a response states the units that it took.
+/// The name in a response's usage list of the units that the request used.
 const SETTLED_UNITS: &str = "cost";
 
-/// The result of an attempt that was answered after `latency`.
+/// The result of an attempt whose response `reply` came after `latency`.
 pub(super) fn attempt_result(
     reactor: &mut Reactor,
     reply: &Reply,
@@ -19,15 +20,16 @@
 ) -> AttemptResult {
     let (outcome, settled_units, load) = match reply {
         Reply::Value { usage, load, .. } => {
-            let most = max_request_units(&reactor.settings);
-            (AttemptOutcome::Success, settled_units(usage, most), load)
+            let max_units = max_request_units(&reactor.settings);
+            let units = settled_units(usage, max_units);
+            (AttemptOutcome::Success, units, load)
         }
         Reply::Busy { load } => (AttemptOutcome::Rejected, None, load),
         Reply::Failed { text, load } => {
             invariant!(
                 reactor,
                 !text.starts_with("SYNTAX"),
-                "an endpoint knows the commands it is sent"
+                "endpoints accept the syntax of the commands sent to them"
             );
             (AttemptOutcome::ServerError, None, load)
         }
@@ -41,14 +43,14 @@
     }
 }
 
-/// The units that a response says it took, where it states a possible number of them.
-fn settled_units(usage: &str, most: f64) -> Option<f64> {
+/// The units that a usage list states, if they are above zero and at most `max_units`.
+fn settled_units(usage: &str, max_units: f64) -> Option<f64> {
     let (_, text) = resp::parse_pairs(usage).find(|(name, _)| *name == SETTLED_UNITS)?;
     let units: f64 = text.parse().ok()?;
-    (units > 0.0 && units <= most).then_some(units)
+    (units > 0.0 && units <= max_units).then_some(units)
 }
 
-/// The usage of a load report that can be read.
+/// The figures of a load report, without those that are not finite numbers.
 fn load_figures(load: &str) -> BTreeMap<String, f64> {
     resp::parse_pairs(load)
         .filter_map(|(name, text)| {
--- a/edge/src/pool/upstream_connection.rs
+++ b/edge/src/pool/upstream_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint, and for how long it is of use.
+//! One connection to an endpoint, and how long it may be reused.
 
 use super::attempt::{Attempt, AttemptState};
 use crate::deadlines::Deadline;
@@ -12,24 +12,24 @@
 pub(super) struct UpstreamConnection {
     pub(super) stream: BufferedStream,
     pub(super) endpoint: EndpointId,
-    /// The endpoint's incarnation that it was opened to.
+    /// The incarnation of the endpoint for which it was opened.
     pub(super) incarnation: u32,
-    /// Tells it from others that had the same key before.
+    /// Distinguishes the connection from earlier ones with the same key.
     pub(super) serial: Serial,
     pub(super) attempt: Option<Attempt>,
-    /// When it was opened or its last response came.
+    /// When it was opened or its last response was complete, since the start of the gateway's clock.
     pub(super) last_used: Duration,
 }
 
 impl UpstreamConnection {
-    /// Whether it carries an attempt of which nothing has gone out.
-    pub(super) fn has_unbegun_attempt(&self) -> bool {
+    /// Whether it carries an attempt that has written nothing.
+    pub(super) fn has_unwritten_attempt(&self) -> bool {
         self.attempt
             .as_ref()
-            .is_some_and(|attempt| !attempt.state.has_begun())
+            .is_some_and(|attempt| !attempt.state.has_written())
     }
 
-    /// The timer of the attempt that it carries.
+    /// The deadline to set for its attempt; `key` is the connection's key in the pool.
     pub(super) fn timer(&self, key: usize) -> Deadline {
         Deadline::Attempt {
             key,
@@ -37,8 +37,8 @@
         }
     }
 
-    /// The first part of a response has come: the rest must follow within the time that a connection may take to come
-    /// up.
+    /// Records that a part of a response has arrived. The rest must follow within the connect timeout and before the
+    /// attempt's deadline.
     pub(super) fn await_rest_of_response(&mut self, reactor: &mut Reactor, key: usize) {
         let timer = self.timer(key);
         let Some(attempt) = &mut self.attempt else {
@@ -49,23 +49,24 @@
         }
         attempt.state = AttemptState::ReadingResponse;
         reactor.cancel_deadline(attempt.timer);
-        let rest_by = attempt
+        let rest_deadline = attempt
             .deadline
             .min(reactor.now + reactor.connect_timeout());
-        attempt.timer = reactor.set_deadline(rest_by, timer);
+        attempt.timer = reactor.set_deadline(rest_deadline, timer);
     }
 }
 
-/// For how long an idle connection may be used, if for a limited time: less than the endpoint keeps it open by the time
-/// that a connection may take to come up, a quarter at most, since the endpoint's end and a command may cross.
+/// How long after its last use an idle connection may be reused; `None` if the settings state no idle timeout of the
+/// endpoints. It is shorter than the endpoints' idle timeout, because a command could cross with the close by the
+/// endpoint: by the connect timeout, but by a quarter at most.
 pub(super) fn idle_lifetime(reactor: &Reactor) -> Option<Duration> {
     let idle_timeout = reactor.settings.limits.idle_timeout;
     let margin = reactor.connect_timeout().min(idle_timeout / 4);
     (!idle_timeout.is_zero()).then(|| idle_timeout - margin)
 }
 
-/// How an attempt ends whose connection could not even be opened: by the endpoint's fault, or else for want of a
-/// descriptor or port, which is the gateway's own.
+/// The outcome of an attempt whose connection failed to open at once: `ConnectFailed` where the endpoint can't be
+/// reached, `NotSent` where the gateway itself is at fault, for example without a free descriptor or port.
 pub(super) fn outcome_on_open_error(error: &io::Error) -> AttemptOutcome {
     match error.kind() {
         ErrorKind::ConnectionRefused
