--- a/edge/src/client.rs
+++ b/edge/src/client.rs
@@ -1,4 +1,5 @@
-//! One connection of a client: the commands that it has sent and that wait for their answers, in their order.
+//! One connection of a client: its state, and the commands that wait for their answers, in the order in which they were
+//! sent.
 
 use crate::invariants::invariant;
 use crate::notification::Notification;
@@ -10,118 +11,123 @@
 use std::time::Duration;
 use wellcrank::port::Request;
 
-/// So long a connection may stay with nothing open: from then on it may be closed.
+/// How long a connection may stay without an open request before it may be closed.
 pub(crate) const MAX_IDLE: Duration = Duration::from_secs(2);
 
-/// A client that has asked nothing yet is given no longer than this where another one wants its descriptor: of a crowd
-/// that waits in the listener's queue each is owed an error or a close within 3 s.
+/// How long a client may take to send its first request while other clients wait for a descriptor. Each client in the
+/// listener's backlog must get an error or a close within 3 s.
 const MAX_IDLE_BEFORE_FIRST_REQUEST: Duration = Duration::from_millis(100);
 
-/// So many commands of one connection may wait for their answers: what comes behind them waits for those before it, whose
-/// time does not count, and a flood does not fill the memory within a turn.
+/// How many commands of one connection may wait for their answers. Further ones stay unread, and their timeouts do not
+/// start before they are read. The limit keeps a flood of commands from filling the memory within one event loop
+/// iteration.
 const MAX_PENDING_COMMANDS: usize = 1024;
 
-/// Whether commands are taken from a connection.
+/// Whether commands are read from a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum ClientState {
-    /// Commands are taken as they come.
+    /// Commands are handled as they arrive.
     Reading,
-    /// Input is left where it is, since the client takes no answers or has too many commands that wait for theirs.
+    /// No input is handled, because the client does not read its answers or has too many commands waiting for theirs.
     Paused,
-    /// Nothing more is taken, as what came is no RESP2 or the gateway is at its end. The connection is ended once all is
-    /// answered.
+    /// No further commands are handled, because the input was not valid RESP2, or because the gateway must answer all
+    /// requests. The connection is closed once all commands are answered.
     Closing,
-    /// The client has ended its sending, and what has come whole is being taken, to be refused.
-    TakingLastCommands,
-    /// The client has ended its sending, and all that it sent was taken. It may have gone, so nothing more is begun for
-    /// it; it may listen still, so what it has asked is answered before the connection ends.
+    /// The client has stopped sending. The complete commands that have arrived are being handled; their requests are
+    /// rejected.
+    HandlingLastCommands,
+    /// The client has stopped sending, and all of its complete commands were handled. It may be gone, so no attempt is
+    /// started for it any more; it may still be reading, so its commands are answered before the connection is closed.
     PeerClosed,
 }
 
-/// What a command left behind: its request, if it opened one, and its answer if that came before its turn.
+/// A command that waits for its answer, or for the answers of the commands before it.
 pub(crate) struct PendingCommand {
+    /// The request that the command opened, if any.
     pub(crate) request: Option<Serial>,
+    /// The answer, if it is known and commands before this one are not answered yet.
     pub(crate) answer: Option<Vec<u8>>,
 }
 
-/// What a command is answered by beside itself.
+/// The state of the gateway that decides, besides the command itself, how a command is answered.
 #[derive(Clone, Copy)]
 pub(crate) struct GatewayStatus {
-    /// The gateway may say that it is ready.
+    /// Whether PING is answered with PONG.
     pub(crate) is_ready: bool,
-    /// There is no room for further requests.
+    /// Whether further requests must be rejected for want of memory or because too many are open.
     pub(crate) is_full: bool,
 }
 
 /// One connection of a client.
 pub(crate) struct Client {
     pub(crate) stream: BufferedStream,
-    /// Tells the connection from others that had the same key before.
+    /// Distinguishes the connection from earlier ones with the same key.
     pub(crate) connection: Serial,
-    /// The number of the first pending command.
-    first_number: u64,
-    /// The commands that wait for their answers, in their order.
+    /// The number of the first pending command. The commands of a connection are numbered from 0.
+    first_pending_number: u64,
+    /// The commands that wait for their answers, in the order in which they were sent.
     pub(crate) pending_commands: VecDeque<PendingCommand>,
-    /// When it was accepted, had a command begun or done, or took an answer last. Further pieces of a command do not
-    /// count, so no client can draw one out.
+    /// When the connection was accepted, the first bytes of a command arrived, a command was complete or a part of an
+    /// answer was written, whichever was last; since the start of the gateway's clock. Further parts of an incomplete command
+    /// do not count, so a client cannot keep the connection by sending one slowly.
     pub(crate) last_active: Duration,
-    /// It has asked something that could be taken.
-    pub(crate) has_asked: bool,
+    /// Whether the client has sent a valid request, or a PING that was answered with PONG.
+    pub(crate) has_sent_request: bool,
     state: ClientState,
 }
 
 impl Client {
-    /// A connection that was accepted `now`.
+    /// A connection that was accepted at `now`.
     pub(crate) fn new(stream: BufferedStream, connection: Serial, now: Duration) -> Client {
         Client {
             stream,
             connection,
-            first_number: 0,
+            first_pending_number: 0,
             pending_commands: VecDeque::new(),
             last_active: now,
-            has_asked: false,
+            has_sent_request: false,
             state: ClientState::Reading,
         }
     }
 
-    /// Whether input is left where it is until the client has taken answers.
+    /// Whether no input is handled until the client has read answers or has fewer commands waiting.
     pub(crate) fn is_paused(&self) -> bool {
         self.state == ClientState::Paused
     }
 
-    /// Whether nothing more is taken, and the connection is ended once all is answered.
+    /// Whether no further commands are handled, and the connection is closed once all are answered.
     pub(crate) fn is_closing(&self) -> bool {
         matches!(self.state, ClientState::Closing | ClientState::PeerClosed)
     }
 
-    /// Whether the client has ended its sending, as far as it was noticed.
+    /// Whether the client was noticed to have stopped sending.
     pub(crate) fn has_peer_closed(&self) -> bool {
         matches!(
             self.state,
-            ClientState::TakingLastCommands | ClientState::PeerClosed
+            ClientState::HandlingLastCommands | ClientState::PeerClosed
         )
     }
 
-    /// Takes commands again, for as long as the client is not behind.
+    /// Resumes handling commands, if the connection is paused.
     pub(crate) fn resume(&mut self) {
         if self.is_paused() {
             self.state = ClientState::Reading;
         }
     }
 
-    /// Takes no further commands for now where the client is behind: it takes no answers, or has asked much and not been
-    /// answered. Returns whether that is so. A client that has ended its sending is refused instead.
+    /// Pauses the connection if too many bytes of answers are unwritten or too many commands wait for their answers. Returns
+    /// whether it was paused. A client that has stopped sending is not paused; its requests are rejected.
     pub(crate) fn pause_if_behind(&mut self) -> bool {
         let is_behind = self.stream.pending_bytes() > resp::MAX_MESSAGE
             || self.pending_commands.len() >= MAX_PENDING_COMMANDS;
-        let pauses = is_behind && !self.has_peer_closed();
-        if pauses {
+        let must_pause = is_behind && !self.has_peer_closed();
+        if must_pause {
             self.state = ClientState::Paused;
         }
-        pauses
+        must_pause
     }
 
-    /// Takes no further commands: the connection is ended once all is answered.
+    /// Stops handling commands. The connection is closed once all commands are answered.
     pub(crate) fn stop_reading(&mut self) {
         self.state = if self.has_peer_closed() {
             ClientState::PeerClosed
@@ -130,35 +136,38 @@
         };
     }
 
-    /// The client has ended its sending: what has come whole is taken still, if commands were taken at all.
-    pub(crate) fn take_last_commands(&mut self) {
+    /// Records that the client has stopped sending. The complete commands that have arrived are still handled, unless the
+    /// connection is already closing.
+    pub(crate) fn begin_last_commands(&mut self) {
         self.state = if self.is_closing() {
             ClientState::PeerClosed
         } else {
-            ClientState::TakingLastCommands
+            ClientState::HandlingLastCommands
         };
     }
 
-    /// Whether nothing that was taken waits for an answer.
+    /// Whether all commands are answered, all answers are written and the connection is not paused.
     pub(crate) fn is_quiescent(&self) -> bool {
         self.pending_commands.is_empty() && self.stream.pending_bytes() == 0 && !self.is_paused()
     }
 
-    /// Whether it is between two requests, as far as is seen: only then may a connection be closed. A client that has
-    /// asked nothing yet may just be about to, and has as long as a connection may take to come up; so has the rest of a
-    /// command, and of a known client's as long as a connection may stay idle.
+    /// Whether the connection is between two requests, as far as the gateway can see, and may therefore be closed while the
+    /// gateway drains. A client that has sent no request yet, or only a part of its first one, has the connect timeout to
+    /// send it; a client that has sent a request has `MAX_IDLE` to complete a further one that it has begun.
     pub(crate) fn is_idle(&self, reactor: &Reactor) -> bool {
         self.is_idle_for(reactor, reactor.connect_timeout())
     }
 
-    /// The same where another client wants its descriptor.
+    /// Whether the connection may be closed to free its descriptor for another client. As `is_idle`, with a shorter time for
+    /// the first request.
     pub(crate) fn is_evictable(&self, reactor: &Reactor) -> bool {
         let before_first_request = reactor.connect_timeout().min(MAX_IDLE_BEFORE_FIRST_REQUEST);
         self.is_idle_for(reactor, before_first_request)
     }
 
+    /// Whether the connection is idle, if a client may take `before_first_request` to send its first request.
     fn is_idle_for(&self, reactor: &Reactor, before_first_request: Duration) -> bool {
-        let min_idle = match (self.has_asked, self.stream.input.is_empty()) {
+        let min_idle = match (self.has_sent_request, self.stream.input.is_empty()) {
             (true, true) => Duration::ZERO,
             (true, false) => MAX_IDLE,
             (false, _) => before_first_request,
@@ -166,35 +175,37 @@
         self.is_quiescent() && self.last_active + min_idle <= reactor.now
     }
 
-    /// Whether it has nothing open for too long: it has asked nothing that could be taken or left a command unfinished,
-    /// or connections are scarce.
+    /// Whether the connection has had no open request for `MAX_IDLE` and should be closed. A connection between two
+    /// requests should be closed only while connections are scarce; one without any valid request, or with an incomplete
+    /// command, always.
     pub(crate) fn is_overdue(&self, now: Duration, are_connections_scarce: bool) -> bool {
-        let is_between_requests = self.has_asked && self.stream.input.is_empty();
+        let is_between_requests = self.has_sent_request && self.stream.input.is_empty();
         self.is_quiescent()
             && self.last_active + MAX_IDLE <= now
             && (are_connections_scarce || !is_between_requests)
     }
 
-    /// Whether it has taken none of its answers for longer than `patience`.
-    pub(crate) fn is_stuck(&self, now: Duration, patience: Duration) -> bool {
-        self.stream.pending_bytes() > 0 && self.last_active + patience < now
+    /// Whether answers are pending and no part of them could be written for longer than `write_timeout`.
+    pub(crate) fn is_write_stalled(&self, now: Duration, write_timeout: Duration) -> bool {
+        self.stream.pending_bytes() > 0 && self.last_active + write_timeout < now
     }
 
-    /// Whether a half command has waited for its rest since before `stalled_since`.
+    /// Whether an incomplete command has waited for its remaining bytes since before `stalled_since`.
     pub(crate) fn has_stalled_command(&self, stalled_since: Duration) -> bool {
         self.is_quiescent() && !self.stream.input.is_empty() && self.last_active < stalled_since
     }
 
-    /// Adds a command to those that wait for their answers; returns its number.
+    /// Adds a command to those that wait for their answers. Returns its number on this connection.
     fn push_command(&mut self) -> u64 {
         self.pending_commands.push_back(PendingCommand {
             request: None,
             answer: None,
         });
-        self.first_number + self.pending_commands.len() as u64 - 1
+        self.first_pending_number + self.pending_commands.len() as u64 - 1
     }
 
-    /// After what is no RESP2 nothing can be read any more: an error in its turn, then the end.
+    /// Rejects input that is not valid RESP2, after which no further command can be found: queues an error line behind the
+    /// answers of the commands before it, and closes the connection after that.
     pub(crate) fn reject_input(&mut self, reactor: &mut Reactor, error: ProtocolError) {
         self.stop_reading();
         let number = self.push_command();
@@ -204,7 +215,8 @@
         });
     }
 
-    /// Handles one whole command.
+    /// Handles one complete command: opens its request, or answers it directly. `bytes` holds the command and `words` the
+    /// positions of its words; `key` is the connection's key.
     pub(crate) fn handle_command(
         &mut self,
         reactor: &mut Reactor,
@@ -228,18 +240,19 @@
             }
         } else {
             let name = words.first().map_or(&[][..], |word| &bytes[word.clone()]);
-            self.connection_command(name, gateway.is_ready).into()
+            self.answer_connection_command(name, gateway.is_ready)
+                .into()
         };
         self.respond(reactor, slot.number, |out| {
             out.extend_from_slice(line.as_bytes());
         });
     }
 
-    /// The answer to a command that opens no request.
-    fn connection_command(&mut self, name: &[u8], is_ready: bool) -> &'static str {
+    /// The answer to a command that opens no request, such as PING.
+    fn answer_connection_command(&mut self, name: &[u8], is_ready: bool) -> &'static str {
         match name.to_ascii_uppercase().as_slice() {
             b"PING" if is_ready => {
-                self.has_asked = true;
+                self.has_sent_request = true;
                 "+PONG\r\n"
             }
             b"PING" => "-ERR no server list yet\r\n",
@@ -248,7 +261,8 @@
         }
     }
 
-    /// Opens the request of the command that was pushed last.
+    /// Opens the request of the command that was pushed last, and queues it for the controller. With `is_full`, or once the
+    /// client has stopped sending, the controller is to reject it.
     fn open_request(
         &mut self,
         reactor: &mut Reactor,
@@ -269,7 +283,7 @@
             first_gateway: command.first_gateway,
             gateway_count: command.gateway_count,
         };
-        self.has_asked = true;
+        self.has_sent_request = true;
         let pending = self.pending_commands.back_mut();
         pending.expect("pushed for this command").request = Some(serial);
         reactor.add_buffered_bytes(command.size());
@@ -282,18 +296,19 @@
         reactor.notify(notification);
     }
 
-    /// Answers a command: queues the answer if all before it are answered, else keeps it until then.
+    /// Answers the command with this number. The answer is queued for writing if all commands before it are answered, and
+    /// kept until then otherwise.
     pub(crate) fn respond(
         &mut self,
         reactor: &mut Reactor,
         number: u64,
         write: impl FnOnce(&mut Vec<u8>),
     ) {
-        let index = number.wrapping_sub(self.first_number) as usize;
+        let index = number.wrapping_sub(self.first_pending_number) as usize;
         invariant!(
             reactor,
             index < self.pending_commands.len(),
-            "an answer goes to a command that waits for it"
+            "every answer belongs to a command that waits for one"
         );
         if index > 0 {
             return self.keep_answer(reactor, index, write);
@@ -312,12 +327,13 @@
         }
     }
 
+    /// Removes the first pending command, whose answer is queued for writing.
     fn finish_first_command(&mut self) {
         self.pending_commands.pop_front();
-        self.first_number += 1;
+        self.first_pending_number += 1;
     }
 
-    /// Keeps an answer whose turn has not come.
+    /// Keeps an answer until the commands before it are answered. `index` is the command's position among the pending ones.
     fn keep_answer(
         &mut self,
         reactor: &mut Reactor,
@@ -327,7 +343,11 @@
         let Some(command) = self.pending_commands.get_mut(index) else {
             return;
         };
-        invariant!(reactor, command.answer.is_none(), "one answer to a command");
+        invariant!(
+            reactor,
+            command.answer.is_none(),
+            "a command is answered only once"
+        );
         let mut answer = Vec::new();
         write(&mut answer);
         reactor.add_buffered_bytes(answer.len());
--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -1,4 +1,5 @@
-//! Clients' connections: takes their commands as they come, piped or in pieces, and answers each in its order.
+//! The connections of clients: reads their commands, which may be pipelined or arrive in pieces, and writes the answers
+//! of each connection in the order of its commands.
 
 mod listener;
 
@@ -17,30 +18,30 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// So many connections may linger beyond the clients' budget.
-const SPARE_LINGERING: usize = 2;
+/// How many connections that wait for the client to close them may exist beyond the budget of clients' connections.
+const MAX_LINGERING_BEYOND_BUDGET: usize = 2;
 
-/// All connections of clients.
+/// All connections of clients, and the socket on which they connect.
 pub(crate) struct Clients {
     listener: Listener,
     connections: Slab<Client>,
     lingering: Lingering,
-    /// Accepting was left off, for want of sockets or since the system refused.
+    /// Accepting is paused, because the budget is used up or because the system refused.
     is_accept_paused: bool,
-    /// A connection has ended or become idle since: accepting may go on.
+    /// A connection was closed or became idle since the last attempt to accept, so accepting may succeed again.
     may_resume_accept: bool,
-    /// Paused connections that may go on.
+    /// The keys of paused connections from which commands may be read again.
     resumable: Vec<usize>,
-    /// The gateway may say that it is ready: an endpoint list is known, or has not come for long.
+    /// Whether PING is answered with PONG: an endpoint list is known, or the wait for one has exceeded its limit.
     pub(crate) is_ready: bool,
 }
 
-/// Whether there is no room for further requests: too many are open, or the memory could not take the value that each of
-/// them may bring yet.
+/// Whether further requests must be rejected: as many are open as the settings allow, or the buffered bytes would exceed
+/// the budget if each open request received a value of the maximum size.
 fn is_full(reactor: &Reactor, requests: &OpenRequests) -> bool {
     let max_open = reactor.settings.limits.max_open_requests as usize;
-    let bytes_in_prospect = reactor.buffered_bytes() + requests.len() * resp::MAX_VALUE;
-    bytes_in_prospect > reactor.budget.bytes || (max_open > 0 && requests.len() >= max_open)
+    let projected_bytes = reactor.buffered_bytes() + requests.len() * resp::MAX_VALUE;
+    projected_bytes > reactor.budget.bytes || (max_open > 0 && requests.len() >= max_open)
 }
 
 impl Clients {
@@ -57,24 +58,26 @@
         })
     }
 
-    /// How many connections there are, with those that the gateway has ended and the client has not yet.
+    /// The number of connections, including those that the gateway has ended and the client has not closed yet.
     pub(crate) fn len(&self) -> usize {
         self.connections.len() + self.lingering.len()
     }
 
-    fn is_budget_used(&self, reactor: &Reactor) -> bool {
+    /// Whether there are as many connections as the budget allows, not counting those that the gateway has ended.
+    fn is_budget_exhausted(&self, reactor: &Reactor) -> bool {
         self.connections.len() >= reactor.budget.clients
     }
 
-    /// Accepts what waits; when short of sockets an idle connection makes room, else the rest waits on.
+    /// Accepts the connections that wait. While the budget is used up, an idle connection is closed for each new one; if
+    /// there is none, accepting is paused and the remaining connections stay in the backlog.
     pub(crate) fn accept(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         self.is_accept_paused = false;
         loop {
             let mut evictable = None;
-            if self.is_budget_used(reactor) {
+            if self.is_budget_exhausted(reactor) {
                 evictable = self.find_evictable(reactor, requests);
             }
-            if evictable.is_none() && self.is_budget_used(reactor) {
+            if evictable.is_none() && self.is_budget_exhausted(reactor) {
                 self.is_accept_paused = true;
                 return;
             }
@@ -87,25 +90,26 @@
                     return;
                 }
             };
-            // What goes for a new connection is ended only when there is one.
+            // An idle connection is closed only once there is a new one to replace it.
             if let Some(key) = evictable {
-                self.end(reactor, key, requests);
+                self.close_gracefully(reactor, key, requests);
             }
             self.insert(reactor, socket);
         }
     }
 
     fn insert(&mut self, reactor: &mut Reactor, socket: TcpStream) {
-        let most = reactor.budget.clients + SPARE_LINGERING;
-        while self.len() >= most && self.lingering.evict_oldest(reactor) {}
+        let max_connections = reactor.budget.clients + MAX_LINGERING_BEYOND_BUDGET;
+        while self.len() >= max_connections && self.lingering.evict_oldest(reactor) {}
         let key = self.connections.vacant_key();
         let stream = BufferedStream::accepted(reactor, socket, Component::Client, key);
         let client = Client::new(stream, reactor.next_serial(), reactor.now);
         self.connections.insert(client);
     }
 
-    /// The connection to go for another one: that of a client that has asked nothing yet, else one that has been idle for
-    /// longest.
+    /// Finds the connection to close for a new one: preferably of a client that has not sent a request yet, and among these
+    /// the one that has been idle longest. Input that has arrived on it is handled first; if that makes it active, the
+    /// search goes on.
     fn find_evictable(
         &mut self,
         reactor: &mut Reactor,
@@ -116,38 +120,43 @@
                 .connections
                 .iter()
                 .filter(|(_, client)| client.is_evictable(reactor))
-                .min_by_key(|(_, client)| (client.has_asked, client.last_active))?;
-            self.take_unread(reactor, key, requests);
-            let stays_evictable = self
+                .min_by_key(|(_, client)| (client.has_sent_request, client.last_active))?;
+            self.read_unreported_input(reactor, key, requests);
+            let is_still_evictable = self
                 .connections
                 .get(key)
                 .is_some_and(|client| client.is_evictable(reactor));
-            if stays_evictable {
+            if is_still_evictable {
                 return Some(key);
             }
         }
     }
 
-    /// Takes what has come and the poll has not told of yet; returns whether the connection is idle still.
-    fn stays_idle(
+    /// Handles input that the poll has not reported yet. Returns whether the connection is still open and idle afterwards.
+    fn is_idle_after_reading(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
         requests: &mut OpenRequests,
     ) -> bool {
-        self.take_unread(reactor, key, requests);
+        self.read_unreported_input(reactor, key, requests);
         self.connections
             .get(key)
             .is_some_and(|client| client.is_idle(reactor))
     }
 
-    /// Takes what has come on a connection and the poll has not told of yet.
-    fn take_unread(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
+    /// Reads and handles input of a connection that the poll has not reported yet.
+    fn read_unreported_input(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        requests: &mut OpenRequests,
+    ) {
         self.connections[key].stream.read_would_block = false;
         self.read_commands(reactor, key, requests);
     }
 
-    /// The poll tells of a connection.
+    /// Handles a readiness event of a connection.
     pub(crate) fn on_ready(
         &mut self,
         reactor: &mut Reactor,
@@ -158,12 +167,13 @@
         if readiness.is_broken() {
             return self.close(reactor, key, requests);
         }
-        // Its end is told once. One that is not read any further must not be missed.
-        let is_unread = self
+        // The poll reports only once that the client has stopped sending. A connection that is not being read would
+        // otherwise miss it.
+        let is_not_read = self
             .connections
             .get(key)
             .is_some_and(|client| client.is_paused() || client.is_closing());
-        if readiness.has_peer_stopped_sending() && is_unread {
+        if readiness.has_peer_stopped_sending() && is_not_read {
             self.on_peer_closed(reactor, key, requests);
         }
         let Some(client) = self.connections.get_mut(key) else {
@@ -176,9 +186,10 @@
         self.read_commands(reactor, key, requests);
     }
 
-    /// Takes commands and reads on, until there is no more or no room.
+    /// Handles buffered commands and reads more input, until the socket has none left or the connection is paused or
+    /// closing.
     fn read_commands(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
-        while self.take_commands(reactor, key, requests) {
+        while self.handle_commands(reactor, key, requests) {
             let client = &mut self.connections[key];
             if client.stream.read_would_block {
                 return;
@@ -193,7 +204,7 @@
         }
     }
 
-    /// A connection can't be read any further: it failed, or the client has ended its sending.
+    /// Handles the end of a connection's input: the connection failed, or the client has stopped sending.
     fn on_read_end(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         if self.connections[key].stream.has_failed {
             self.close(reactor, key, requests);
@@ -202,8 +213,8 @@
         }
     }
 
-    /// Takes the whole commands in the input. Returns false if the connection is to be read no further now.
-    fn take_commands(
+    /// Handles the complete commands in the input buffer. Returns false if no more input should be read for now.
+    fn handle_commands(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
@@ -218,7 +229,7 @@
         while !client.is_closing() && consumed < input.len() {
             let bytes = &input[consumed..];
             match resp::parse_command(bytes) {
-                // What is no whole command yet must end within the size of one.
+                // An incomplete command may still grow up to the maximum size.
                 Ok(None) if bytes.len() < MAX_MESSAGE => break,
                 Ok(None) => client.reject_input(reactor, ProtocolError::CommandTooLong),
                 Err(error) => client.reject_input(reactor, error),
@@ -226,8 +237,8 @@
                     if client.pause_if_behind() {
                         break;
                     }
-                    // What there is no room for is refused: it may not wait for others to end, past its own client's
-                    // time.
+                    // A request beyond the limits is rejected at once: if it waited for others to end, its client's
+                    // timeout could pass.
                     let gateway = GatewayStatus {
                         is_ready: self.is_ready,
                         is_full: is_full(reactor, requests),
@@ -244,42 +255,43 @@
         !client.is_closing() && !client.is_paused()
     }
 
-    /// The client has ended its sending: what has come whole is refused, what is in flight is given up, and the connection
-    /// ends behind the last answer.
+    /// Handles that the client has stopped sending: complete commands in the buffer are rejected, open requests are
+    /// answered now instead of being attempted further, and the connection is closed after the last answer.
     fn on_peer_closed(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
-        let Some(open) = self.note_peer_closed(key) else {
+        let Some(open) = self.begin_last_commands(key) else {
             return;
         };
-        self.take_commands(reactor, key, requests);
+        self.handle_commands(reactor, key, requests);
         let Some(client) = self.connections.get_mut(key) else {
             return;
         };
         client.stop_reading();
         reactor.metrics.disconnected += open.len() as u64;
-        let given_up = open
+        let unanswered = open
             .into_iter()
             .filter_map(|request| requests.mark_client_left(request));
-        for request in given_up {
+        for request in unanswered {
             reactor.notify(Notification::ExpireRequest(request));
         }
         if client.is_quiescent() {
-            self.end(reactor, key, requests);
+            self.close_gracefully(reactor, key, requests);
         }
     }
 
-    /// Has a connection take its last commands. Returns the requests that were open before them; none where the client's
-    /// end was noticed before.
-    fn note_peer_closed(&mut self, key: usize) -> Option<Vec<Serial>> {
+    /// Puts a connection into the state in which its last commands are handled. Returns the requests that were open before;
+    /// `None` if the connection is closed or its client was already known to have stopped sending.
+    fn begin_last_commands(&mut self, key: usize) -> Option<Vec<Serial>> {
         let client = self
             .connections
             .get_mut(key)
             .filter(|client| !client.has_peer_closed())?;
-        client.take_last_commands();
+        client.begin_last_commands();
         let pending = client.pending_commands.iter();
         Some(pending.filter_map(|command| command.request).collect())
     }
 
-    /// Writes an answer, now if all before it are answered.
+    /// Answers a command. The answer is queued for writing once all commands before it are answered; it is dropped if the
+    /// connection is closed.
     pub(crate) fn respond(
         &mut self,
         reactor: &mut Reactor,
@@ -299,7 +311,8 @@
         }
     }
 
-    /// Writes what it can of a connection's answers, and ends the connection where it is to end behind them.
+    /// Writes as much of a connection's answers as the socket accepts, and closes the connection if it is closing, or idle
+    /// while the gateway drains, and all answers are written.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         let Some(client) = self.connections.get_mut(key) else {
             return;
@@ -315,34 +328,34 @@
         }
         let is_quiescent = client.is_quiescent();
         self.may_resume_accept |= is_quiescent;
-        let ends = client.is_closing() && is_quiescent;
-        let may_end = reactor.is_draining() && client.is_idle(reactor);
-        if ends || (may_end && self.stays_idle(reactor, key, requests)) {
-            self.end(reactor, key, requests);
+        let has_finished = client.is_closing() && is_quiescent;
+        let may_drain = reactor.is_draining() && client.is_idle(reactor);
+        if has_finished || (may_drain && self.is_idle_after_reading(reactor, key, requests)) {
+            self.close_gracefully(reactor, key, requests);
         }
     }
 
-    /// Ends a connection with nothing open and all of its answers written.
-    fn end(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
+    /// Closes a connection on which all answers are written, so that the client receives the last one. See [`Lingering`].
+    fn close_gracefully(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         if let Some(client) = self.remove(reactor, key, requests) {
-            self.lingering.end_connection(reactor, client.stream);
+            self.lingering.close_gracefully(reactor, client.stream);
         }
     }
 
-    /// The client has gone, or does not take its answers.
+    /// Closes a connection at once: it failed, or its client does not read the answers.
     fn close(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         if let Some(client) = self.remove(reactor, key, requests) {
             client.stream.close(reactor);
         }
     }
 
-    /// The poll tells of a connection that the gateway has ended.
+    /// Handles a readiness event of a connection that the gateway has ended.
     pub(crate) fn on_lingering_ready(&mut self, reactor: &mut Reactor, key: usize) {
         self.lingering.discard_input(reactor, key);
         self.may_resume_accept = true;
     }
 
-    /// Takes a connection out; its open requests have nobody to answer any more.
+    /// Removes a connection, and reports its unanswered requests to the controller as disconnected.
     fn remove(
         &mut self,
         reactor: &mut Reactor,
@@ -352,10 +365,10 @@
         let mut client = self.connections.try_remove(key)?;
         for command in client.pending_commands.drain(..) {
             reactor.release_buffered_bytes(command.answer.map_or(0, |answer| answer.len()));
-            let given_up = command
+            let unanswered = command
                 .request
                 .and_then(|request| requests.mark_client_left(request));
-            if let Some(request) = given_up {
+            if let Some(request) = unanswered {
                 reactor.notify(Notification::ClientDisconnect(request));
             }
         }
@@ -363,9 +376,9 @@
         Some(client)
     }
 
-    /// Lets connections go on that an answer, a write or an end has made room for: those paused, and those not accepted
-    /// yet. The one place for it: to accept may close a connection, which may not accept again from within. Returns whether
-    /// there were any.
+    /// Resumes accepting, or else the paused connections that an answer or a write may have unblocked. Accepting is resumed
+    /// only here: it may close a connection, which must not accept recursively. Returns whether there was anything to
+    /// resume.
     pub(crate) fn resume_paused(
         &mut self,
         reactor: &mut Reactor,
@@ -384,19 +397,21 @@
         !keys.is_empty()
     }
 
-    /// At each tick: who has asked nothing that can be taken for so long, or has left a command unfinished, is told so and
-    /// closed; so are clients between two requests, where they hold most of the connections.
+    /// Called at each tick. Closes connections whose clients have sent no request or have left a command incomplete for
+    /// `MAX_IDLE`; the latter get a protocol error first. While more than half of the budget is in use, connections that
+    /// have been idle for as long between two requests are closed too.
     pub(crate) fn close_overdue(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
-        // Who waits to be accepted is looked at again: some may have stood idle for long enough by now to make room.
+        // While accepting is paused, it is tried again: some connections may have been idle long enough by now to be
+        // replaced.
         self.may_resume_accept |= self.lingering.close_expired(reactor) || self.is_accept_paused;
         for (_, client) in &mut self.connections {
-            // One that the poll could not take when it came.
+            // Registering may have failed when the connection was accepted.
             let _ = client.stream.register(reactor);
         }
         let now = reactor.now;
         let are_scarce = self.connections.len() * 2 > reactor.budget.clients;
-        for key in self.keys(|client| client.is_overdue(now, are_scarce)) {
-            self.take_unread(reactor, key, requests);
+        for key in self.keys_where(|client| client.is_overdue(now, are_scarce)) {
+            self.read_unreported_input(reactor, key, requests);
             let Some(client) = self
                 .connections
                 .get_mut(key)
@@ -405,35 +420,36 @@
                 continue;
             };
             if client.stream.input.is_empty() {
-                self.end(reactor, key, requests);
+                self.close_gracefully(reactor, key, requests);
             } else {
                 client.reject_input(reactor, ProtocolError::CommandTooSlow);
             }
         }
     }
 
-    /// Once a second: who does not take its answers for longer than any client waits is closed, and, when memory is short,
-    /// the largest half commands of clients with nothing open; others that are paused get a new chance.
-    pub(crate) fn close_stuck(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
+    /// Called once a second. Closes connections that have accepted nothing of their answers for longer than any client
+    /// waits. While the buffered bytes exceed the budget, closes the connections with the largest incomplete commands.
+    /// Has paused connections and accepting tried again.
+    pub(crate) fn close_stalled(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         let now = reactor.now;
-        // A client waits no longer for an answer.
-        let patience = reactor.settings.max_client_timeout().max(MAX_IDLE);
-        for key in self.keys(|client| client.is_stuck(now, patience)) {
+        // No client waits longer than this for an answer.
+        let write_timeout = reactor.settings.max_client_timeout().max(MAX_IDLE);
+        for key in self.keys_where(|client| client.is_write_stalled(now, write_timeout)) {
             self.close(reactor, key, requests);
         }
         while reactor.buffered_bytes() > reactor.budget.bytes {
             let Some(key) = self.largest_stalled_command(reactor) else {
                 break;
             };
-            slog::warn!(reactor.log, "memory is short: a half command is dropped"; "held" => reactor.buffered_bytes());
-            self.end(reactor, key, requests);
+            slog::warn!(reactor.log, "buffered bytes exceed the budget: closing the connection with the largest incomplete command"; "held" => reactor.buffered_bytes());
+            self.close_gracefully(reactor, key, requests);
         }
-        self.resumable = self.keys(Client::is_paused);
+        self.resumable = self.keys_where(Client::is_paused);
         self.may_resume_accept = true;
     }
 
-    /// The connection with the largest half command that waits for its rest for longer than a connection may take to come
-    /// up.
+    /// The key of the connection with the largest incomplete command, among those whose last activity is longer ago than
+    /// the connect timeout.
     fn largest_stalled_command(&self, reactor: &Reactor) -> Option<usize> {
         let stalled_since = reactor.now.saturating_sub(reactor.connect_timeout());
         self.connections
@@ -443,29 +459,30 @@
             .map(|(key, _)| key)
     }
 
-    /// The gateway stops: connections with nothing open are ended, unless something has just come.
-    pub(crate) fn end_idle_connections(
+    /// Closes idle connections while the gateway drains, unless input has just arrived on them.
+    pub(crate) fn close_idle_connections(
         &mut self,
         reactor: &mut Reactor,
         requests: &mut OpenRequests,
     ) {
-        for key in self.keys(|client| client.is_idle(reactor)) {
-            if self.connections.contains(key) && self.stays_idle(reactor, key, requests) {
-                self.end(reactor, key, requests);
+        for key in self.keys_where(|client| client.is_idle(reactor)) {
+            if self.connections.contains(key) && self.is_idle_after_reading(reactor, key, requests)
+            {
+                self.close_gracefully(reactor, key, requests);
             }
         }
     }
 
-    /// The gateway is at its end: what has come whole by now is taken, nothing is read any more, and each connection ends
-    /// behind its last answer.
-    pub(crate) fn end_after_last_answers(
+    /// Called when the gateway must answer all requests. Handles the complete commands that have arrived by now, reads
+    /// nothing further, and closes each connection after its last answer.
+    pub(crate) fn close_after_last_answers(
         &mut self,
         reactor: &mut Reactor,
         requests: &mut OpenRequests,
     ) {
-        for key in self.keys(|client| !client.is_closing()) {
+        for key in self.keys_where(|client| !client.is_closing()) {
             if self.connections.contains(key) {
-                self.take_unread(reactor, key, requests);
+                self.read_unreported_input(reactor, key, requests);
             }
             if let Some(client) = self.connections.get_mut(key) {
                 if !client.is_paused() {
@@ -473,15 +490,16 @@
                 }
             }
         }
-        for key in self.keys(|client| client.is_closing() && client.is_quiescent()) {
-            self.end(reactor, key, requests);
+        for key in self.keys_where(|client| client.is_closing() && client.is_quiescent()) {
+            self.close_gracefully(reactor, key, requests);
         }
     }
 
-    fn keys(&self, is_wanted: impl Fn(&Client) -> bool) -> Vec<usize> {
+    /// The keys of the connections that satisfy a condition.
+    fn keys_where(&self, condition: impl Fn(&Client) -> bool) -> Vec<usize> {
         self.connections
             .iter()
-            .filter(|(_, client)| is_wanted(client))
+            .filter(|(_, client)| condition(client))
             .map(|(key, _)| key)
             .collect()
     }
--- a/edge/src/clients/listener.rs
+++ b/edge/src/clients/listener.rs
@@ -1,4 +1,4 @@
-//! The socket on which clients connect, and what its errors mean.
+//! The socket on which clients connect, and how errors of accept(2) are classified.
 
 use crate::component::Component;
 use crate::reactor::Reactor;
@@ -8,7 +8,7 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// Errors of a connection that waited and is gone, which accept(2) passes on: the next one is taken at once.
+/// Errors that accept(2) reports for a connection that failed while it waited. The next one can be accepted at once.
 const CONNECTION_GONE: [i32; 12] = [
     libc::ECONNABORTED,
     libc::EINTR,
@@ -24,29 +24,31 @@
     libc::ECONNRESET,
 ];
 
-/// So many connections may wait to be accepted, as far as the system allows. One beyond them comes up a second late.
+/// How many connections may wait to be accepted, unless the system's limit is lower. The client of a connection beyond
+/// that retries only after a second.
 const BACKLOG: i32 = 4096;
 
-/// What became of one try to accept a connection.
+/// The result of trying to accept a connection.
 pub(super) enum Accepted {
+    /// A connection was accepted.
     Connection(TcpStream),
-    /// One that waited has gone; others may wait.
+    /// A connection that waited has failed; others may wait.
     ConnectionGone,
-    /// None waits.
+    /// No connection waits.
     NoneWaiting,
-    /// The system has none to give, for want of descriptors or memory.
+    /// The system refused, for example because it is out of descriptors or memory.
     Failed,
 }
 
 /// The socket on which clients connect.
 pub(super) struct Listener {
     socket: TcpListener,
-    /// The system has refused to accept, and has not accepted since: it is logged once.
+    /// The system refused the last attempt to accept. Set so that this is logged only once until accepting succeeds.
     is_failing: bool,
 }
 
 impl Listener {
-    /// Listens at an address.
+    /// Opens the socket, listens on an address and registers the socket with the poll.
     pub(super) fn bind(reactor: &Reactor, address: SocketAddr) -> io::Result<Listener> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -65,7 +67,7 @@
         })
     }
 
-    /// Accepts one connection, if one waits.
+    /// Accepts one connection, if one waits. Logs the first of several refusals in a row.
     pub(super) fn accept(&mut self, reactor: &Reactor) -> Accepted {
         let error = match self.socket.accept() {
             Ok((socket, _)) => {
@@ -77,14 +79,14 @@
         if error.kind() == ErrorKind::WouldBlock {
             return Accepted::NoneWaiting;
         }
-        let is_of_connection = error
+        let is_connection_gone = error
             .raw_os_error()
             .is_some_and(|number| CONNECTION_GONE.contains(&number));
-        if is_of_connection {
+        if is_connection_gone {
             return Accepted::ConnectionGone;
         }
         if !self.is_failing {
-            slog::warn!(reactor.log, "cannot accept, trying again soon"; "error" => %error);
+            slog::warn!(reactor.log, "cannot accept client connections, retrying"; "error" => %error);
         }
         self.is_failing = true;
         Accepted::Failed
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -228,12 +228,12 @@
             ..
         } = self;
         if reactor.must_answer_now() {
-            clients.end_after_last_answers(reactor, requests);
+            clients.close_after_last_answers(reactor, requests);
             for request in requests.wanted() {
                 reactor.notify(Notification::ExpireRequest(request));
             }
         } else if reactor.is_draining() {
-            clients.end_idle_connections(reactor, requests);
+            clients.close_idle_connections(reactor, requests);
         }
         clients.close_overdue(reactor, requests);
         self.discovery.on_tick(reactor);
@@ -259,7 +259,7 @@
         } = self;
         reactor.check_wall_clock();
         reactor.violations.report(&reactor.log);
-        clients.close_stuck(reactor, requests);
+        clients.close_stalled(reactor, requests);
         pool.close_expired_connections(reactor);
         self.counter.ping_idle(reactor);
     }
--- a/edge/src/lingering.rs
+++ b/edge/src/lingering.rs
@@ -1,10 +1,10 @@
-//! The end of a connection that the gateway ends itself. What it was answered has gone out; sending is shut down, which
-//! the other side sees as the end, and what still comes is read and dropped until that side ends too. To close at once
-//! over bytes that have come and were not read would reset the connection, and take the last answer along; to serve
-//! what crossed the end would answer into a connection that is shut.
+//! Lingering close of client connections that the gateway ends. Once all answers are written, the gateway shuts down the
+//! sending direction, then reads and discards input until the client closes the connection too. Closing at once while
+//! unread bytes have arrived would reset the connection, and the client could lose the last answer. Commands that arrive
+//! after the shutdown are not served, since their answers could no longer be sent.
 //!
-//! Trade-off: a connection holds its descriptor for a while longer. It counts as the clients' own, and goes first where
-//! one is wanted.
+//! Trade-off: the descriptor stays in use a while longer. It counts towards the clients' connections, and lingering
+//! connections are closed first when a descriptor is needed.
 
 use crate::component::Component;
 use crate::reactor::Reactor;
@@ -12,36 +12,38 @@
 use slab::Slab;
 use std::time::Duration;
 
-/// The other side's end is waited for as long as a connection may take to come up, within these bounds.
+/// The bounds for how long the gateway waits until the client closes the connection; between them, it waits for the
+/// connect timeout.
 const MIN_LINGER: Duration = Duration::from_millis(200);
 const MAX_LINGER: Duration = Duration::from_secs(1);
 
-/// No more bytes than this are read of what the other side still sends.
+/// How many bytes of further input are discarded before the connection is closed at once.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
-/// A connection whose sending is shut down.
+/// A connection whose sending direction is shut down.
 struct LingeringConnection {
     stream: BufferedStream,
-    /// Until when the other side's end is waited for.
+    /// When the connection is closed at the latest, since the start of the gateway's clock.
     deadline: Duration,
-    /// How many bytes more are read and dropped.
-    allowance: usize,
+    /// How many more bytes are read and discarded.
+    remaining_discard_bytes: usize,
 }
 
-/// All connections whose sending is shut down.
+/// All connections whose sending direction is shut down.
 #[derive(Default)]
 pub(crate) struct Lingering {
     connections: Slab<LingeringConnection>,
 }
 
 impl Lingering {
-    /// How many there are.
+    /// The number of these connections.
     pub(crate) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Ends a connection on which all is written: the one way in which the gateway ends one that a client holds.
-    pub(crate) fn end_connection(&mut self, reactor: &mut Reactor, mut stream: BufferedStream) {
+    /// Ends a connection on which all output is written. Connections that have failed, or whose clients do not read their
+    /// answers, are closed directly instead.
+    pub(crate) fn close_gracefully(&mut self, reactor: &mut Reactor, mut stream: BufferedStream) {
         let key = self.connections.vacant_key();
         if stream
             .shut_down_sending(reactor, Component::Lingering, key)
@@ -53,25 +55,26 @@
         self.connections.insert(LingeringConnection {
             stream,
             deadline: reactor.now + linger,
-            allowance: MAX_DISCARDED_BYTES,
+            remaining_discard_bytes: MAX_DISCARDED_BYTES,
         });
         self.discard_input(reactor, key);
     }
 
-    /// Reads and drops what has come.
+    /// Reads and discards the input of a connection, and closes the connection once the client has closed it, it has failed
+    /// or too many bytes have arrived.
     pub(crate) fn discard_input(&mut self, reactor: &mut Reactor, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         let is_open = connection
             .stream
-            .discard_input(reactor, &mut connection.allowance);
+            .discard_input(reactor, &mut connection.remaining_discard_bytes);
         if !is_open {
             self.close(reactor, key);
         }
     }
 
-    /// At each tick: who has not ended by now is waited for no longer. Returns whether any went.
+    /// Closes the connections whose deadline has passed; called at each tick. Returns whether any were closed.
     pub(crate) fn close_expired(&mut self, reactor: &mut Reactor) -> bool {
         let expired: Vec<usize> = self
             .connections
@@ -85,7 +88,7 @@
         !expired.is_empty()
     }
 
-    /// A descriptor is wanted: the one that has lingered for longest goes. Returns whether there was one.
+    /// Closes the connection with the earliest deadline, to free its descriptor. Returns whether there was one.
     pub(crate) fn evict_oldest(&mut self, reactor: &mut Reactor) -> bool {
         let oldest = self
             .connections
