--- a/edge/src/component.rs
+++ b/edge/src/component.rs
@@ -1,19 +1,19 @@
-//! The components of the gateway, and the poll's tokens by which an event finds the component that it is for.
+//! The components of the gateway, and the encoding of a component and a key as a token of the poll.
 
 use mio::Token;
 
-/// What a socket that the poll watches belongs to.
+/// The component that owns a socket which the poll watches.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Component {
     /// The socket on which clients connect.
     Listener,
     /// The process's signals.
     Signals,
-    /// The datagram socket to other gateways.
+    /// The datagram socket for messages between gateways.
     Peers,
     /// A client's connection.
     Client,
-    /// A client's connection that the gateway has ended and the client has not yet.
+    /// A client's connection that the gateway has ended and the client has not closed yet.
     Lingering,
     /// A connection to an endpoint.
     Upstream,
@@ -36,12 +36,12 @@
 ];
 
 impl Component {
-    /// The token of one of the component's sockets; `key` is what the component itself knows the socket by.
+    /// The token of one of the component's sockets. `key` identifies the socket within the component.
     pub(crate) fn token(self, key: usize) -> Token {
         Token(key * COMPONENTS.len() + self as usize)
     }
 
-    /// The component that a token belongs to, and the key of the socket there.
+    /// The component and the key that a token stands for.
     pub(crate) fn from_token(token: Token) -> (Component, usize) {
         let component = COMPONENTS[token.0 % COMPONENTS.len()];
         let key = token.0 / COMPONENTS.len();
--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -195,8 +195,8 @@
         let deadline = reactor.set_deadline(
             reactor.now + timeout,
             Deadline::CounterCall {
-                line: index,
-                number: serial,
+                connection_index: index,
+                serial,
             },
         );
         connection.pending_calls.push_back(PendingCall {
--- a/edge/src/deadlines.rs
+++ b/edge/src/deadlines.rs
@@ -1,34 +1,35 @@
-//! Everything that is due at some time, in one ordered queue.
+//! The deadlines of all components, in one queue ordered by time.
 
 use crate::reactor::Serial;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wellcrank::port::TimerToken;
 
-/// What is due at a deadline.
+/// What has to be handled when a deadline expires.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Deadline {
     /// A timer that the admission controller has set.
     ControllerTimer(TimerToken),
-    /// The time of an upstream attempt, or of one of its steps, is up.
+    /// The timeout of an upstream attempt, or of one of its steps.
     Attempt {
         /// The key of the connection that carries it.
         key: usize,
-        /// The connection's serial number, since keys are used again.
+        /// The connection's serial number, since keys are reused.
         connection: Serial,
     },
-    /// The time of a call on the shared counter is up.
+    /// The timeout of a call on the shared counter.
     CounterCall {
         /// The index of the connection that the call was written to.
-        line: usize,
+        connection_index: usize,
         /// The call's serial number.
-        number: Serial,
+        serial: Serial,
     },
 }
 
-/// Names a deadline that was set. Deadlines at the same time fall due in the order in which they were set.
+/// Identifies a deadline that was set. Deadlines at the same time expire in the order in which they were set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) struct DeadlineId {
+    /// When it expires, since the start of the gateway's clock.
     due_at: Duration,
     serial: Serial,
 }
@@ -40,7 +41,7 @@
 }
 
 impl DeadlineQueue {
-    /// Sets a deadline. `serial` was given to no other one.
+    /// Sets a deadline. `serial` must be unique and increase from one deadline to the next.
     pub(crate) fn set(
         &mut self,
         due_at: Duration,
@@ -52,18 +53,18 @@
         id
     }
 
-    /// Cancels a deadline, if it has not fallen due yet.
+    /// Cancels a deadline, if it has not expired yet.
     pub(crate) fn cancel(&mut self, id: DeadlineId) {
         self.deadlines.remove(&id);
     }
 
-    /// Takes the earliest deadline, if it is due at `now`.
+    /// Takes the earliest deadline, if it has expired at `now`.
     pub(crate) fn take_expired(&mut self, now: Duration) -> Option<Deadline> {
         let earliest = self.deadlines.first_entry()?;
         (earliest.key().due_at <= now).then(|| earliest.remove())
     }
 
-    /// When the earliest deadline falls due.
+    /// When the earliest deadline expires.
     pub(crate) fn earliest(&self) -> Option<Duration> {
         self.deadlines.keys().next().map(|id| id.due_at)
     }
--- a/edge/src/deadlines/tests.rs
+++ b/edge/src/deadlines/tests.rs
@@ -4,18 +4,18 @@
     Deadline::ControllerTimer(TimerToken(number))
 }
 
-/// The tokens of the timers that are due at `now`, in the order in which they are taken.
+/// Takes the timers that have expired at `now`. Returns their tokens in the order in which they were taken.
 fn take_all(queue: &mut DeadlineQueue, now: Duration) -> Vec<u64> {
     std::iter::from_fn(|| queue.take_expired(now))
         .map(|deadline| match deadline {
             Deadline::ControllerTimer(token) => token.0,
-            other => panic!("{other:?} was not set"),
+            other => panic!("expected a controller timer, got {other:?}"),
         })
         .collect()
 }
 
 #[test]
-fn deadlines_fall_due_by_time_and_then_in_the_order_in_which_they_were_set() {
+fn deadlines_expire_by_time_and_then_in_the_order_in_which_they_were_set() {
     let mut queue = DeadlineQueue::default();
     let second = Duration::from_secs(1);
     queue.set(2 * second, 1, timer(1));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_cancelled_deadline_does_not_fall_due() {
+fn a_cancelled_deadline_does_not_expire() {
     let mut queue = DeadlineQueue::default();
     let second = Duration::from_secs(1);
     let cancelled = queue.set(second, 1, timer(1));
--- a/edge/src/event_loop.rs
+++ b/edge/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: one poll a turn. What comes in is queued for the admission controller; what that asks for is done at
-//! once, and written when the turn ends.
+//! The event loop, with one poll per iteration. Events are queued as notifications for the admission controller, and what
+//! the controller requests is done at once, except that output is written at the end of the iteration.
 
 use crate::gateway::Gateway;
 use crate::notification::Notification;
@@ -11,10 +11,10 @@
 use wellcrank::control::AdmissionController;
 use wellcrank::port::{AttemptNumber, AttemptResult, Request, RequestId};
 
-/// How many events the poll may return at once.
+/// The maximum number of events that the poll returns at once.
 const MAX_EVENTS: usize = 1024;
 
-/// Runs until the gateway was told to stop and nobody is left to answer.
+/// Runs the gateway until its graceful shutdown is complete. Fails if the poll fails.
 pub(crate) fn run(
     poll: &mut Poll,
     gateway: &RefCell<Gateway>,
@@ -25,12 +25,13 @@
         let timeout = gateway.borrow().reactor.poll_timeout();
         wait_for_events(poll, &mut events, timeout)?;
         handle_events(&mut gateway.borrow_mut(), &events);
-        finish_turn(gateway, controller);
+        finish_iteration(gateway, controller);
     }
     Ok(())
 }
 
-/// Waits until the poll has something to tell, a signal has come or the time is up.
+/// Waits until the poll reports events, a signal interrupts it or `timeout` has passed; without a timeout, for as long as it
+/// takes.
 fn wait_for_events(
     poll: &mut Poll,
     events: &mut Events,
@@ -42,9 +43,9 @@
     }
 }
 
-/// Hands each event, and then all that is due, to its component.
+/// Passes each event, and then each expired deadline, to its component.
 fn handle_events(gateway: &mut Gateway, events: &Events) {
-    gateway.reactor.begin_turn();
+    gateway.reactor.begin_iteration();
     for event in events {
         gateway.on_readiness(event.token(), Readiness::from(event));
     }
@@ -53,10 +54,10 @@
     }
 }
 
-/// Hands over what has come and writes what was collected, until neither brings anything new.
-fn finish_turn(gateway: &RefCell<Gateway>, controller: &mut AdmissionController) {
+/// Delivers notifications and writes queued output, until neither causes more of the other.
+fn finish_iteration(gateway: &RefCell<Gateway>, controller: &mut AdmissionController) {
     loop {
-        hand_over_notifications(gateway, controller);
+        deliver_notifications(gateway, controller);
         let mut gateway = gateway.borrow_mut();
         if !gateway.reactor.has_scheduled_flushes() && !gateway.resume_clients() {
             return;
@@ -65,29 +66,30 @@
     }
 }
 
-/// Hands the controller what has come, one by one, each at its time.
-fn hand_over_notifications(gateway: &RefCell<Gateway>, controller: &mut AdmissionController) {
+/// Delivers all queued notifications to the controller, each with the time of its delivery.
+fn deliver_notifications(gateway: &RefCell<Gateway>, controller: &mut AdmissionController) {
     while let Some((notification, now)) = next_notification(gateway) {
         controller.set_time(now);
-        hand_over(notification, gateway, controller);
+        deliver(notification, gateway, controller);
     }
 }
 
-/// The notification that was queued first, and the time at which it is handed over.
+/// Takes the notification that was queued first, with the current time.
 fn next_notification(gateway: &RefCell<Gateway>) -> Option<(Notification, Duration)> {
     let reactor = &mut gateway.borrow_mut().reactor;
     let notification = reactor.take_notification()?;
     Some((notification, reactor.now))
 }
 
-/// Hands the controller one notification. The controller acts through its port meanwhile, which borrows the gateway.
-fn hand_over(
+/// Delivers one notification to the controller. The controller acts through its port meanwhile, which borrows the gateway,
+/// so the gateway must not be borrowed here during the call.
+fn deliver(
     notification: Notification,
     gateway: &RefCell<Gateway>,
     controller: &mut AdmissionController,
 ) {
     match notification {
-        Notification::Request(request) => hand_over_request(request, gateway, controller),
+        Notification::Request(request) => deliver_request(request, gateway, controller),
         Notification::RejectUnadmitted(request) => {
             gateway.borrow_mut().reactor.metrics.requests += 1;
             controller.reject_unadmitted(&request);
@@ -101,7 +103,7 @@
             request,
             attempt,
             result,
-        } => hand_over_attempt_end(&request, attempt, result, gateway, controller),
+        } => deliver_attempt_end(&request, attempt, result, gateway, controller),
         Notification::CounterReply { name, reply } => controller.on_counter_reply(name, reply),
         Notification::EndpointUpdate { timing, update } => {
             controller.on_endpoint_update(timing, update);
@@ -111,25 +113,28 @@
     }
 }
 
-fn hand_over_request(
+/// Delivers a request to the controller, or has the controller reject it if its client no longer waits.
+fn deliver_request(
     request: Request,
     gateway: &RefCell<Gateway>,
     controller: &mut AdmissionController,
 ) {
-    let is_wanted = {
+    let is_awaited = {
         let mut gateway = gateway.borrow_mut();
         gateway.reactor.metrics.requests += 1;
-        gateway.is_wanted(&request.id)
+        gateway.is_awaited(&request.id)
     };
-    // Its client may have left in the same turn: nothing is begun for it.
-    if is_wanted {
+    // The client may have left in the same event loop iteration; then no attempt is made.
+    if is_awaited {
         controller.on_request(request);
     } else {
         controller.reject_unadmitted(&request.id);
     }
 }
 
-fn hand_over_attempt_end(
+/// Delivers the end of an attempt to the controller. If the request has its answer or is closed, tells the controller so
+/// and closes the request.
+fn deliver_attempt_end(
     request: &RequestId,
     attempt: AttemptNumber,
     mut result: AttemptResult,
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -1,5 +1,5 @@
-//! All that one gateway owns beside the admission controller: the components, the open requests and the reactor that
-//! they share. Hands each event of the poll and each deadline to its component.
+//! Everything that one gateway owns besides its admission controller: the components, the open requests and the reactor
+//! that they share. Passes each event of the poll and each deadline to its component.
 
 mod socket_port;
 
@@ -27,20 +27,20 @@
 
 pub(crate) use socket_port::SocketPort;
 
-/// A gateway that has no endpoint list, since its configuration holds none and discovery does not answer, is ready so
-/// long after its start all the same: nine in ten restarted ones must be within 10 s. Trade-off: requests come to it
-/// that others could serve; it rejects them at once, with advice.
+/// How long after its start a gateway without an endpoint list reports itself ready all the same. Its configuration then
+/// holds no list and discovery does not answer, but nine of ten restarted gateways must be ready within 10 s. Trade-off:
+/// the gateway receives requests that others could serve; it rejects them at once, with advice when to retry.
 const MAX_WAIT_FOR_ENDPOINTS: Duration = Duration::from_secs(8);
 
-/// The interval of the periodic work that is too costly for each tick.
+/// The interval of the periodic work that is too expensive to do at each tick.
 const SLOW_TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many slow ticks there are between two reports of the metrics.
+/// How many slow ticks there are from one report of the metrics to the next.
 const SLOW_TICKS_PER_REPORT: u64 = 60;
 
-/// One gateway but for its admission controller.
+/// One gateway without its admission controller.
 pub(crate) struct Gateway {
-    /// What the components share.
+    /// The state that all components share.
     pub(crate) reactor: Reactor,
     requests: OpenRequests,
     clients: Clients,
@@ -50,16 +50,16 @@
     peers: Peers,
     signals: Signals,
     started_at: Duration,
-    /// When discovery sent the latest list or change, also one without entries.
+    /// When discovery last sent a list or a change, even one without entries.
     last_update_at: Option<Duration>,
-    /// What the process was started with.
+    /// The parts of the configuration that take effect only at a start, as the process was started with them.
     restart_only_config: RestartOnlyConfig,
     slow_ticks: u64,
     next_slow_tick_at: Duration,
 }
 
 impl Gateway {
-    /// A gateway that was set up, with no request and no endpoint.
+    /// Creates a gateway from its components, without any request or endpoint.
     pub(crate) fn new(
         reactor: Reactor,
         clients: Clients,
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Takes the configured endpoint list over, and begins to follow discovery's unless the controller is to say when.
+    /// Applies the endpoint list of the configuration, if it holds one, and starts to follow discovery. With
+    /// [`DiscoveryMode::Subscribe`], the controller decides when to follow discovery.
     pub(crate) fn begin_serving(&mut self, config: NodeConfig) {
         let known = config.known_endpoints.filter(|known| !known.is_empty());
         if let Some(known) = known {
@@ -99,7 +100,7 @@
         slog::info!(self.reactor.log, "serving"; "listen" => %config.listen, "budget" => ?self.reactor.budget);
     }
 
-    /// Hands an event of the poll to the component that it is for.
+    /// Passes an event of the poll to the component that owns the socket.
     pub(crate) fn on_readiness(&mut self, token: Token, readiness: Readiness) {
         let Gateway {
             reactor,
@@ -124,6 +125,7 @@
         }
     }
 
+    /// Handles pending signals: SIGHUP reloads the configuration, any other starts the graceful shutdown.
     fn on_signals(&mut self) {
         let reactor = &mut self.reactor;
         for signal in self.signals.pending() {
@@ -135,14 +137,14 @@
                     &self.restart_only_config,
                 );
             } else if reactor.shutdown.is_none() {
-                slog::info!(reactor.log, "stopping: still answering"; "open_requests" => self.requests.len());
+                slog::info!(reactor.log, "graceful shutdown started, answering open requests"; "open_requests" => self.requests.len());
                 let shutdown = GracefulShutdown::new(reactor.now, &reactor.settings);
                 reactor.shutdown = Some(shutdown);
             }
         }
     }
 
-    /// Discovery has sent the endpoint list or a change of it.
+    /// Handles an endpoint list, or a change of it, from discovery.
     fn on_discovery_message(&mut self, message: EndpointListMessage) {
         let now = self.reactor.now;
         let since_last_update = self
@@ -152,8 +154,8 @@
         self.apply_endpoint_list(message, since_last_update);
     }
 
-    /// Takes the endpoint list or a change of it over, from discovery or from the gateway's own configuration.
-    /// `since_last_update`: how long ago discovery sent the one before.
+    /// Applies an endpoint list or a change of it, from discovery or from the gateway's configuration.
+    /// `since_last_update`: how long ago discovery sent the list or change before this one.
     fn apply_endpoint_list(
         &mut self,
         message: EndpointListMessage,
@@ -172,7 +174,7 @@
         self.clients.is_ready = true;
     }
 
-    /// Hands a complete update to the pool and to the admission controller.
+    /// Passes an update whose unreadable entries are resolved to the pool and to the admission controller.
     fn apply_update(&mut self, update: ParsedUpdate, since_last_update: Option<Duration>) {
         slog::info!(self.reactor.log, "endpoint list updated";
             "rev" => update.revision, "snapshot" => update.is_snapshot,
@@ -202,14 +204,15 @@
         });
     }
 
-    /// Hands a deadline that has fallen due to its component.
+    /// Passes an expired deadline to its component.
     pub(crate) fn on_deadline(&mut self, deadline: Deadline) {
         let reactor = &mut self.reactor;
         match deadline {
             Deadline::Attempt { key, connection } => self.pool.on_timeout(reactor, key, connection),
-            Deadline::CounterCall { line, number } => {
-                self.counter.on_timeout(reactor, line, number)
-            }
+            Deadline::CounterCall {
+                connection_index,
+                serial,
+            } => self.counter.on_timeout(reactor, connection_index, serial),
             Deadline::ControllerTimer(token) => {
                 reactor.notify(Notification::Timer(token));
                 if token == TICK_TIMER {
@@ -219,7 +222,7 @@
         }
     }
 
-    /// The gateway's own periodic work; hangs on the one periodic timer of the controller.
+    /// Does the gateway's own periodic work, whenever the controller's periodic timer fires.
     fn on_tick(&mut self) {
         let Gateway {
             reactor,
@@ -229,7 +232,7 @@
         } = self;
         if reactor.must_answer_now() {
             clients.close_after_last_answers(reactor, requests);
-            for request in requests.wanted() {
+            for request in requests.awaited() {
                 reactor.notify(Notification::ExpireRequest(request));
             }
         } else if reactor.is_draining() {
@@ -244,7 +247,7 @@
         }
     }
 
-    /// Once a second.
+    /// Does the expensive periodic work, once every `SLOW_TICK_INTERVAL`.
     fn on_slow_tick(&mut self) {
         self.stop_waiting_for_endpoints();
         if self.slow_ticks.is_multiple_of(SLOW_TICKS_PER_REPORT) {
@@ -264,13 +267,13 @@
         self.counter.ping_idle(reactor);
     }
 
-    /// Has the gateway be ready without an endpoint list where none has come for too long.
+    /// Makes the gateway report itself ready if no endpoint list has arrived within `MAX_WAIT_FOR_ENDPOINTS`.
     fn stop_waiting_for_endpoints(&mut self) {
         let waits_until = self.started_at + MAX_WAIT_FOR_ENDPOINTS;
         if self.reactor.now >= waits_until && !self.clients.is_ready {
             slog::warn!(
                 self.reactor.log,
-                "no endpoint list yet, but ready: requests are rejected until it comes"
+                "no endpoint list received yet, reporting ready: requests are rejected until a list arrives"
             );
             self.clients.is_ready = true;
         }
@@ -286,20 +289,22 @@
         self.reactor.metrics.report(&self.reactor.log, &gauges);
     }
 
-    /// Whether the gateway was told to stop and nobody is left to answer.
+    /// Whether the graceful shutdown is complete: no client is connected, no request is open and, unless all requests must be
+    /// answered by now, the counter owes no reply.
     pub(crate) fn is_finished(&mut self) -> bool {
-        // What the counter has not answered by the end was written, and lapses with its name.
-        let is_counted = self.counter.owes_no_replies() || self.reactor.must_answer_now();
-        let is_quiet = self.clients.len() == 0 && self.requests.len() == 0 && is_counted;
+        // Once all requests must be answered, missing replies of the counter are not awaited: the calls were written, and
+        // the values on the counter expire.
+        let has_counter_settled = self.counter.owes_no_replies() || self.reactor.must_answer_now();
+        let is_quiet = self.clients.len() == 0 && self.requests.len() == 0 && has_counter_settled;
         if !is_quiet || !self.reactor.is_draining() {
             return false;
         }
-        // Clients that have connected since the last poll are still answered.
+        // Clients that have connected since the last poll are still served.
         self.clients.accept(&mut self.reactor, &mut self.requests);
         self.clients.len() == 0
     }
 
-    /// Writes what the turn has collected, once a connection.
+    /// Writes the output that was queued during this event loop iteration, with one flush per connection.
     pub(crate) fn flush_connections(&mut self) {
         let Gateway {
             reactor,
@@ -318,23 +323,23 @@
         }
     }
 
-    /// Goes on with clients' connections that were held up. Returns whether there were any.
+    /// Resumes paused client connections, and accepting. Returns whether there was anything to resume.
     pub(crate) fn resume_clients(&mut self) -> bool {
         self.clients
             .resume_paused(&mut self.reactor, &mut self.requests)
     }
 
-    /// Whether a request is open and its client waits for the answer.
-    pub(crate) fn is_wanted(&self, request: &RequestId) -> bool {
-        self.requests.is_wanted(request)
+    /// Whether a request is open, without an answer, and its client has not stopped sending.
+    pub(crate) fn is_awaited(&self, request: &RequestId) -> bool {
+        self.requests.is_awaited(request)
     }
 
-    /// Whether a request is open and has no answer yet.
+    /// Whether a request is open and has no answer yet, even if its client has stopped sending.
     pub(crate) fn is_unanswered(&self, request: &RequestId) -> bool {
         self.requests.is_unanswered(request)
     }
 
-    /// Gives a request the controller's final answer, unless it has an endpoint's.
+    /// Closes a request and sends its client the controller's final answer, unless an endpoint's answer was sent.
     fn answer_request(&mut self, request: &RequestId, answer: &str) {
         let slot = self
             .requests
@@ -349,13 +354,13 @@
         }
     }
 
-    /// The client of a request has disconnected.
+    /// Counts and closes a request whose client has disconnected.
     pub(crate) fn on_client_disconnect(&mut self, request: &RequestId) {
         self.reactor.metrics.disconnected += 1;
         self.close_request(request);
     }
 
-    /// The request is over, as far as the controller is concerned too.
+    /// Removes a request from the open ones and releases its bytes.
     pub(crate) fn close_request(&mut self, request: &RequestId) {
         if let Some(open) = self.requests.remove(request) {
             self.reactor.release_buffered_bytes(open.command.size());
--- a/edge/src/gateway/socket_port.rs
+++ b/edge/src/gateway/socket_port.rs
@@ -1,4 +1,4 @@
-//! What the admission controller asks for, done on the sockets.
+//! The admission controller's [`Port`] on the gateway's sockets.
 
 use super::Gateway;
 use crate::deadlines::Deadline;
@@ -15,14 +15,15 @@
 }
 
 impl SocketPort {
-    /// The port of a gateway.
+    /// Creates the port of a gateway.
     pub(crate) fn new(gateway: Rc<RefCell<Gateway>>) -> SocketPort {
         SocketPort { gateway }
     }
 }
 
 impl Port for SocketPort {
-    /// Begins an attempt, if the request is still wanted and has an attempt and time left.
+    /// Starts an attempt. If the client no longer waits, the deadline has passed or no attempt is left, the attempt is
+    /// reported as not sent instead.
     fn send(
         &mut self,
         request: &RequestId,
@@ -44,7 +45,7 @@
         open.attempts += 1;
         let deadline = attempt_deadline(open, reactor.now, timeout);
         let has_attempt_left = max_attempts == 0 || number.0 < max_attempts;
-        if !open.is_wanted() || deadline <= reactor.now || !has_attempt_left {
+        if !open.is_awaited() || deadline <= reactor.now || !has_attempt_left {
             return pool.report_not_sent(reactor, request, number);
         }
         let attempt = NewAttempt {
@@ -91,7 +92,7 @@
         reactor.set_deadline(at, Deadline::ControllerTimer(token));
     }
 
-    /// The controller sends no probes, and would not be told of an answer.
+    /// Does nothing: the controller sends no probes on sockets, and there is no notification for the answer to one.
     fn probe(&mut self, _: &EndpointId) {}
 
     fn subscribe(&mut self, active: bool) {
@@ -122,7 +123,8 @@
     }
 }
 
-/// Until when the response to an attempt is waited for; a timeout of zero: as long as the request has.
+/// The deadline for the response to an attempt. It is never later than the request's deadline; a timeout of zero stands for
+/// the request's deadline.
 fn attempt_deadline(request: &OpenRequest, now: Duration, timeout: Duration) -> Duration {
     if timeout.is_zero() {
         request.deadline
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -439,7 +439,7 @@
         let is_in_time = now < attempt.current_deadline();
         let open = requests
             .get_mut(&attempt.request)
-            .filter(|open| open.is_wanted() && is_usable && is_in_time);
+            .filter(|open| open.is_awaited() && is_usable && is_in_time);
         let Some(open) = open else {
             reactor.metrics.lapsed_attempts += 1;
             self.end_attempt_and_close(reactor, key, |_| AttemptOutcome::NotSent);
--- a/edge/src/reactor.rs
+++ b/edge/src/reactor.rs
@@ -1,5 +1,5 @@
-//! What all components of the gateway share: the poll's registry, the deadlines, the notifications for the admission
-//! controller, the account of buffered bytes and the metrics.
+//! The state that all components of the gateway share: the poll's registry, the deadlines, the notifications for the
+//! admission controller, the number of buffered bytes and the metrics.
 
 use crate::budget::Budget;
 use crate::clock::Clock;
@@ -15,44 +15,49 @@
 use std::time::Duration;
 use wellcrank::settings::Settings;
 
-/// A number that is given once: to a request, a connection, a deadline.
+/// A serial number. Requests, connections, deadlines and calls on the counter share one sequence, so each number is used
+/// once.
 pub(crate) type Serial = u64;
 
-/// How long a connection may take to come up where the settings do not say: as long as the system waits before it asks
-/// for one again.
+/// How long a connection may take to be established if the settings do not say: as long as the system waits before it
+/// retransmits the SYN.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The size in bytes of the buffer that all sockets are read into.
-const SCRATCH_SIZE: usize = 64 * 1024;
+/// The size of the buffer that all sockets are read into.
+const SCRATCH_BYTES: usize = 64 * 1024;
 
-/// What all components share.
+/// The state that all components share. Times are durations since the start of the gateway's clock.
 pub(crate) struct Reactor {
-    /// Where sockets are registered with the poll.
+    /// Registers sockets with the poll.
     pub(crate) registry: Registry,
     /// The system's clocks.
     pub(crate) clock: Clock,
-    /// The time of what is being handled: read when the poll returns and before each notification.
+    /// The time at which the present event or notification is handled: read when the poll returns and before each
+    /// notification is delivered.
     pub(crate) now: Duration,
-    /// When the poll returned last.
+    /// When the poll last returned.
     pub(crate) polled_at: Duration,
-    /// The settings that hold now.
+    /// The current settings.
     pub(crate) settings: Rc<Settings>,
     /// How often the settings have changed since the start.
     settings_generation: u64,
-    /// The shares of sockets and memory.
+    /// The limits on the connections of each kind and on buffered bytes.
     pub(crate) budget: Budget,
-    /// What any socket is read into, before it is appended to the buffer of its connection.
+    /// The buffer that sockets are read into, before the bytes are appended to the input of their connection.
     pub(crate) scratch: Box<[u8]>,
-    /// When and how the gateway stops, once it was told to.
+    /// The times of the graceful shutdown, once the gateway was told to stop.
     pub(crate) shutdown: Option<GracefulShutdown>,
-    /// What was done since the last report.
+    /// Counts of what was done since the last report.
     pub(crate) metrics: Metrics,
     /// The invariants that were violated since the last report.
     pub(crate) violations: InvariantViolations,
     /// Where log lines go.
     pub(crate) log: Logger,
+    /// The notifications for the admission controller, the oldest first.
     notifications: VecDeque<Notification>,
+    /// The connections to flush at the end of this event loop iteration.
     flush_queue: Vec<Token>,
+    /// The connections to flush at the end of the next iteration.
     deferred_flushes: Vec<Token>,
     buffered_bytes: usize,
     deadlines: DeadlineQueue,
@@ -60,7 +65,7 @@
 }
 
 impl Reactor {
-    /// A reactor whose clock starts now.
+    /// Creates a reactor whose clock starts now.
     pub(crate) fn new(
         registry: Registry,
         settings: Rc<Settings>,
@@ -77,7 +82,7 @@
             settings,
             settings_generation: 0,
             budget,
-            scratch: vec![0; SCRATCH_SIZE].into(),
+            scratch: vec![0; SCRATCH_BYTES].into(),
             shutdown: None,
             metrics: Metrics::default(),
             violations: InvariantViolations::default(),
@@ -91,68 +96,69 @@
         }
     }
 
-    /// The poll has returned: reads the clock, and queues the flushes that were deferred until now.
-    pub(crate) fn begin_turn(&mut self) {
+    /// Starts an event loop iteration, after the poll has returned: reads the clock, and schedules the flushes that were
+    /// deferred to this iteration.
+    pub(crate) fn begin_iteration(&mut self) {
         self.now = self.clock.now();
         self.polled_at = self.now;
         self.flush_queue.append(&mut self.deferred_flushes);
     }
 
-    /// A serial number that was not given before.
+    /// Returns a serial number that was not used before.
     pub(crate) fn next_serial(&mut self) -> Serial {
         self.last_serial += 1;
         self.last_serial
     }
 
-    /// Queues something for the admission controller.
+    /// Queues a notification for the admission controller.
     pub(crate) fn notify(&mut self, notification: Notification) {
         self.notifications.push_back(notification);
     }
 
-    /// Takes the notification that was queued first, and reads the clock for it.
+    /// Takes the notification that was queued first, and sets `now` to the current time.
     pub(crate) fn take_notification(&mut self) -> Option<Notification> {
         let notification = self.notifications.pop_front()?;
         self.now = self.clock.now();
         Some(notification)
     }
 
-    /// Has a connection flushed at the end of the turn.
+    /// Schedules a flush of a connection for the end of this event loop iteration.
     pub(crate) fn schedule_flush(&mut self, token: Token) {
         self.flush_queue.push(token);
     }
 
-    /// Has a connection flushed at the end of the next turn, which begins at once.
+    /// Schedules a flush of a connection for the end of the next iteration, whose poll does not wait.
     pub(crate) fn defer_flush(&mut self, token: Token) {
         self.deferred_flushes.push(token);
     }
 
-    /// Whether a connection is to be flushed in this turn.
+    /// Whether any connection is to be flushed in this iteration.
     pub(crate) fn has_scheduled_flushes(&self) -> bool {
         !self.flush_queue.is_empty()
     }
 
-    /// Takes the connections that are to be flushed in this turn.
+    /// Takes the tokens of the connections to flush in this iteration.
     pub(crate) fn take_scheduled_flushes(&mut self) -> Vec<Token> {
         std::mem::take(&mut self.flush_queue)
     }
 
-    /// Sets a deadline.
+    /// Sets a deadline. The id that is returned cancels it.
     pub(crate) fn set_deadline(&mut self, due_at: Duration, deadline: Deadline) -> DeadlineId {
         let serial = self.next_serial();
         self.deadlines.set(due_at, serial, deadline)
     }
 
-    /// Cancels a deadline, if it has not fallen due yet.
+    /// Cancels a deadline, if it has not expired yet.
     pub(crate) fn cancel_deadline(&mut self, id: DeadlineId) {
         self.deadlines.cancel(id);
     }
 
-    /// Takes the earliest deadline, if it is due by now.
+    /// Takes the earliest deadline, if it has expired.
     pub(crate) fn take_expired_deadline(&mut self) -> Option<Deadline> {
         self.deadlines.take_expired(self.now)
     }
 
-    /// How long the poll may wait for events; none: until one comes.
+    /// How long the poll may wait for events; `None` if it may wait until one arrives.
     pub(crate) fn poll_timeout(&self) -> Option<Duration> {
         if !self.deferred_flushes.is_empty() {
             return Some(Duration::ZERO);
@@ -161,21 +167,21 @@
         Some(due_at.saturating_sub(self.clock.now()))
     }
 
-    /// Whether the gateway was told to stop and others have had the time to notice: connections are ended between two
-    /// requests.
+    /// Whether the gateway was told to stop and its clients have had time to notice, so that it closes connections between
+    /// two requests.
     pub(crate) fn is_draining(&self) -> bool {
         self.shutdown
             .is_some_and(|shutdown| shutdown.drain_from <= self.now)
     }
 
-    /// Whether the gateway was told to stop and is killed soon: every open request is answered now, nothing more is
-    /// taken.
+    /// Whether the gateway was told to stop and will be killed soon, so that it answers every open request now and reads no
+    /// further ones.
     pub(crate) fn must_answer_now(&self) -> bool {
         self.shutdown
             .is_some_and(|shutdown| shutdown.answer_by <= self.now)
     }
 
-    /// How long a connection may take to come up.
+    /// How long a connection may take to be established.
     pub(crate) fn connect_timeout(&self) -> Duration {
         let timeout = self.settings.limits.connect_timeout;
         if timeout.is_zero() {
@@ -185,36 +191,37 @@
         }
     }
 
-    /// Other settings hold from now on.
+    /// Replaces the settings.
     pub(crate) fn replace_settings(&mut self, settings: Rc<Settings>) {
         self.settings = settings;
         self.settings_generation += 1;
         slog::info!(self.log, "settings changed"; "generation" => self.settings_generation);
     }
 
-    /// Logs it where the wall clock was stepped since the last check.
+    /// Logs a step of the wall clock since the last check, if there was one.
     pub(crate) fn check_wall_clock(&mut self) {
         if let Some(seconds) = self.clock.detect_step() {
-            slog::warn!(self.log, "the wall clock was stepped: spans and windows go on as before"; "seconds" => seconds);
+            slog::warn!(self.log, "the wall clock was stepped: durations and quota windows are not affected"; "seconds" => seconds);
         }
     }
 
-    /// Bytes in the buffers of connections and in open requests.
+    /// The number of bytes in the buffers of connections and in open requests.
     pub(crate) fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// Bytes are buffered from now on.
+    /// Adds to the number of buffered bytes.
     pub(crate) fn add_buffered_bytes(&mut self, bytes: usize) {
         self.buffered_bytes += bytes;
     }
 
-    /// Bytes are buffered no longer. A wrong count must not come out as a memory that is full for ever.
+    /// Subtracts from the number of buffered bytes. It stops at zero: if a counting error made it wrap around, the memory
+    /// would count as full for ever.
     pub(crate) fn release_buffered_bytes(&mut self, bytes: usize) {
         invariant!(
             self,
             bytes <= self.buffered_bytes,
-            "no more bytes are released than are buffered"
+            "at most as many bytes are released as are buffered"
         );
         self.buffered_bytes = self.buffered_bytes.saturating_sub(bytes);
     }
--- a/edge/src/requests.rs
+++ b/edge/src/requests.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether it is still owed its one final answer, by a client that has not ended its sending.
-    pub(crate) fn is_wanted(&self) -> bool {
+    pub(crate) fn is_awaited(&self) -> bool {
         !self.answered && !self.client_left
     }
 }
@@ -103,10 +103,10 @@
     }
 
     /// Whether it is still owed its one final answer, so that attempts may be begun for it.
-    pub(crate) fn is_wanted(&self, id: &RequestId) -> bool {
+    pub(crate) fn is_awaited(&self, id: &RequestId) -> bool {
         self.open
             .get(&serial_of(id))
-            .is_some_and(OpenRequest::is_wanted)
+            .is_some_and(OpenRequest::is_awaited)
     }
 
     /// Its client has gone: from now on nothing is begun for it. Returns its id, if it was still owed an answer.
@@ -114,16 +114,16 @@
         let request = self
             .open
             .get_mut(&serial)
-            .filter(|request| request.is_wanted())?;
+            .filter(|request| request.is_awaited())?;
         request.client_left = true;
         Some(request_id(serial))
     }
 
     /// All that are still owed their final answers.
-    pub(crate) fn wanted(&self) -> impl Iterator<Item = RequestId> + '_ {
+    pub(crate) fn awaited(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.open
             .iter()
-            .filter(|(_, request)| request.is_wanted())
+            .filter(|(_, request)| request.is_awaited())
             .map(|(serial, _)| request_id(*serial))
     }
 
--- a/edge/src/stream.rs
+++ b/edge/src/stream.rs
@@ -1,5 +1,5 @@
-//! One buffered TCP connection: reads until the socket is empty, queues what is to be written until the end of the turn
-//! of the event loop, and tells how much of it is pending.
+//! One buffered TCP connection: reads until the socket is empty, and queues output until the end of the event loop
+//! iteration.
 
 use crate::component::Component;
 use crate::invariants::invariant;
@@ -11,40 +11,43 @@
 use std::net::{Shutdown, SocketAddr};
 use std::os::fd::{AsRawFd, RawFd};
 
-const BOTH_WAYS: Interest = Interest::READABLE.add(Interest::WRITABLE);
+/// Connections are registered with the poll for reading and writing.
+const READABLE_AND_WRITABLE: Interest = Interest::READABLE.add(Interest::WRITABLE);
 
-/// So often a connection is tried at once: what fails for want of something of this machine's own, or since a signal
-/// came, may not fail a moment later.
+/// How often connecting is tried without a pause. Errors other than a refusal, such as a lack of a local resource or an
+/// interruption by a signal, may be gone a moment later.
 const MAX_CONNECT_ATTEMPTS: u32 = 3;
 
-/// Buffers that have grown past this many bytes are given back once they are empty.
-const MAX_KEPT_CAPACITY: usize = 4096;
+/// A buffer with a larger capacity than this, in bytes, is freed once it is empty.
+const MAX_RETAINED_CAPACITY: usize = 4096;
 
-/// A connection with its buffers; their bytes are counted in [`Reactor::buffered_bytes`].
+/// A connection with its buffers. The buffered bytes are counted in [`Reactor::buffered_bytes`].
 pub(crate) struct BufferedStream {
     socket: TcpStream,
     descriptor: RawFd,
     token: Token,
-    /// The poll tells of it.
+    /// Whether the socket is registered with the poll.
     is_registered: bool,
-    /// Connected, as far as a read, a write or the poll has told.
+    /// Whether the connection is known to be established, from a read, a write or the poll.
     pub(crate) is_connected: bool,
-    /// The last read found nothing more: there is nothing to read until the poll says so. Whoever is told by the poll
-    /// resets it.
+    /// Whether the last read found the socket empty, so that reading is useless until the poll reports more input. The owner
+    /// resets it when the poll does.
     pub(crate) read_would_block: bool,
-    /// It was reset, or failed otherwise: no end that the other side has sent.
+    /// Whether a read has failed, for example by a reset, as opposed to the other side's orderly end of the stream.
     pub(crate) has_failed: bool,
-    /// What has come and was not consumed yet.
+    /// The bytes that were read and not consumed yet.
     pub(crate) input: Vec<u8>,
+    /// The queued bytes, including those that are written already.
     output: Vec<u8>,
-    /// How much of the output is written.
-    written: usize,
-    /// It is flushed at the end of the turn.
+    /// How many bytes at the front of `output` are written.
+    written_bytes: usize,
+    /// Whether a flush is scheduled for the end of the event loop iteration.
     is_flush_scheduled: bool,
 }
 
 impl BufferedStream {
-    /// Opens a connection.
+    /// Opens a connection and registers it with the poll. It is not established yet when this returns. Fails with the error
+    /// of the last try if the address refuses the connection at once, or if all `MAX_CONNECT_ATTEMPTS` tries fail.
     pub(crate) fn connect(
         reactor: &mut Reactor,
         address: SocketAddr,
@@ -77,8 +80,8 @@
         Ok(stream)
     }
 
-    /// A connection that was accepted. It is kept where the poll can't take it yet: it may hold a command. Whoever owns it
-    /// registers it then.
+    /// Wraps a connection that was accepted. It is kept even if registering it with the poll fails, since a command may have
+    /// arrived on it; the owner calls [`BufferedStream::register`] again later.
     pub(crate) fn accepted(
         reactor: &mut Reactor,
         socket: TcpStream,
@@ -96,7 +99,7 @@
         key: usize,
         is_connected: bool,
     ) -> BufferedStream {
-        // Without it small answers would wait for the other side's acknowledgement.
+        // With Nagle's algorithm, small writes would wait for the acknowledgement of earlier ones.
         let _ = socket.set_nodelay(true);
         BufferedStream {
             descriptor: socket.as_raw_fd(),
@@ -108,43 +111,45 @@
             has_failed: false,
             input: Vec::new(),
             output: Vec::new(),
-            written: 0,
+            written_bytes: 0,
             is_flush_scheduled: false,
         }
     }
 
-    /// The socket for the poll, by its number: mio's own record of a registration outlives one that failed.
+    /// The socket as an event source, by its descriptor: a mio `TcpStream` would count as registered after a registration
+    /// that failed.
     fn source(&self) -> SourceFd<'_> {
         SourceFd(&self.descriptor)
     }
 
-    /// Has the poll tell of it from now on, if it does not yet.
+    /// Registers the socket with the poll, unless it is registered.
     pub(crate) fn register(&mut self, reactor: &mut Reactor) -> io::Result<()> {
         if !self.is_registered {
             reactor
                 .registry
-                .register(&mut self.source(), self.token, BOTH_WAYS)?;
+                .register(&mut self.source(), self.token, READABLE_AND_WRITABLE)?;
             self.is_registered = true;
         }
         Ok(())
     }
 
-    /// Whether a read or write that failed is only to be done again later: when the poll tells, or, where the system had
-    /// no memory for it, as soon as the poll is asked again.
+    /// Whether a failed read or write should be retried: once the poll reports the socket, or, if the system was out of
+    /// memory, after the next call of the poll.
     fn should_retry_later(&self, reactor: &Reactor, error: &io::Error) -> bool {
         let is_short_of_memory = error
             .raw_os_error()
             .is_some_and(|number| [libc::ENOBUFS, libc::ENOMEM].contains(&number));
-        // The poll tells what it was just told of again.
-        let is_told_again = is_short_of_memory
+        // Registering again makes the poll report the socket's present readiness once more.
+        let is_reported_again = is_short_of_memory
             && reactor
                 .registry
-                .reregister(&mut self.source(), self.token, BOTH_WAYS)
+                .reregister(&mut self.source(), self.token, READABLE_AND_WRITABLE)
                 .is_ok();
-        is_told_again || error.kind() == ErrorKind::WouldBlock
+        is_reported_again || error.kind() == ErrorKind::WouldBlock
     }
 
-    /// Has `write` add to the output; it goes out at the end of the turn. Returns how many bytes it added.
+    /// Lets `write` append to the output, which is written at the end of the event loop iteration. Returns how many bytes
+    /// were appended.
     pub(crate) fn queue(
         &mut self,
         reactor: &mut Reactor,
@@ -158,7 +163,7 @@
         added
     }
 
-    /// Has it flushed at the end of the turn.
+    /// Schedules a flush for the end of the event loop iteration, unless one is scheduled.
     pub(crate) fn schedule_flush(&mut self, reactor: &mut Reactor) {
         if !self.is_flush_scheduled {
             self.is_flush_scheduled = true;
@@ -166,50 +171,54 @@
         }
     }
 
-    /// Drops what was queued, where none of it has gone out.
+    /// Discards the queued output, of which no byte may have been written.
     pub(crate) fn clear_queue(&mut self, reactor: &mut Reactor) {
         invariant!(
             reactor,
-            self.written == 0,
-            "only what has not begun to go out is taken back"
+            self.written_bytes == 0,
+            "queued output is discarded only while none of it is written"
         );
         reactor.release_buffered_bytes(self.output.len());
         self.output.clear();
     }
 
-    /// How many bytes are queued and not written yet.
+    /// The number of bytes that are queued and not written yet.
     pub(crate) fn pending_bytes(&self) -> usize {
-        self.output.len() - self.written
+        self.output.len() - self.written_bytes
     }
 
-    /// Writes what it can. Returns whether any of it went.
+    /// Writes as much of the output as the socket accepts. Returns whether any bytes were written, or the error of a
+    /// connection that has failed.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor) -> io::Result<bool> {
         self.is_flush_scheduled = false;
-        let written_before = self.written;
-        while self.written < self.output.len() {
-            match self.socket.write(&self.output[self.written..]) {
+        let written_bytes_before = self.written_bytes;
+        while self.written_bytes < self.output.len() {
+            match self.socket.write(&self.output[self.written_bytes..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(count) => self.written += count,
+                Ok(count) => self.written_bytes += count,
                 Err(error) if error.kind() == ErrorKind::Interrupted => (),
                 Err(error) if self.should_retry_later(reactor, &error) => break,
                 Err(error) => return Err(error),
             }
         }
-        let has_progressed = self.written > written_before;
+        let has_progressed = self.written_bytes > written_bytes_before;
         self.is_connected |= has_progressed;
         if self.pending_bytes() == 0 {
             reactor.release_buffered_bytes(self.output.len());
             clear_buffer(&mut self.output);
-            self.written = 0;
+            self.written_bytes = 0;
         }
         Ok(has_progressed)
     }
 
-    /// Reads what has come, as long as the input holds less than `most` bytes. Returns false once the other side has ended
-    /// or the connection failed.
-    pub(crate) fn read(&mut self, reactor: &mut Reactor, most: usize) -> bool {
-        while self.input.len() < most {
-            let capacity = reactor.scratch.len().min(most - self.input.len());
+    /// Reads until the socket is empty or the input holds `max_input_bytes`. Returns false once the other side has closed the
+    /// connection or the read has failed, which sets `has_failed`.
+    pub(crate) fn read(&mut self, reactor: &mut Reactor, max_input_bytes: usize) -> bool {
+        while self.input.len() < max_input_bytes {
+            let capacity = reactor
+                .scratch
+                .len()
+                .min(max_input_bytes - self.input.len());
             match self.socket.read(&mut reactor.scratch[..capacity]) {
                 Ok(0) => return false,
                 Ok(count) => self.append_input(reactor, count),
@@ -227,21 +236,22 @@
         true
     }
 
-    /// Adds so many bytes of the scratch buffer to the input.
+    /// Appends the first `count` bytes of the scratch buffer to the input.
     fn append_input(&mut self, reactor: &mut Reactor, count: usize) {
         self.is_connected = true;
-        // Many half commands must not take twice their size.
+        // The buffer grows by what is needed and not by doubling, so that many incomplete commands do not take twice their
+        // size in memory.
         let growth = if self.input.is_empty() {
             count
         } else {
-            count.max(MAX_KEPT_CAPACITY)
+            count.max(MAX_RETAINED_CAPACITY)
         };
         self.input.reserve_exact(growth);
         self.input.extend_from_slice(&reactor.scratch[..count]);
         reactor.add_buffered_bytes(count);
     }
 
-    /// Takes bytes off the front of the input.
+    /// Removes `count` bytes from the front of the input.
     pub(crate) fn consume(&mut self, reactor: &mut Reactor, count: usize) {
         reactor.release_buffered_bytes(count);
         if count == self.input.len() {
@@ -251,7 +261,8 @@
         }
     }
 
-    /// The poll says that it can be written to: a connection that was opened is connected, or has failed.
+    /// Checks, when the poll reports the socket as writable, whether an opened connection is established. Returns the error
+    /// of one that could not be established.
     pub(crate) fn check_connected(&mut self) -> io::Result<()> {
         match self.socket.take_error()? {
             Some(error) => Err(error),
@@ -262,7 +273,8 @@
         }
     }
 
-    /// Shuts down sending; from now on the poll tells of it by another token. All must be written.
+    /// Discards the input and shuts down the sending direction, on a connection on which all output is written. From now on
+    /// the poll reports the socket with the token of `component` and `key`, and for reading only.
     pub(crate) fn shut_down_sending(
         &mut self,
         reactor: &mut Reactor,
@@ -272,7 +284,7 @@
         invariant!(
             reactor,
             self.pending_bytes() == 0,
-            "what was answered goes out before the end"
+            "sending is shut down only after all output is written"
         );
         self.consume(reactor, self.input.len());
         self.token = component.token(key);
@@ -282,14 +294,18 @@
         self.socket.shutdown(Shutdown::Write)
     }
 
-    /// Reads and drops what has come, `allowance` bytes in all, of which it takes off what came. Returns false once the
-    /// other side has ended, the connection failed or the allowance is used up.
-    pub(crate) fn discard_input(&mut self, reactor: &mut Reactor, allowance: &mut usize) -> bool {
-        while *allowance > 0 {
-            let capacity = reactor.scratch.len().min(*allowance);
+    /// Reads and discards input until the socket is empty, and subtracts its size from `remaining_bytes`. Returns false once
+    /// the other side has closed the connection, the connection has failed or `remaining_bytes` is zero.
+    pub(crate) fn discard_input(
+        &mut self,
+        reactor: &mut Reactor,
+        remaining_bytes: &mut usize,
+    ) -> bool {
+        while *remaining_bytes > 0 {
+            let capacity = reactor.scratch.len().min(*remaining_bytes);
             match self.socket.read(&mut reactor.scratch[..capacity]) {
                 Ok(0) => return false,
-                Ok(count) => *allowance -= count,
+                Ok(count) => *remaining_bytes -= count,
                 Err(error) if error.kind() == ErrorKind::Interrupted => (),
                 Err(error) => return error.kind() == ErrorKind::WouldBlock,
             }
@@ -297,16 +313,16 @@
         false
     }
 
-    /// Closes at once. What has come and was not read resets the connection.
+    /// Closes the connection at once. If the socket holds unread input, the system resets the connection.
     pub(crate) fn close(self, reactor: &mut Reactor) {
         reactor.release_buffered_bytes(self.input.len() + self.output.len());
         let _ = reactor.registry.deregister(&mut self.source());
     }
 }
 
-/// Empties a buffer, and gives it back where it is large.
+/// Empties a buffer, and frees its memory if its capacity exceeds `MAX_RETAINED_CAPACITY`.
 fn clear_buffer(buffer: &mut Vec<u8>) {
-    if buffer.capacity() > MAX_KEPT_CAPACITY {
+    if buffer.capacity() > MAX_RETAINED_CAPACITY {
         *buffer = Vec::new();
     }
     buffer.clear();
