--- a/edge/src/client.rs
+++ b/edge/src/client.rs
@@ -118,7 +118,7 @@
     /// Pauses the connection if too many bytes of answers are unwritten or too many commands wait for their answers. Returns
     /// whether it was paused. A client that has stopped sending is not paused; its requests are rejected.
     pub(crate) fn pause_if_behind(&mut self) -> bool {
-        let is_behind = self.stream.pending_bytes() > resp::MAX_MESSAGE
+        let is_behind = self.stream.pending_bytes() > resp::MAX_MESSAGE_BYTES
             || self.pending_commands.len() >= MAX_PENDING_COMMANDS;
         let must_pause = is_behind && !self.has_peer_closed();
         if must_pause {
--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -10,7 +10,7 @@
 use crate::reactor::{Reactor, Serial};
 use crate::readiness::Readiness;
 use crate::requests::{OpenRequests, ResponseSlot};
-use crate::resp::{self, ProtocolError, MAX_MESSAGE};
+use crate::resp::{self, ProtocolError, MAX_MESSAGE_BYTES};
 use crate::stream::BufferedStream;
 use listener::{Accepted, Listener};
 use mio::net::TcpStream;
@@ -40,7 +40,7 @@
 /// the budget if each open request received a value of the maximum size.
 fn is_full(reactor: &Reactor, requests: &OpenRequests) -> bool {
     let max_open = reactor.settings.limits.max_open_requests as usize;
-    let projected_bytes = reactor.buffered_bytes() + requests.len() * resp::MAX_VALUE;
+    let projected_bytes = reactor.buffered_bytes() + requests.len() * resp::MAX_VALUE_BYTES;
     projected_bytes > reactor.budget.bytes || (max_open > 0 && requests.len() >= max_open)
 }
 
@@ -195,7 +195,7 @@
                 return;
             }
             let was_empty = client.stream.input.is_empty();
-            if !client.stream.read(reactor, MAX_MESSAGE) {
+            if !client.stream.read(reactor, MAX_MESSAGE_BYTES) {
                 return self.on_read_end(reactor, key, requests);
             }
             if was_empty && !client.stream.input.is_empty() {
@@ -230,7 +230,7 @@
             let bytes = &input[consumed..];
             match resp::parse_command(bytes) {
                 // An incomplete command may still grow up to the maximum size.
-                Ok(None) if bytes.len() < MAX_MESSAGE => break,
+                Ok(None) if bytes.len() < MAX_MESSAGE_BYTES => break,
                 Ok(None) => client.reject_input(reactor, ProtocolError::CommandTooLong),
                 Err(error) => client.reject_input(reactor, error),
                 Ok(Some((words, length))) => {
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -218,7 +218,7 @@
             let is_fresh =
                 lifetime.is_none_or(|lifetime| reactor.now < connection.last_used + lifetime);
             if is_fresh
-                && connection.stream.read(reactor, resp::MAX_MESSAGE)
+                && connection.stream.read(reactor, resp::MAX_MESSAGE_BYTES)
                 && connection.stream.input.is_empty()
             {
                 return Some(key);
@@ -316,7 +316,7 @@
             return;
         };
         connection.stream.read_would_block = false;
-        let is_open = connection.stream.read(reactor, resp::MAX_MESSAGE);
+        let is_open = connection.stream.read(reactor, resp::MAX_MESSAGE_BYTES);
         let exceeds_max_response = !connection.stream.read_would_block;
         self.handle_input(reactor, key, requests, clients);
         if !self.connections.contains(key) {
--- a/edge/src/requests.rs
+++ b/edge/src/requests.rs
@@ -1,5 +1,5 @@
-//! The open requests of all clients: what each asked, until when it is waited for, how often it was attempted, and where
-//! its final answer goes.
+//! The open requests of all clients: the command of each, its deadline, the number of its attempts and the command that
+//! its answer belongs to.
 
 mod command;
 mod parameters;
@@ -10,33 +10,35 @@
 use std::time::Duration;
 use wellcrank::port::RequestId;
 
-/// Where an answer goes: a connection of a client, and the place of the command in the order there.
+/// The destination of an answer: a client's connection, and the number of the command on it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResponseSlot {
     /// The connection's key.
     pub(crate) key: usize,
-    /// Tells the connection from others that had the same key before.
+    /// Distinguishes the connection from earlier ones with the same key.
     pub(crate) connection: Serial,
-    /// The number of the command on that connection.
+    /// The number of the command on that connection, counted from 0.
     pub(crate) number: u64,
 }
 
-/// A request that was taken and that the controller has not closed yet.
+/// A request that is not closed yet.
 pub(crate) struct OpenRequest {
+    /// The client's command.
     pub(crate) command: RequestCommand,
-    /// Until when its client waits.
+    /// When its client stops waiting, since the start of the gateway's clock.
     pub(crate) deadline: Duration,
-    /// How many attempts the controller has asked for.
+    /// The number of attempts that the controller has asked for.
     pub(crate) attempts: u32,
+    /// Where its answer goes.
     pub(crate) slot: ResponseSlot,
-    /// The client has its answer; the controller is to be told yet.
+    /// Whether an endpoint's value was sent to the client. The request stays open until the controller has been told.
     pub(crate) answered: bool,
-    /// The client has gone, or has ended its sending; the controller is to be told yet.
+    /// Whether the client has disconnected or stopped sending. The request stays open until the controller has been told.
     client_left: bool,
 }
 
 impl OpenRequest {
-    /// A request that was just taken.
+    /// Creates a request without any attempt.
     pub(crate) fn new(
         command: RequestCommand,
         deadline: Duration,
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Whether it is still owed its one final answer, by a client that has not ended its sending.
+    /// Whether it has no answer yet and its client has not stopped sending.
     pub(crate) fn is_awaited(&self) -> bool {
         !self.answered && !self.client_left
     }
@@ -61,27 +63,29 @@
 /// All open requests.
 #[derive(Default)]
 pub(crate) struct OpenRequests {
+    /// The open requests by their serial numbers.
     open: BTreeMap<Serial, OpenRequest>,
-    /// The ids that the clients gave them.
+    /// The ids that the clients gave the open requests.
     client_ids: BTreeSet<u64>,
 }
 
-/// The id by which the controller knows a request.
+/// The id of a request for the controller: its serial number in decimal.
 pub(crate) fn request_id(serial: Serial) -> RequestId {
     serial.to_string().as_str().into()
 }
 
+/// The serial number in a request's id; zero, which no request has, for any other id.
 fn serial_of(id: &RequestId) -> Serial {
     id.0.parse().unwrap_or_default()
 }
 
 impl OpenRequests {
-    /// How many requests are open.
+    /// The number of open requests.
     pub(crate) fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether a request with this id of its client is open.
+    /// Whether a request is open to which its client gave this id.
     pub(crate) fn has_client_id(&self, client_id: u64) -> bool {
         self.client_ids.contains(&client_id)
     }
@@ -95,21 +99,23 @@
         self.open.get_mut(&serial_of(id))
     }
 
-    /// Whether it is not answered yet, be its client there or not.
+    /// Whether a request is open and not answered yet, even if its client has stopped sending.
     pub(crate) fn is_unanswered(&self, id: &RequestId) -> bool {
         self.open
             .get(&serial_of(id))
             .is_some_and(|request| !request.answered)
     }
 
-    /// Whether it is still owed its one final answer, so that attempts may be begun for it.
+    /// Whether a request is open and not answered yet, and its client has not stopped sending, so that attempts may be
+    /// started for it.
     pub(crate) fn is_awaited(&self, id: &RequestId) -> bool {
         self.open
             .get(&serial_of(id))
             .is_some_and(OpenRequest::is_awaited)
     }
 
-    /// Its client has gone: from now on nothing is begun for it. Returns its id, if it was still owed an answer.
+    /// Records that the client of a request has disconnected or stopped sending, so that no further attempts are started.
+    /// Returns the request's id if this was not recorded before and it has no answer yet.
     pub(crate) fn mark_client_left(&mut self, serial: Serial) -> Option<RequestId> {
         let request = self
             .open
@@ -119,7 +125,7 @@
         Some(request_id(serial))
     }
 
-    /// All that are still owed their final answers.
+    /// The ids of the open requests that are not answered yet and whose clients have not stopped sending.
     pub(crate) fn awaited(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.open
             .iter()
--- a/edge/src/requests/command.rs
+++ b/edge/src/requests/command.rs
@@ -1,7 +1,8 @@
-//! A client's command for a request, checked once: its bytes, where its words stand, and what the controller needs.
+//! A client's command for a request: its bytes, the positions of its words, and the values that the controller needs. It
+//! is checked once, when it is parsed.
 //!
-//! Its words are the command's name, the customer, the client's id for the request, the parameters (see
-//! [`super::parameters`]) and, but for a query, a body.
+//! The words are the command's name, the customer, the client's id for the request, the parameters (see
+//! [`super::parameters`]) and, except for a query, a body.
 
 use super::parameters::{Parameters, TIMEOUT};
 use super::OpenRequests;
@@ -11,89 +12,106 @@
 use wellcrank::port::{CustomerId, PlanName, RouteName};
 use wellcrank::settings::{Idempotency, Settings};
 
-/// The command of an idempotent route.
+/// The command for idempotent routes.
 const QUERY: &[u8] = b"SVC.QUERY";
 
-/// The command of all other routes.
+/// The command for all other routes.
 const SUBMIT: &[u8] = b"SVC.SUBMIT";
 
-/// Where the words stand in a command.
+/// The positions of the words in a command.
 const NAME_WORD: usize = 0;
 const CUSTOMER_WORD: usize = 1;
 const ID_WORD: usize = 2;
 const PARAMETERS_WORD: usize = 3;
 
-/// How many words the two commands have.
+/// The number of words of the two commands.
 const QUERY_WORDS: usize = 4;
 const SUBMIT_WORDS: usize = 5;
 
-/// A customer's number has no more bits than this.
+/// The maximum number of bits of a customer's number.
 const CUSTOMER_BITS: u32 = 33;
 
-/// The most units of a request where the settings state no bound.
+/// The maximum number of units of a request if the settings state none.
 const DEFAULT_MAX_UNITS: f64 = 1e6;
 
-/// What is wrong with a command for a request. The texts are those of the error lines that clients get.
+/// Why a command for a request is invalid. The texts are part of the protocol: clients receive them in error lines.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub(crate) enum InvalidCommand {
+    /// The command does not have `QUERY_WORDS` or `SUBMIT_WORDS` words.
     #[error("wrong number of words")]
     WordCount,
+    /// The customer is not 16 hex digits, or its number has more than `CUSTOMER_BITS` bits.
     #[error("no customer")]
     Customer,
+    /// The id is not 16 hex digits.
     #[error("no id")]
     Id,
+    /// An open request has the same id.
     #[error("the id of an open call")]
     IdInUse,
+    /// The list of parameters is too long or holds characters other than visible ASCII.
     #[error("an unreadable list")]
     UnreadableParameters,
+    /// An item of the list has no `=`.
     #[error("not a list of names and values")]
-    NotParameters,
+    ParameterWithoutValue,
+    /// A parameter is given twice.
     #[error("a name twice")]
     DuplicateParameter,
+    /// A number is not in plain decimal digits, or out of its range.
     #[error("a wrong number")]
-    Number,
+    InvalidNumber,
+    /// The settings have no route of this name.
     #[error("no such route")]
     UnknownRoute,
+    /// A query for a route that is not idempotent, or a submit for one that is.
     #[error("not the command for this route")]
     WrongCommandForRoute,
+    /// The route needs an idempotency key and the command has none.
     #[error("no key")]
     MissingIdempotencyKey,
+    /// The settings have no plan of this name.
     #[error("no such plan")]
     UnknownPlan,
+    /// The command states no timeout.
     #[error("no time to answer")]
     MissingTimeout,
+    /// The number of the first gateway or the count of gateways is not a whole number.
     #[error("no set of gateways")]
-    GatewaySet,
+    FractionalGatewaySet,
 }
 
 /// A checked command for a request.
 #[derive(Debug)]
 pub(crate) struct RequestCommand {
+    /// The command as the client sent it.
     bytes: Box<[u8]>,
+    /// The positions of the words in `bytes`.
     words: Words,
     /// The id that the client gave the request.
     pub(crate) client_id: u64,
     pub(crate) customer: CustomerId,
     pub(crate) route: RouteName,
     pub(crate) plan: PlanName,
-    /// For how long the client waits.
+    /// How long the client waits for the answer.
     pub(crate) timeout: Duration,
-    /// The units that it takes from the customer's quota.
+    /// The units that the request takes from the customer's quota.
     pub(crate) units: f64,
-    /// The number of the first gateway that gets this customer's requests.
+    /// The index of the first gateway that receives this customer's requests.
     pub(crate) first_gateway: u32,
-    /// How many gateways in a row get them.
+    /// How many gateways, counted on from the first, receive them.
     pub(crate) gateway_count: u32,
 }
 
-/// The most units that a request may take, asked for or settled; a bound also where the settings state none.
+/// The maximum number of units that a request may ask for or that a response may settle. If the settings state none, it is
+/// `DEFAULT_MAX_UNITS`.
 pub(crate) fn max_request_units(settings: &Settings) -> f64 {
     Some(settings.counter.max_request_units)
-        .filter(|most| *most > 0.0)
+        .filter(|max_units| *max_units > 0.0)
         .unwrap_or(DEFAULT_MAX_UNITS)
 }
 
-/// A number in 16 hex digits.
+/// Parses a number of exactly 16 hex digits.
 fn parse_hex(word: &[u8]) -> Option<u64> {
     let is_hex = word.len() == 16 && word.iter().all(u8::is_ascii_hexdigit);
     std::str::from_utf8(word)
@@ -102,7 +120,7 @@
         .and_then(|text| u64::from_str_radix(text, 16).ok())
 }
 
-/// The word at an index, empty where there is none.
+/// The word at an index; empty if the command has fewer words.
 fn word_at<'a>(bytes: &'a [u8], words: &Words, index: usize) -> &'a [u8] {
     words
         .get(index)
@@ -110,13 +128,13 @@
 }
 
 impl RequestCommand {
-    /// Whether a command is one for a request, whatever else it says.
+    /// Whether the name of a command is that of a request, whether or not the rest is valid.
     pub(crate) fn is_named(bytes: &[u8], words: &Words) -> bool {
         let name = word_at(bytes, words, NAME_WORD);
         name.eq_ignore_ascii_case(QUERY) || name.eq_ignore_ascii_case(SUBMIT)
     }
 
-    /// Checks the words of a command for a request, the one place where that is done: which route, whose, for how long.
+    /// Parses and checks the words of a command for a request. Returns the first fault that it finds.
     pub(crate) fn parse(
         bytes: &[u8],
         words: Words,
@@ -145,7 +163,7 @@
             return Err(InvalidCommand::MissingTimeout);
         }
         if parameters.first_gateway.fract() + parameters.gateway_count.fract() > 0.0 {
-            return Err(InvalidCommand::GatewaySet);
+            return Err(InvalidCommand::FractionalGatewaySet);
         }
         Ok(RequestCommand {
             bytes: bytes.into(),
@@ -161,12 +179,13 @@
         })
     }
 
-    /// How many bytes it holds.
+    /// The size of the command in bytes.
     pub(crate) fn size(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Writes the command for an endpoint: as it came, but for how long the gateway will wait.
+    /// Writes the command for an endpoint: as the client sent it, with the name in upper case and with `timeout`, in whole
+    /// milliseconds and at least 1 ms, in place of the client's.
     pub(crate) fn write_for_endpoint(&self, out: &mut Vec<u8>, timeout: Duration) {
         resp::write_array_header(out, self.words.len());
         for (index, word) in self.words.iter().enumerate() {
@@ -183,7 +202,8 @@
     }
 }
 
-/// Checks that the settings know the route, and that the command is the one for it.
+/// Checks that the settings have the route, that the command is the one for it, and that there is an idempotency key if the
+/// route needs one.
 fn check_route(
     parameters: &Parameters,
     is_query: bool,
@@ -202,7 +222,7 @@
     Ok(())
 }
 
-/// A checked list of parameters with another timeout in it.
+/// Replaces the timeout in a checked list of parameters.
 fn with_timeout(list: &str, timeout: Duration) -> String {
     let named = format!("{TIMEOUT}=");
     let start = if list.starts_with(&named) {
--- a/edge/src/requests/command/tests.rs
+++ b/edge/src/requests/command/tests.rs
@@ -18,7 +18,7 @@
     .expect("the settings of this test")
 }
 
-/// The bytes of a command on the wire.
+/// Encodes a command as it is sent on the wire.
 fn encode(words: &[&str]) -> Vec<u8> {
     let mut bytes = Vec::new();
     resp::write_array_header(&mut bytes, words.len());
@@ -44,7 +44,7 @@
     parse(&["SVC.SUBMIT", CUSTOMER, ID, parameters, "body"])
 }
 
-/// Checks that each command is refused, and with which error line.
+/// Checks that each command is rejected with the expected error text.
 fn assert_refused(cases: &[(Result<RequestCommand, InvalidCommand>, &str)]) {
     for (result, text) in cases {
         let error = result.as_ref().expect_err(text);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn parameters_that_cannot_be_meant_are_refused_with_what_is_wrong() {
+fn invalid_parameters_are_refused_with_what_is_wrong() {
     let too_long = format!("c=read,t=basic,d=1,x={}", "y".repeat(1024));
     let cases = [
         (query("c=read, t=basic"), "an unreadable list"),
@@ -127,39 +127,58 @@
 }
 
 #[test]
-fn a_command_says_what_is_asked_and_what_it_leaves_out_has_its_default() {
-    let plain = parse(&["svc.query", CUSTOMER, ID, "c=read,t=basic,d=1500,new=x"]).expect("plain");
-    assert_eq!(plain.client_id, 255);
-    assert_eq!(plain.customer, CUSTOMER.into());
-    assert_eq!((plain.route, plain.plan), ("read".into(), "basic".into()));
-    assert_eq!(plain.timeout, Duration::from_millis(1500));
+fn parameters_that_a_command_leaves_out_have_their_defaults() {
+    let with_defaults = "c=read,t=basic,d=1500,new=x";
+    let with_defaults =
+        parse(&["svc.query", CUSTOMER, ID, with_defaults]).expect("a valid command");
+    assert_eq!(with_defaults.client_id, 255);
+    assert_eq!(with_defaults.customer, CUSTOMER.into());
     assert_eq!(
-        (plain.units, plain.first_gateway, plain.gateway_count),
+        (with_defaults.route, with_defaults.plan),
+        ("read".into(), "basic".into())
+    );
+    assert_eq!(with_defaults.timeout, Duration::from_millis(1500));
+    assert_eq!(
+        (
+            with_defaults.units,
+            with_defaults.first_gateway,
+            with_defaults.gateway_count
+        ),
         (1.0, 0, 1)
     );
-    let full = "k=k1,d=2,c=order,t=basic,units=2.5,first=3,spread=4";
-    let full = parse(&["SVC.SUBMIT", CUSTOMER, ID, full, "body"]).expect("full");
+    let complete = "k=k1,d=2,c=order,t=basic,units=2.5,first=3,spread=4";
+    let complete = parse(&["SVC.SUBMIT", CUSTOMER, ID, complete, "body"]).expect("a valid command");
     assert_eq!(
-        (full.units, full.first_gateway, full.gateway_count),
+        (
+            complete.units,
+            complete.first_gateway,
+            complete.gateway_count
+        ),
         (2.5, 3, 4)
     );
 }
 
 #[test]
-fn an_endpoint_gets_the_command_as_it_came_but_for_the_name_and_the_timeout() {
+fn an_endpoint_gets_the_command_unchanged_except_for_its_name_and_timeout() {
     let cases = [
         ("d=1500,c=order,t=basic,k=1", "d=20,c=order,t=basic,k=1"),
         ("c=order,d=1500,t=basic,k=1", "c=order,d=20,t=basic,k=1"),
         ("c=order,t=basic,k=1,d=1500", "c=order,t=basic,k=1,d=20"),
     ];
-    for (came, goes) in cases {
-        let command = parse(&["svc.submit", CUSTOMER, ID, came, "body"]).expect(came);
+    for (received, forwarded) in cases {
+        let command = parse(&["svc.submit", CUSTOMER, ID, received, "body"]).expect(received);
         let mut out = Vec::new();
         command.write_for_endpoint(&mut out, Duration::from_micros(20_900));
-        assert_eq!(out, encode(&["SVC.SUBMIT", CUSTOMER, ID, goes, "body"]));
+        assert_eq!(
+            out,
+            encode(&["SVC.SUBMIT", CUSTOMER, ID, forwarded, "body"])
+        );
         out.clear();
         command.write_for_endpoint(&mut out, Duration::ZERO);
-        let least = goes.replace("d=20", "d=1");
-        assert_eq!(out, encode(&["SVC.SUBMIT", CUSTOMER, ID, &least, "body"]));
+        let shortest = forwarded.replace("d=20", "d=1");
+        assert_eq!(
+            out,
+            encode(&["SVC.SUBMIT", CUSTOMER, ID, &shortest, "body"])
+        );
     }
 }
--- a/edge/src/requests/parameters.rs
+++ b/edge/src/requests/parameters.rs
@@ -3,7 +3,7 @@
 use super::command::{max_request_units, InvalidCommand};
 use wellcrank::settings::Settings;
 
-/// The names on the wire.
+/// The names of the parameters on the wire.
 const ROUTE: &str = "c";
 const PLAN: &str = "t";
 const IDEMPOTENCY_KEY: &str = "k";
@@ -12,38 +12,42 @@
 const FIRST_GATEWAY: &str = "first";
 const GATEWAY_COUNT: &str = "spread";
 
-/// The longest list, in bytes.
-const MAX_LIST: usize = 1024;
+/// The maximum length of a list, in bytes.
+const MAX_LIST_BYTES: usize = 1024;
 
-/// The longest number, in digits.
-const MAX_DIGITS: usize = 16;
+/// The maximum length of a number in characters, including a decimal point.
+const MAX_NUMBER_LENGTH: usize = 16;
 
-/// The longest timeout that a client may state, in milliseconds: state that nobody ends must end.
+/// The longest timeout that a client may state, in milliseconds. It bounds how long the gateway keeps the state of a request
+/// that nothing else ends.
 const MAX_TIMEOUT_MS: f64 = 600_000.0;
 
-/// The least timeout and the least number of units: above zero, as far as the wire can say.
-const LEAST_POSITIVE: f64 = 1e-3;
+/// The lower bound of timeouts, in milliseconds, and of units: both must be above zero.
+const MIN_POSITIVE_NUMBER: f64 = 1e-3;
 
-/// What a list says, with what holds where it says nothing. Numbers are within their ranges where they are given.
+/// The parameters in a list, with defaults for those that it leaves out. Numbers that are given are within their ranges.
 pub(super) struct Parameters<'a> {
     pub(super) route: &'a str,
     pub(super) plan: &'a str,
+    /// Empty if the list states no key.
     pub(super) idempotency_key: &'a str,
-    /// For how long the client waits; zero where it does not say.
+    /// How long the client waits, in milliseconds; zero if the list does not say.
     pub(super) timeout_ms: f64,
     pub(super) units: f64,
+    /// The index of the first gateway that receives the customer's requests; 0 by default.
     pub(super) first_gateway: f64,
+    /// How many gateways receive them; 1 by default.
     pub(super) gateway_count: f64,
 }
 
 impl<'a> Parameters<'a> {
-    /// Reads a list; names that are not known are passed over.
+    /// Parses a list. Unknown names are ignored.
     pub(super) fn parse(
         word: &'a [u8],
         settings: &Settings,
     ) -> Result<Parameters<'a>, InvalidCommand> {
         let list = std::str::from_utf8(word).unwrap_or_default();
-        if list.len() > MAX_LIST || !list.bytes().all(|byte| byte.is_ascii_graphic()) {
+        if list.len() > MAX_LIST_BYTES || !list.bytes().all(|byte| byte.is_ascii_graphic()) {
             return Err(InvalidCommand::UnreadableParameters);
         }
         let mut parameters = Parameters {
@@ -57,7 +61,9 @@
         };
         let mut seen = Vec::with_capacity(8);
         for pair in list.split(',') {
-            let (name, value) = pair.split_once('=').ok_or(InvalidCommand::NotParameters)?;
+            let (name, value) = pair
+                .split_once('=')
+                .ok_or(InvalidCommand::ParameterWithoutValue)?;
             if seen.contains(&name) {
                 return Err(InvalidCommand::DuplicateParameter);
             }
@@ -67,38 +73,39 @@
         Ok(parameters)
     }
 
+    /// Sets the parameter of this name, after checking its number against the range.
     fn set(
         &mut self,
         name: &str,
         value: &'a str,
         settings: &Settings,
     ) -> Result<(), InvalidCommand> {
-        let gateways = settings.gateway_count();
+        let total_gateways = settings.gateway_count();
         match name {
             ROUTE => self.route = value,
             PLAN => self.plan = value,
             IDEMPOTENCY_KEY => self.idempotency_key = value,
-            TIMEOUT => self.timeout_ms = parse_within(value, LEAST_POSITIVE, MAX_TIMEOUT_MS)?,
+            TIMEOUT => self.timeout_ms = parse_within(value, MIN_POSITIVE_NUMBER, MAX_TIMEOUT_MS)?,
             UNITS => {
-                self.units = parse_within(value, LEAST_POSITIVE, max_request_units(settings))?;
+                self.units = parse_within(value, MIN_POSITIVE_NUMBER, max_request_units(settings))?;
             }
-            FIRST_GATEWAY => self.first_gateway = parse_within(value, 0.0, gateways - 1.0)?,
-            GATEWAY_COUNT => self.gateway_count = parse_within(value, 1.0, gateways)?,
+            FIRST_GATEWAY => self.first_gateway = parse_within(value, 0.0, total_gateways - 1.0)?,
+            GATEWAY_COUNT => self.gateway_count = parse_within(value, 1.0, total_gateways)?,
             _ => (),
         }
         Ok(())
     }
 }
 
-/// A number in plain decimal digits between two bounds, both included.
-fn parse_within(value: &str, least: f64, most: f64) -> Result<f64, InvalidCommand> {
-    let is_plain = value.len() <= MAX_DIGITS
+/// Parses a number in plain decimal digits, without a sign or an exponent, from `min` to `max`.
+fn parse_within(value: &str, min: f64, max: f64) -> Result<f64, InvalidCommand> {
+    let is_plain = value.len() <= MAX_NUMBER_LENGTH
         && value
             .bytes()
             .all(|byte| byte.is_ascii_digit() || byte == b'.');
     value
         .parse()
         .ok()
-        .filter(|number: &f64| is_plain && (least..=most).contains(number))
-        .ok_or(InvalidCommand::Number)
+        .filter(|number: &f64| is_plain && (min..=max).contains(number))
+        .ok_or(InvalidCommand::InvalidNumber)
 }
--- a/edge/src/resp.rs
+++ b/edge/src/resp.rs
@@ -1,111 +1,125 @@
-//! RESP2: parses one command of a client or one reply of an endpoint from the front of the bytes that have come, and
+//! The wire protocol RESP2. Parses one command of a client or one reply of an endpoint from the front of a buffer, and
 //! writes arrays and bulk strings.
 
 use std::io::Write;
 use std::ops::Range;
 use thiserror::Error;
 
-/// The most bytes that a value holds.
-pub(crate) const MAX_VALUE: usize = 64 * 1024;
+/// The maximum size of a bulk string, in bytes.
+pub(crate) const MAX_VALUE_BYTES: usize = 64 * 1024;
 
-/// The most words that a command has.
+/// The maximum number of words of a command.
 const MAX_WORDS: usize = 16;
 
-/// The most bytes of a line.
-const MAX_LINE: usize = 1024;
+/// The maximum length of a line, in bytes, including its CRLF.
+const MAX_LINE_BYTES: usize = 1024;
 
-/// The most bytes that one message can come to: its words, of which one is a body or a value.
-pub(crate) const MAX_MESSAGE: usize = MAX_VALUE + MAX_WORDS * MAX_LINE;
+/// The maximum size of one message, in bytes: room for its words, one of which is a body or a value.
+pub(crate) const MAX_MESSAGE_BYTES: usize = MAX_VALUE_BYTES + MAX_WORDS * MAX_LINE_BYTES;
 
-/// Why bytes are no message of RESP2, or none that is taken. The texts are those of the error lines that clients get.
+/// Why bytes are not a message that is accepted. The texts of errors in commands are part of the protocol: clients receive
+/// them in error lines.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub(crate) enum ProtocolError {
+    /// A line ends with LF without CR.
     #[error("a line without CRLF")]
     LineWithoutCrlf,
+    /// A line exceeds `MAX_LINE_BYTES`.
     #[error("too long a line")]
     LineTooLong,
+    /// The length of an array or of a bulk string is not a number, or exceeds its maximum.
     #[error("not a length")]
-    Length,
+    InvalidLength,
+    /// An element of an array is not a bulk string.
     #[error("expected '$'")]
     ExpectedBulkString,
+    /// A command is not an array.
     #[error("expected '*'")]
     ExpectedArray,
+    /// A bulk string is not followed by CRLF.
     #[error("a value without CRLF")]
     ValueWithoutCrlf,
+    /// A word of a command is the null bulk string.
     #[error("a null in a command")]
     NullInCommand,
+    /// A command exceeds `MAX_MESSAGE_BYTES`.
     #[error("too long a command")]
     CommandTooLong,
+    /// The rest of an incomplete command has not arrived in time.
     #[error("too slow a command")]
     CommandTooSlow,
-    #[error("an error line that is not UTF-8")]
+    #[error("the error line is not UTF-8")]
     ErrorNotUtf8,
-    #[error("an error line without its word")]
+    #[error("the error line does not begin with an upper-case code")]
     ErrorWithoutCode,
-    #[error("not the parts of an answer")]
-    ReplyParts,
-    #[error("an answer without a value")]
+    #[error("the reply does not have three parts")]
+    ReplyPartCount,
+    #[error("the value of the reply is null")]
     ReplyWithoutValue,
-    #[error("no answer")]
+    #[error("the reply is neither an error line nor an array")]
     NotAReply,
 }
 
-/// What was parsed and how many bytes it took, or nothing yet.
+/// What was parsed and its end in the buffer, or `None` if the message is incomplete.
 type Parsed<T> = Result<Option<(T, usize)>, ProtocolError>;
 
-/// Where the words of a command stand in the bytes.
+/// The positions of the words of a command in its bytes.
 pub(crate) type Words = Vec<Range<usize>>;
 
-/// An endpoint's reply; texts as they came.
+/// An endpoint's reply. Its texts are not parsed further.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Reply<'a> {
     /// The request was served.
     Value {
-        /// What the client gets.
+        /// The value for the client.
         value: &'a [u8],
-        /// What it took, as a list of names and values.
+        /// What the request used, as a list of names and values.
         usage: &'a str,
         /// The endpoint's load, as a list of names and values.
         load: &'a str,
     },
-    /// The endpoint is full and has not looked at the request.
+    /// The endpoint is busy and has rejected the request without running it.
     Busy {
         /// The endpoint's load, as a list of names and values.
         load: &'a str,
     },
     /// Any other error.
     Failed {
-        /// The whole line without its mark.
+        /// The error line without its leading `-`.
         text: &'a str,
         /// The endpoint's load, as a list of names and values.
         load: &'a str,
     },
 }
 
-/// A line without its CRLF, and where the next one begins.
+/// Parses the line at `start`. Returns it without its CRLF, and the start of the next line.
 fn parse_line(bytes: &[u8], start: usize) -> Parsed<&[u8]> {
     let rest = &bytes[start.min(bytes.len())..];
-    let newline = rest.iter().take(MAX_LINE).position(|byte| *byte == b'\n');
+    let newline = rest
+        .iter()
+        .take(MAX_LINE_BYTES)
+        .position(|byte| *byte == b'\n');
     match newline {
         Some(end) if end > 0 && rest[end - 1] == b'\r' => {
             Ok(Some((&rest[..end - 1], start + end + 1)))
         }
         Some(_) => Err(ProtocolError::LineWithoutCrlf),
-        None if rest.len() >= MAX_LINE => Err(ProtocolError::LineTooLong),
+        None if rest.len() >= MAX_LINE_BYTES => Err(ProtocolError::LineTooLong),
         None => Ok(None),
     }
 }
 
-/// A length of `most` at the most.
-fn parse_length(digits: &[u8], most: usize) -> Result<usize, ProtocolError> {
+/// Parses a length of at most `max`.
+fn parse_length(digits: &[u8], max: usize) -> Result<usize, ProtocolError> {
     std::str::from_utf8(digits)
         .ok()
         .and_then(|text| text.parse().ok())
-        .filter(|length| *length <= most)
-        .ok_or(ProtocolError::Length)
+        .filter(|length| *length <= max)
+        .ok_or(ProtocolError::InvalidLength)
 }
 
-/// Where a bulk string at `start` stands; none where it is null.
+/// Parses the bulk string at `start`. Returns the position of its value, or `None` for the null bulk string, and the start
+/// of what follows.
 fn parse_bulk(bytes: &[u8], start: usize) -> Parsed<Option<Range<usize>>> {
     let Some((header, value_start)) = parse_line(bytes, start)? else {
         return Ok(None);
@@ -116,7 +130,7 @@
     if digits == b"-1" {
         return Ok(Some((None, value_start)));
     }
-    let end = value_start + parse_length(digits, MAX_VALUE)?;
+    let end = value_start + parse_length(digits, MAX_VALUE_BYTES)?;
     match bytes.get(end..end + 2) {
         None => Ok(None),
         Some(b"\r\n") => Ok(Some((Some(value_start..end), end + 2))),
@@ -147,7 +161,7 @@
     Ok(Some((words, next)))
 }
 
-/// Parses an endpoint's reply: an error line, or an array of a value, its usage and a load report.
+/// Parses an endpoint's reply: an error line, or an array of a value, the usage and a load report.
 pub(crate) fn parse_reply(bytes: &[u8]) -> Parsed<Reply<'_>> {
     let Some((header, next)) = parse_line(bytes, 0)? else {
         return Ok(None);
@@ -159,7 +173,7 @@
     }
 }
 
-/// An error line's text: a code in capitals, more words, and perhaps a load report as its last word.
+/// Parses the text of an error line: a code in upper case, further words, and optionally a load report as its last word.
 fn parse_error_line(text: &[u8]) -> Result<Reply<'_>, ProtocolError> {
     let text = std::str::from_utf8(text).map_err(|_| ProtocolError::ErrorNotUtf8)?;
     let code = text.split(' ').next().unwrap_or("");
@@ -178,11 +192,11 @@
     }
 }
 
-/// The parts of an array that begin at `start`.
+/// Parses the three parts, beginning at `start`, of a reply with a value. `digits` is the length in the array's header.
 fn parse_value_reply<'a>(bytes: &'a [u8], digits: &[u8], start: usize) -> Parsed<Reply<'a>> {
     let mut parts = [None, None, None];
     if parse_length(digits, MAX_WORDS)? != parts.len() {
-        return Err(ProtocolError::ReplyParts);
+        return Err(ProtocolError::ReplyPartCount);
     }
     let mut next = start;
     for part in &mut parts {
@@ -201,12 +215,12 @@
     Ok(Some((reply, next)))
 }
 
-/// A part as text; empty where it is null or no text.
+/// A part as text; empty if it is null or not UTF-8.
 fn text_or_empty(part: Option<&[u8]>) -> &str {
     std::str::from_utf8(part.unwrap_or_default()).unwrap_or("")
 }
 
-/// Writes the header of an array of so many bulk strings.
+/// Writes the header of an array of `count` elements.
 pub(crate) fn write_array_header(out: &mut Vec<u8>, count: usize) {
     let _ = write!(out, "*{count}\r\n");
 }
@@ -218,7 +232,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// The names and values of a list such as `used=37,cost=4`.
+/// The names and values of a list such as `used=37,cost=4`. Items without `=` are skipped.
 pub(crate) fn parse_pairs(list: &str) -> impl Iterator<Item = (&str, &str)> {
     list.split(',').filter_map(|pair| pair.split_once('='))
 }
--- a/edge/src/resp/tests.rs
+++ b/edge/src/resp/tests.rs
@@ -5,7 +5,7 @@
 const REPLY: &[u8] = b"*3\r\n$5\r\nhello\r\n$14\r\nused=37,cost=4\r\n$-1\r\n";
 
 #[test]
-fn messages_are_taken_whole_or_not_at_all() {
+fn a_message_is_parsed_only_once_it_is_complete() {
     for end in 0..COMMAND.len() {
         assert_eq!(parse_command(&COMMAND[..end]), Ok(None));
     }
@@ -34,13 +34,13 @@
 }
 
 #[test]
-fn whatever_comes_is_taken_or_refused() {
+fn altered_messages_are_rejected_or_parsed_within_their_length() {
     let mut rng = WyRand::new_seed(7);
     for _ in 0..100_000 {
         let mut bytes = if rng.generate() { COMMAND } else { REPLY }.to_vec();
         for _ in 0..rng.generate_range(1..4) {
-            let place = rng.generate_range(0..bytes.len());
-            bytes[place] = b"*$-+0159\r\n\xff"[rng.generate_range(0..11)];
+            let position = rng.generate_range(0..bytes.len());
+            bytes[position] = b"*$-+0159\r\n\xff"[rng.generate_range(0..11)];
         }
         for parsed_bytes in [
             parse_command(&bytes).map(|parsed| parsed.map(|(_, length)| length)),
--- a/edge/src/shutdown.rs
+++ b/edge/src/shutdown.rs
@@ -1,36 +1,37 @@
-//! The graceful shutdown of a gateway that was told to stop: until when it serves as before, and by when everything
-//! that it has taken must be answered, since the platform kills it then.
+//! The times of the graceful shutdown of a gateway: when it stops serving as before, and when all requests must be
+//! answered, since the platform kills the process soon after.
 
 use std::time::Duration;
 use wellcrank::settings::Settings;
 
-/// The platform kills no sooner than the longest client timeout, up to this, and [`KILL_GRACE`] after it told the
-/// gateway to stop. Source: the operators' terms.
+/// The platform kills the process no earlier than the longest client timeout, or this if it is shorter, plus [`KILL_GRACE`]
+/// after it told the gateway to stop. Source: the operators' terms.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long beyond the longest client timeout the platform waits before it kills. Source: the operators' terms.
+/// How long beyond the longest client timeout the platform waits before it kills the process. Source: the operators' terms.
 const KILL_GRACE: Duration = Duration::from_millis(700);
 
-/// How long before the kill everything is answered, so that the answers still go out: the gateway may stall once for
-/// 150 ms, and looks for what is due at each tick only.
+/// How long before the kill all requests are answered, so that the answers can still be written: the gateway may stall once
+/// for 150 ms, and checks the time only at each tick.
 const ANSWER_MARGIN: Duration = Duration::from_millis(240);
 
-/// For how long the gateway serves as before: others connect for as long as 0.4 s after it was told to stop, and every
-/// time limit is 50 ms longer.
+/// How long the gateway serves as before: clients still connect for up to 0.4 s after it was told to stop, and every time
+/// limit may be exceeded by 50 ms.
 const DRAIN_DELAY: Duration = Duration::from_millis(450);
 
-/// The times of a shutdown, by the gateway's clock.
+/// The times of a shutdown, as durations since the start of the gateway's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct GracefulShutdown {
+    /// When the gateway was told to stop.
     requested_at: Duration,
-    /// From then on connections are ended between two requests: others have had the time to connect and to notice.
+    /// From this time on, connections are closed between two requests: clients have had time to notice the shutdown.
     pub(crate) drain_from: Duration,
-    /// From then on every request is answered at once.
+    /// From this time on, every request is answered at once.
     pub(crate) answer_by: Duration,
 }
 
 impl GracefulShutdown {
-    /// A shutdown that is requested at `now`.
+    /// Computes the times of a shutdown that is requested at `now`.
     pub(crate) fn new(now: Duration, settings: &Settings) -> GracefulShutdown {
         GracefulShutdown {
             requested_at: now,
@@ -39,13 +40,14 @@
         }
     }
 
-    /// Other settings hold: the platform may go by the shorter client timeouts of the two.
+    /// Applies new settings. The time to answer by is never moved later, since the platform may go by the old or by the new
+    /// client timeouts.
     pub(crate) fn shorten(&mut self, settings: &Settings) {
         self.answer_by = self.answer_by.min(answer_by(self.requested_at, settings));
     }
 }
 
-/// By when everything must be answered after a shutdown was requested.
+/// When all requests must be answered if a shutdown was requested at `requested_at`.
 fn answer_by(requested_at: Duration, settings: &Settings) -> Duration {
     let client_timeout = settings.max_client_timeout().min(MAX_CLIENT_TIMEOUT);
     requested_at + client_timeout + (KILL_GRACE - ANSWER_MARGIN)
--- a/edge/src/shutdown/tests.rs
+++ b/edge/src/shutdown/tests.rs
@@ -7,7 +7,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Settings with a route for each client timeout, in seconds.
+/// Settings with one route for each of the client timeouts, which are in seconds.
 fn settings(client_timeouts: &[f64]) -> Settings {
     let mut settings = Settings::default();
     for (index, client_timeout) in client_timeouts.iter().enumerate() {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn settings_that_come_later_shorten_the_time_and_never_lengthen_it() {
+fn new_settings_may_shorten_the_time_to_answer_but_not_lengthen_it() {
     let mut shutdown = GracefulShutdown::new(START, &settings(&[20.0]));
     shutdown.shorten(&settings(&[0.5]));
     assert_eq!(shutdown.answer_by, START + ms(960));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn connections_are_ended_once_nobody_connects_any_more_and_before_the_last_answers() {
+fn draining_begins_after_the_last_clients_connect_and_before_the_last_answers() {
     for connect_timeout in [0.0, 0.05, 0.25, 1.5, 30.0] {
         for client_timeout in [0.0, 0.1, 0.6, 20.0] {
             let mut settings = settings(&[client_timeout]);
@@ -49,7 +49,7 @@
             let shutdown = GracefulShutdown::new(START, &settings);
             let case =
                 format!("connect timeout {connect_timeout}, client timeout {client_timeout}");
-            // Others connect for 0.4 s, and every time limit is 50 ms longer.
+            // Clients connect for up to 0.4 s, and every time limit may be exceeded by 50 ms.
             assert!(shutdown.drain_from >= START + ms(450), "{case}");
             assert!(shutdown.drain_from < shutdown.answer_by, "{case}");
             let killed_at = START + Duration::from_secs_f64(client_timeout.min(3.0)) + ms(700);
