--- a/edge/src/client.rs
+++ b/edge/src/client.rs
@@ -68,7 +68,7 @@
     /// The commands that wait for their answers, in the order in which they were sent.
     pub(crate) pending_commands: VecDeque<PendingCommand>,
     /// When the connection was accepted, the first bytes of a command arrived, a command was complete or a part of an
-    /// answer was written, whichever was last; since the start of the gateway's clock. Further parts of an incomplete command
+    /// answer was written, whichever was last; on the gateway's monotonic clock. Further parts of an incomplete command
     /// do not count, so a client cannot keep the connection by sending one slowly.
     pub(crate) last_active: Duration,
     /// Whether the client has sent a valid request, or a PING that was answered with PONG.
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Pauses the connection if too many bytes of answers are unwritten or too many commands wait for their answers. Returns
-    /// whether it was paused. A client that has stopped sending is not paused; its requests are rejected.
+    /// Pauses the connection if too many bytes of answers are unwritten or too many commands wait for their answers.
+    /// Returns whether it was paused. A client that has stopped sending is not paused; its requests are rejected.
     pub(crate) fn pause_if_behind(&mut self) -> bool {
         let is_behind = self.stream.pending_bytes() > resp::MAX_MESSAGE_BYTES
             || self.pending_commands.len() >= MAX_PENDING_COMMANDS;
@@ -136,8 +136,8 @@
         };
     }
 
-    /// Records that the client has stopped sending. The complete commands that have arrived are still handled, unless the
-    /// connection is already closing.
+    /// Records that the client has stopped sending. The complete commands that have arrived are still handled, unless
+    /// the connection is already closing.
     pub(crate) fn begin_last_commands(&mut self) {
         self.state = if self.is_closing() {
             ClientState::PeerClosed
@@ -151,15 +151,15 @@
         self.pending_commands.is_empty() && self.stream.pending_bytes() == 0 && !self.is_paused()
     }
 
-    /// Whether the connection is between two requests, as far as the gateway can see, and may therefore be closed while the
-    /// gateway drains. A client that has sent no request yet, or only a part of its first one, has the connect timeout to
-    /// send it; a client that has sent a request has `MAX_IDLE` to complete a further one that it has begun.
+    /// Whether the connection is between two requests, as far as the gateway can see, and may therefore be closed while
+    /// the gateway drains. A client that has sent no request yet, or only a part of its first one, has the connect
+    /// timeout to send it; a client that has sent a request has `MAX_IDLE` to complete a further one that it has begun.
     pub(crate) fn is_idle(&self, reactor: &Reactor) -> bool {
         self.is_idle_for(reactor, reactor.connect_timeout())
     }
 
-    /// Whether the connection may be closed to free its descriptor for another client. As `is_idle`, with a shorter time for
-    /// the first request.
+    /// Whether the connection may be closed to free its descriptor for another client. As `is_idle`, with a shorter
+    /// time for the first request.
     pub(crate) fn is_evictable(&self, reactor: &Reactor) -> bool {
         let before_first_request = reactor.connect_timeout().min(MAX_IDLE_BEFORE_FIRST_REQUEST);
         self.is_idle_for(reactor, before_first_request)
@@ -176,8 +176,8 @@
     }
 
     /// Whether the connection has had no open request for `MAX_IDLE` and should be closed. A connection between two
-    /// requests should be closed only while connections are scarce; one without any valid request, or with an incomplete
-    /// command, always.
+    /// requests should be closed only while connections are scarce; one without any valid request, or with an
+    /// incomplete command, always.
     pub(crate) fn is_overdue(&self, now: Duration, are_connections_scarce: bool) -> bool {
         let is_between_requests = self.has_sent_request && self.stream.input.is_empty();
         self.is_quiescent()
@@ -204,8 +204,8 @@
         self.first_pending_number + self.pending_commands.len() as u64 - 1
     }
 
-    /// Rejects input that is not valid RESP2, after which no further command can be found: queues an error line behind the
-    /// answers of the commands before it, and closes the connection after that.
+    /// Rejects input that is not valid RESP2, after which no further command can be found: queues an error line behind
+    /// the answers of the commands before it, and closes the connection after that.
     pub(crate) fn reject_input(&mut self, reactor: &mut Reactor, error: ProtocolError) {
         self.stop_reading();
         let number = self.push_command();
@@ -215,8 +215,8 @@
         });
     }
 
-    /// Handles one complete command: opens its request, or answers it directly. `bytes` holds the command and `words` the
-    /// positions of its words; `key` is the connection's key.
+    /// Handles one complete command: opens its request, or answers it directly. `bytes` holds the command and `words`
+    /// the positions of its words; `key` is the connection's key.
     pub(crate) fn handle_command(
         &mut self,
         reactor: &mut Reactor,
@@ -261,8 +261,8 @@
         }
     }
 
-    /// Opens the request of the command that was pushed last, and queues it for the controller. With `is_full`, or once the
-    /// client has stopped sending, the controller is to reject it.
+    /// Opens the request of the command that was pushed last, and queues it for the controller. With `is_full`, or once
+    /// the client has stopped sending, the controller is to reject it.
     fn open_request(
         &mut self,
         reactor: &mut Reactor,
@@ -296,8 +296,8 @@
         reactor.notify(notification);
     }
 
-    /// Answers the command with this number. The answer is queued for writing if all commands before it are answered, and
-    /// kept until then otherwise.
+    /// Answers the command with this number. The answer is queued for writing if all commands before it are answered,
+    /// and kept until then otherwise.
     pub(crate) fn respond(
         &mut self,
         reactor: &mut Reactor,
@@ -333,7 +333,8 @@
         self.first_pending_number += 1;
     }
 
-    /// Keeps an answer until the commands before it are answered. `index` is the command's position among the pending ones.
+    /// Keeps an answer until the commands before it are answered. `index` is the command's position among the pending
+    /// ones.
     fn keep_answer(
         &mut self,
         reactor: &mut Reactor,
--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -36,8 +36,8 @@
     pub(crate) is_ready: bool,
 }
 
-/// Whether further requests must be rejected: as many are open as the settings allow, or the buffered bytes would exceed
-/// the budget if each open request received a value of the maximum size.
+/// Whether further requests must be rejected: as many are open as the settings allow, or the buffered bytes would
+/// exceed the budget if each open request received a value of the maximum size.
 fn is_full(reactor: &Reactor, requests: &OpenRequests) -> bool {
     let max_open = reactor.settings.limits.max_open_requests as usize;
     let projected_bytes = reactor.buffered_bytes() + requests.len() * resp::MAX_VALUE_BYTES;
@@ -68,8 +68,8 @@
         self.connections.len() >= reactor.budget.clients
     }
 
-    /// Accepts the connections that wait. While the budget is used up, an idle connection is closed for each new one; if
-    /// there is none, accepting is paused and the remaining connections stay in the backlog.
+    /// Accepts the connections that wait. While the budget is used up, an idle connection is closed for each new one;
+    /// if there is none, accepting is paused and the remaining connections stay in the backlog.
     pub(crate) fn accept(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         self.is_accept_paused = false;
         loop {
@@ -107,9 +107,9 @@
         self.connections.insert(client);
     }
 
-    /// Finds the connection to close for a new one: preferably of a client that has not sent a request yet, and among these
-    /// the one that has been idle longest. Input that has arrived on it is handled first; if that makes it active, the
-    /// search goes on.
+    /// Finds the connection to close for a new one: preferably of a client that has not sent a request yet, and among
+    /// these the one that has been idle longest. Input that has arrived on it is handled first; if that makes it
+    /// active, the search goes on.
     fn find_evictable(
         &mut self,
         reactor: &mut Reactor,
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Handles input that the poll has not reported yet. Returns whether the connection is still open and idle afterwards.
+    /// Handles input that the poll has not reported yet. Returns whether the connection is still open and idle
+    /// afterwards.
     fn is_idle_after_reading(
         &mut self,
         reactor: &mut Reactor,
@@ -255,7 +256,7 @@
         !client.is_closing() && !client.is_paused()
     }
 
-    /// Handles that the client has stopped sending: complete commands in the buffer are rejected, open requests are
+    /// Handles a client that has stopped sending: complete commands in the buffer are rejected, open requests are
     /// answered now instead of being attempted further, and the connection is closed after the last answer.
     fn on_peer_closed(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         let Some(open) = self.begin_last_commands(key) else {
@@ -278,8 +279,8 @@
         }
     }
 
-    /// Puts a connection into the state in which its last commands are handled. Returns the requests that were open before;
-    /// `None` if the connection is closed or its client was already known to have stopped sending.
+    /// Puts a connection into the state in which its last commands are handled. Returns the requests that were open
+    /// before; `None` if the connection is closed or its client was already known to have stopped sending.
     fn begin_last_commands(&mut self, key: usize) -> Option<Vec<Serial>> {
         let client = self
             .connections
@@ -290,8 +291,8 @@
         Some(pending.filter_map(|command| command.request).collect())
     }
 
-    /// Answers a command. The answer is queued for writing once all commands before it are answered; it is dropped if the
-    /// connection is closed.
+    /// Answers a command. The answer is queued for writing once all commands before it are answered; it is dropped if
+    /// the connection is closed.
     pub(crate) fn respond(
         &mut self,
         reactor: &mut Reactor,
@@ -311,8 +312,8 @@
         }
     }
 
-    /// Writes as much of a connection's answers as the socket accepts, and closes the connection if it is closing, or idle
-    /// while the gateway drains, and all answers are written.
+    /// Writes as much of a connection's answers as the socket accepts, and closes the connection if it is closing, or
+    /// idle while the gateway drains, and all answers are written.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         let Some(client) = self.connections.get_mut(key) else {
             return;
@@ -335,7 +336,8 @@
         }
     }
 
-    /// Closes a connection on which all answers are written, so that the client receives the last one. See [`Lingering`].
+    /// Closes a connection on which all answers are written, so that the client receives the last one. See
+    /// [`Lingering`].
     fn close_gracefully(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         if let Some(client) = self.remove(reactor, key, requests) {
             self.lingering.close_gracefully(reactor, client.stream);
@@ -376,9 +378,9 @@
         Some(client)
     }
 
-    /// Resumes accepting, or else the paused connections that an answer or a write may have unblocked. Accepting is resumed
-    /// only here: it may close a connection, which must not accept recursively. Returns whether there was anything to
-    /// resume.
+    /// Resumes accepting, or else the paused connections that an answer or a write may have unblocked. Accepting is
+    /// resumed only here: it may close a connection, which must not accept recursively. Returns whether there was
+    /// anything to resume.
     pub(crate) fn resume_paused(
         &mut self,
         reactor: &mut Reactor,
@@ -398,8 +400,8 @@
     }
 
     /// Called at each tick. Closes connections whose clients have sent no request or have left a command incomplete for
-    /// `MAX_IDLE`; the latter get a protocol error first. While more than half of the budget is in use, connections that
-    /// have been idle for as long between two requests are closed too.
+    /// `MAX_IDLE`; the latter get a protocol error first. While more than half of the budget is in use, connections
+    /// that have been idle for as long between two requests are closed too.
     pub(crate) fn close_overdue(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         // While accepting is paused, it is tried again: some connections may have been idle long enough by now to be
         // replaced.
@@ -429,7 +431,7 @@
 
     /// Called once a second. Closes connections that have accepted nothing of their answers for longer than any client
     /// waits. While the buffered bytes exceed the budget, closes the connections with the largest incomplete commands.
-    /// Has paused connections and accepting tried again.
+    /// Schedules another try for paused connections and for accepting.
     pub(crate) fn close_stalled(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         let now = reactor.now;
         // No client waits longer than this for an answer.
@@ -441,15 +443,17 @@
             let Some(key) = self.largest_stalled_command(reactor) else {
                 break;
             };
-            slog::warn!(reactor.log, "buffered bytes exceed the budget: closing the connection with the largest incomplete command"; "held" => reactor.buffered_bytes());
+            slog::warn!(reactor.log,
+                "buffered bytes exceed the budget: closing the connection with the largest incomplete command";
+                "held" => reactor.buffered_bytes());
             self.close_gracefully(reactor, key, requests);
         }
         self.resumable = self.keys_where(Client::is_paused);
         self.may_resume_accept = true;
     }
 
-    /// The key of the connection with the largest incomplete command, among those whose last activity is longer ago than
-    /// the connect timeout.
+    /// The key of the connection with the largest incomplete command, among those whose last activity is longer ago
+    /// than the connect timeout.
     fn largest_stalled_command(&self, reactor: &Reactor) -> Option<usize> {
         let stalled_since = reactor.now.saturating_sub(reactor.connect_timeout());
         self.connections
--- a/edge/src/deadlines.rs
+++ b/edge/src/deadlines.rs
@@ -29,7 +29,7 @@
 /// Identifies a deadline that was set. Deadlines at the same time expire in the order in which they were set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(crate) struct DeadlineId {
-    /// When it expires, since the start of the gateway's clock.
+    /// When it expires, on the gateway's monotonic clock.
     due_at: Duration,
     serial: Serial,
 }
--- a/edge/src/event_loop.rs
+++ b/edge/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop, with one poll per iteration. Events are queued as notifications for the admission controller, and what
-//! the controller requests is done at once, except that output is written at the end of the iteration.
+//! The event loop, with one poll per iteration. Events are queued as notifications for the admission controller, and
+//! what the controller requests is done at once, except that output is written at the end of the iteration.
 
 use crate::gateway::Gateway;
 use crate::notification::Notification;
@@ -30,8 +30,8 @@
     Ok(())
 }
 
-/// Waits until the poll reports events, a signal interrupts it or `timeout` has passed; without a timeout, for as long as it
-/// takes.
+/// Waits until the poll reports events, a signal interrupts it or `timeout` has passed; without a timeout, for as long
+/// as it takes.
 fn wait_for_events(
     poll: &mut Poll,
     events: &mut Events,
@@ -81,8 +81,8 @@
     Some((notification, reactor.now))
 }
 
-/// Delivers one notification to the controller. The controller acts through its port meanwhile, which borrows the gateway,
-/// so the gateway must not be borrowed here during the call.
+/// Delivers one notification to the controller. The controller acts through its port meanwhile, which borrows the
+/// gateway, so the gateway must not be borrowed here during the call.
 fn deliver(
     notification: Notification,
     gateway: &RefCell<Gateway>,
@@ -132,8 +132,8 @@
     }
 }
 
-/// Delivers the end of an attempt to the controller. If the request has its answer or is closed, tells the controller so
-/// and closes the request.
+/// Delivers the end of an attempt to the controller. If the request has its answer or is closed, tells the controller
+/// so and closes the request.
 fn deliver_attempt_end(
     request: &RequestId,
     attempt: AttemptNumber,
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -27,9 +27,10 @@
 
 pub(crate) use socket_port::SocketPort;
 
-/// How long after its start a gateway without an endpoint list reports itself ready all the same. Its configuration then
-/// holds no list and discovery does not answer, but nine of ten restarted gateways must be ready within 10 s. Trade-off:
-/// the gateway receives requests that others could serve; it rejects them at once, with advice when to retry.
+/// How long after its start a gateway without an endpoint list reports itself ready all the same. Its configuration
+/// then holds no list and discovery does not answer, but nine of ten restarted gateways must be ready within 10 s.
+/// Trade-off: the gateway receives requests that others could serve; it rejects them at once, with advice when to
+/// retry.
 const MAX_WAIT_FOR_ENDPOINTS: Duration = Duration::from_secs(8);
 
 /// The interval of the periodic work that is too expensive to do at each tick.
@@ -289,11 +290,11 @@
         self.reactor.metrics.report(&self.reactor.log, &gauges);
     }
 
-    /// Whether the graceful shutdown is complete: no client is connected, no request is open and, unless all requests must be
-    /// answered by now, the counter owes no reply.
+    /// Whether the graceful shutdown is complete: no client is connected, no request is open and, unless all requests
+    /// must be answered by now, the counter owes no reply.
     pub(crate) fn is_finished(&mut self) -> bool {
-        // Once all requests must be answered, missing replies of the counter are not awaited: the calls were written, and
-        // the values on the counter expire.
+        // Once all requests must be answered, missing replies of the counter are not awaited: the calls were written,
+        // and the values on the counter expire.
         let has_counter_settled = self.counter.owes_no_replies() || self.reactor.must_answer_now();
         let is_quiet = self.clients.len() == 0 && self.requests.len() == 0 && has_counter_settled;
         if !is_quiet || !self.reactor.is_draining() {
--- a/edge/src/gateway/socket_port.rs
+++ b/edge/src/gateway/socket_port.rs
@@ -123,8 +123,8 @@
     }
 }
 
-/// The deadline for the response to an attempt. It is never later than the request's deadline; a timeout of zero stands for
-/// the request's deadline.
+/// The deadline for the response to an attempt. It is never later than the request's deadline; a timeout of zero stands
+/// for the request's deadline.
 fn attempt_deadline(request: &OpenRequest, now: Duration, timeout: Duration) -> Duration {
     if timeout.is_zero() {
         request.deadline
--- a/edge/src/lingering.rs
+++ b/edge/src/lingering.rs
@@ -1,7 +1,7 @@
-//! Lingering close of client connections that the gateway ends. Once all answers are written, the gateway shuts down the
-//! sending direction, then reads and discards input until the client closes the connection too. Closing at once while
-//! unread bytes have arrived would reset the connection, and the client could lose the last answer. Commands that arrive
-//! after the shutdown are not served, since their answers could no longer be sent.
+//! Lingering close of client connections that the gateway ends. Once all answers are written, the gateway shuts down
+//! the sending direction, then reads and discards input until the client closes the connection too. Closing at once
+//! while unread bytes have arrived would reset the connection, and the client could lose the last answer. Commands that
+//! arrive after the shutdown are not served, since their answers could no longer be sent.
 //!
 //! Trade-off: the descriptor stays in use a while longer. It counts towards the clients' connections, and lingering
 //! connections are closed first when a descriptor is needed.
@@ -23,7 +23,7 @@
 /// A connection whose sending direction is shut down.
 struct LingeringConnection {
     stream: BufferedStream,
-    /// When the connection is closed at the latest, since the start of the gateway's clock.
+    /// When the connection is closed at the latest, on the gateway's monotonic clock.
     deadline: Duration,
     /// How many more bytes are read and discarded.
     remaining_discard_bytes: usize,
@@ -41,8 +41,8 @@
         self.connections.len()
     }
 
-    /// Ends a connection on which all output is written. Connections that have failed, or whose clients do not read their
-    /// answers, are closed directly instead.
+    /// Ends a connection on which all output is written. Connections that have failed, or whose clients do not read
+    /// their answers, are closed directly instead.
     pub(crate) fn close_gracefully(&mut self, reactor: &mut Reactor, mut stream: BufferedStream) {
         let key = self.connections.vacant_key();
         if stream
@@ -60,8 +60,8 @@
         self.discard_input(reactor, key);
     }
 
-    /// Reads and discards the input of a connection, and closes the connection once the client has closed it, it has failed
-    /// or too many bytes have arrived.
+    /// Reads and discards the input of a connection, and closes the connection once the client has closed it, it has
+    /// failed or too many bytes have arrived.
     pub(crate) fn discard_input(&mut self, reactor: &mut Reactor, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -24,7 +24,7 @@
 use upstream_connection::{idle_lifetime, outcome_on_open_error, UpstreamConnection};
 use wellcrank::port::{AttemptNumber, AttemptOutcome, EndpointId, RequestId};
 
-/// How long a connection must have been idle before it is reused. A faulty endpoint may send a second response to an
+/// How long a connection must have been idle before it is reused. An endpoint may send a second response to an
 /// attempt some milliseconds after the first, which must not be taken for the response to the next attempt. Trade-off:
 /// a busy gateway opens a few more connections.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
@@ -33,7 +33,7 @@
 /// the next iteration, because clients may have disconnected and endpoints may have begun to drain since the last poll.
 const MAX_ITERATION_BEFORE_DEFERRAL: Duration = Duration::from_millis(50);
 
-/// The parameters of an attempt to start. Times are durations since the start of the gateway's clock.
+/// The parameters of an attempt to start. Times are durations on the gateway's monotonic clock.
 pub(crate) struct NewAttempt<'a> {
     pub(crate) request: &'a RequestId,
     pub(crate) number: AttemptNumber,
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Returns a connection without an attempt: the most recently used idle one that is reusable, or else a new one. Where
-    /// the budget is used up, the connection that has been idle longest is closed for it.
+    /// Returns a connection without an attempt: the most recently used idle one that is reusable, or else a new one.
+    /// Where the budget is used up, the connection that has been idle longest is closed for it.
     fn connection_to(
         &mut self,
         reactor: &mut Reactor,
@@ -200,8 +200,9 @@
     }
 
     /// Takes the most recently used idle connection to an endpoint that has been idle for at least
-    /// `MIN_IDLE_BEFORE_REUSE`. Closes candidates that have exceeded their idle lifetime, that the endpoint has closed, or
-    /// that have received bytes since their last response: these would be taken for the response to the next attempt.
+    /// `MIN_IDLE_BEFORE_REUSE`. Closes candidates that have exceeded their idle lifetime, that the endpoint has closed,
+    /// or that have received bytes since their last response: these would be taken for the response to the next
+    /// attempt.
     fn reuse_idle_connection(
         &mut self,
         reactor: &mut Reactor,
@@ -366,8 +367,8 @@
         self.recycle(reactor, key, length);
     }
 
-    /// Removes a complete response from a connection's input. Keeps the connection as idle if its endpoint may get further
-    /// attempts and no other input is left; closes it otherwise.
+    /// Removes a complete response from a connection's input. Keeps the connection as idle if its endpoint may get
+    /// further attempts and no other input is left; closes it otherwise.
     fn recycle(&mut self, reactor: &mut Reactor, key: usize, response_length: usize) {
         let connection = &mut self.connections[key];
         connection.stream.consume(reactor, response_length);
@@ -453,7 +454,8 @@
         true
     }
 
-    /// Ends an attempt whose response is malformed, incomplete or too long, as a server error: the command may have run.
+    /// Ends an attempt whose response is malformed, incomplete or too long, as a server error: the command may have
+    /// run.
     fn fail_malformed_response(&mut self, reactor: &mut Reactor, key: usize) {
         reactor.metrics.malformed_responses += 1;
         self.end_attempt_and_close(reactor, key, |_| AttemptOutcome::ServerError);
@@ -464,7 +466,8 @@
         self.end_attempt_and_close(reactor, key, Attempt::outcome_on_disconnect);
     }
 
-    /// Ends the attempt on a connection, if any, with the outcome that `outcome` returns for it, and closes the connection.
+    /// Ends the attempt on a connection, if any, with the outcome that `outcome` returns for it, and closes the
+    /// connection.
     fn end_attempt_and_close(
         &mut self,
         reactor: &mut Reactor,
--- a/edge/src/pool/attempt.rs
+++ b/edge/src/pool/attempt.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use wellcrank::port::{AttemptNumber, AttemptOutcome, AttemptResult, RequestId};
 
-/// The longest part of a client's timeout that may have passed unnoticed, before the gateway read the command and before
-/// it writes the command to the endpoint. At most a quarter of the remaining time is assumed to have passed.
+/// The longest part of a client's timeout that may have passed unnoticed, before the gateway read the command and
+/// before it writes the command to the endpoint. At most a quarter of the remaining time is assumed to have passed.
 const MAX_UNOBSERVED_TIME: Duration = Duration::from_millis(50);
 
-/// The state of an attempt. It tells whether the endpoint may have run the command: only if all of it was written. While
-/// nothing was written, an attempt can be abandoned without the endpoint having seen anything of it.
+/// The state of an attempt. It tells whether the endpoint may have run the command: only if all of it was written.
+/// While nothing was written, an attempt can be abandoned without the endpoint having seen anything of it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum AttemptState {
     /// No byte was written: the connection is not established yet, or the socket has accepted nothing so far.
@@ -58,7 +58,7 @@
     }
 }
 
-/// An attempt on a connection. Times are durations since the start of the gateway's clock.
+/// An attempt on a connection. Times are durations on the gateway's monotonic clock.
 pub(super) struct Attempt {
     pub(super) request: RequestId,
     pub(super) number: AttemptNumber,
--- a/edge/src/pool/endpoint_table.rs
+++ b/edge/src/pool/endpoint_table.rs
@@ -27,9 +27,10 @@
 }
 
 impl EndpointTable {
-    /// Resolves the unreadable parts of an update. A listed endpoint without a readable address keeps the address that is
-    /// known, and is dropped from the update if none is known. Endpoints whose entries in a snapshot are unreadable keep
-    /// their state; for that, the snapshot is turned into a delta that removes the known endpoints which it does not list.
+    /// Resolves the unreadable parts of an update. A listed endpoint without a readable address keeps the address that
+    /// is known, and is dropped from the update if none is known. Endpoints whose entries in a snapshot are unreadable
+    /// keep their state; for that, the snapshot is turned into a delta that removes the known endpoints which it does
+    /// not list.
     pub(super) fn complete_update(&self, update: &mut ParsedUpdate) {
         update.endpoints.retain(|listed| {
             listed.address.is_some() || self.known.contains_key(&listed.endpoint.id)
@@ -58,8 +59,8 @@
             }));
     }
 
-    /// Applies an update. Returns the keys of the idle connections that are no longer usable: those to former incarnations
-    /// and those to endpoints that get no further attempts.
+    /// Applies an update. Returns the keys of the idle connections that are no longer usable: those to former
+    /// incarnations and those to endpoints that get no further attempts.
     pub(super) fn apply_update(
         &mut self,
         is_snapshot: bool,
@@ -145,8 +146,8 @@
         self.known.get_mut(id)
     }
 
-    /// Returns the endpoint if it is ready and `incarnation` is its current one, so that connections to that incarnation
-    /// may carry further attempts.
+    /// Returns the endpoint if it is ready and `incarnation` is its current one, so that connections to that
+    /// incarnation may carry further attempts.
     pub(super) fn usable(
         &mut self,
         id: &EndpointId,
--- a/edge/src/pool/upstream_connection.rs
+++ b/edge/src/pool/upstream_connection.rs
@@ -17,7 +17,7 @@
     /// Distinguishes the connection from earlier ones with the same key.
     pub(super) serial: Serial,
     pub(super) attempt: Option<Attempt>,
-    /// When it was opened or its last response was complete, since the start of the gateway's clock.
+    /// When it was opened or its last response was complete, on the gateway's monotonic clock.
     pub(super) last_used: Duration,
 }
 
--- a/edge/src/reactor.rs
+++ b/edge/src/reactor.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 use wellcrank::settings::Settings;
 
-/// A serial number. Requests, connections, deadlines and calls on the counter share one sequence, so each number is used
-/// once.
+/// A serial number. Requests, connections, deadlines and calls on the counter share one sequence, so each number is
+/// used once.
 pub(crate) type Serial = u64;
 
 /// How long a connection may take to be established if the settings do not say: as long as the system waits before it
@@ -26,7 +26,7 @@
 /// The size of the buffer that all sockets are read into.
 const SCRATCH_BYTES: usize = 64 * 1024;
 
-/// The state that all components share. Times are durations since the start of the gateway's clock.
+/// The state that all components share. Times are durations on the gateway's monotonic clock.
 pub(crate) struct Reactor {
     /// Registers sockets with the poll.
     pub(crate) registry: Registry,
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Starts an event loop iteration, after the poll has returned: reads the clock, and schedules the flushes that were
-    /// deferred to this iteration.
+    /// Starts an event loop iteration, after the poll has returned: reads the clock, and schedules the flushes that
+    /// were deferred to this iteration.
     pub(crate) fn begin_iteration(&mut self) {
         self.now = self.clock.now();
         self.polled_at = self.now;
@@ -167,15 +167,15 @@
         Some(due_at.saturating_sub(self.clock.now()))
     }
 
-    /// Whether the gateway was told to stop and its clients have had time to notice, so that it closes connections between
-    /// two requests.
+    /// Whether the gateway was told to stop and its clients have had time to notice, so that it closes connections
+    /// between two requests.
     pub(crate) fn is_draining(&self) -> bool {
         self.shutdown
             .is_some_and(|shutdown| shutdown.drain_from <= self.now)
     }
 
-    /// Whether the gateway was told to stop and will be killed soon, so that it answers every open request now and reads no
-    /// further ones.
+    /// Whether the gateway was told to stop and will be killed soon, so that it answers every open request now and
+    /// reads no further ones.
     pub(crate) fn must_answer_now(&self) -> bool {
         self.shutdown
             .is_some_and(|shutdown| shutdown.answer_by <= self.now)
@@ -215,8 +215,8 @@
         self.buffered_bytes += bytes;
     }
 
-    /// Subtracts from the number of buffered bytes. It stops at zero: if a counting error made it wrap around, the memory
-    /// would count as full for ever.
+    /// Subtracts from the number of buffered bytes. It stops at zero: if a counting error made it wrap around, the
+    /// memory would count as full for ever.
     pub(crate) fn release_buffered_bytes(&mut self, bytes: usize) {
         invariant!(
             self,
--- a/edge/src/requests.rs
+++ b/edge/src/requests.rs
@@ -25,7 +25,7 @@
 pub(crate) struct OpenRequest {
     /// The client's command.
     pub(crate) command: RequestCommand,
-    /// When its client stops waiting, since the start of the gateway's clock.
+    /// When its client stops waiting, on the gateway's monotonic clock.
     pub(crate) deadline: Duration,
     /// The number of attempts that the controller has asked for.
     pub(crate) attempts: u32,
@@ -33,7 +33,8 @@
     pub(crate) slot: ResponseSlot,
     /// Whether an endpoint's value was sent to the client. The request stays open until the controller has been told.
     pub(crate) answered: bool,
-    /// Whether the client has disconnected or stopped sending. The request stays open until the controller has been told.
+    /// Whether the client has disconnected or stopped sending. The request stays open until the controller has been
+    /// told.
     client_left: bool,
 }
 
@@ -114,8 +115,8 @@
             .is_some_and(OpenRequest::is_awaited)
     }
 
-    /// Records that the client of a request has disconnected or stopped sending, so that no further attempts are started.
-    /// Returns the request's id if this was not recorded before and it has no answer yet.
+    /// Records that the client of a request has disconnected or stopped sending, so that no further attempts are
+    /// started. Returns the request's id if this was not recorded before and it has no answer yet.
     pub(crate) fn mark_client_left(&mut self, serial: Serial) -> Option<RequestId> {
         let request = self
             .open
--- a/edge/src/requests/command.rs
+++ b/edge/src/requests/command.rs
@@ -1,5 +1,5 @@
-//! A client's command for a request: its bytes, the positions of its words, and the values that the controller needs. It
-//! is checked once, when it is parsed.
+//! A client's command for a request: its bytes, the positions of its words, and the values that the controller needs.
+//! It is checked once, when it is parsed.
 //!
 //! The words are the command's name, the customer, the client's id for the request, the parameters (see
 //! [`super::parameters`]) and, except for a query, a body.
@@ -103,8 +103,8 @@
     pub(crate) gateway_count: u32,
 }
 
-/// The maximum number of units that a request may ask for or that a response may settle. If the settings state none, it is
-/// `DEFAULT_MAX_UNITS`.
+/// The maximum number of units that a request may ask for or that a response may settle. If the settings state none, it
+/// is `DEFAULT_MAX_UNITS`.
 pub(crate) fn max_request_units(settings: &Settings) -> f64 {
     Some(settings.counter.max_request_units)
         .filter(|max_units| *max_units > 0.0)
@@ -184,8 +184,8 @@
         self.bytes.len()
     }
 
-    /// Writes the command for an endpoint: as the client sent it, with the name in upper case and with `timeout`, in whole
-    /// milliseconds and at least 1 ms, in place of the client's.
+    /// Writes the command for an endpoint: as the client sent it, with the name in upper case and with `timeout`, in
+    /// whole milliseconds and at least 1 ms, in place of the client's.
     pub(crate) fn write_for_endpoint(&self, out: &mut Vec<u8>, timeout: Duration) {
         resp::write_array_header(out, self.words.len());
         for (index, word) in self.words.iter().enumerate() {
@@ -202,8 +202,8 @@
     }
 }
 
-/// Checks that the settings have the route, that the command is the one for it, and that there is an idempotency key if the
-/// route needs one.
+/// Checks that the settings have the route, that the command is the one for it, and that there is an idempotency key if
+/// the route needs one.
 fn check_route(
     parameters: &Parameters,
     is_query: bool,
--- a/edge/src/requests/parameters.rs
+++ b/edge/src/requests/parameters.rs
@@ -18,14 +18,15 @@
 /// The maximum length of a number in characters, including a decimal point.
 const MAX_NUMBER_LENGTH: usize = 16;
 
-/// The longest timeout that a client may state, in milliseconds. It bounds how long the gateway keeps the state of a request
-/// that nothing else ends.
+/// The longest timeout that a client may state, in milliseconds. It bounds how long the gateway keeps the state of a
+/// request that nothing else ends.
 const MAX_TIMEOUT_MS: f64 = 600_000.0;
 
 /// The lower bound of timeouts, in milliseconds, and of units: both must be above zero.
 const MIN_POSITIVE_NUMBER: f64 = 1e-3;
 
-/// The parameters in a list, with defaults for those that it leaves out. Numbers that are given are within their ranges.
+/// The parameters in a list, with defaults for those that it leaves out. Numbers that are given are within their
+/// ranges.
 pub(super) struct Parameters<'a> {
     pub(super) route: &'a str,
     pub(super) plan: &'a str,
--- a/edge/src/resp.rs
+++ b/edge/src/resp.rs
@@ -17,8 +17,8 @@
 /// The maximum size of one message, in bytes: room for its words, one of which is a body or a value.
 pub(crate) const MAX_MESSAGE_BYTES: usize = MAX_VALUE_BYTES + MAX_WORDS * MAX_LINE_BYTES;
 
-/// Why bytes are not a message that is accepted. The texts of errors in commands are part of the protocol: clients receive
-/// them in error lines.
+/// Why bytes are not a message that is accepted. The texts of errors in commands are part of the protocol: clients
+/// receive them in error lines.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub(crate) enum ProtocolError {
     /// A line ends with LF without CR.
@@ -118,8 +118,8 @@
         .ok_or(ProtocolError::InvalidLength)
 }
 
-/// Parses the bulk string at `start`. Returns the position of its value, or `None` for the null bulk string, and the start
-/// of what follows.
+/// Parses the bulk string at `start`. Returns the position of its value, or `None` for the null bulk string, and the
+/// start of what follows.
 fn parse_bulk(bytes: &[u8], start: usize) -> Parsed<Option<Range<usize>>> {
     let Some((header, value_start)) = parse_line(bytes, start)? else {
         return Ok(None);
@@ -173,7 +173,8 @@
     }
 }
 
-/// Parses the text of an error line: a code in upper case, further words, and optionally a load report as its last word.
+/// Parses the text of an error line: a code in upper case, further words, and optionally a load report as its last
+/// word.
 fn parse_error_line(text: &[u8]) -> Result<Reply<'_>, ProtocolError> {
     let text = std::str::from_utf8(text).map_err(|_| ProtocolError::ErrorNotUtf8)?;
     let code = text.split(' ').next().unwrap_or("");
--- a/edge/src/shutdown.rs
+++ b/edge/src/shutdown.rs
@@ -4,22 +4,23 @@
 use std::time::Duration;
 use wellcrank::settings::Settings;
 
-/// The platform kills the process no earlier than the longest client timeout, or this if it is shorter, plus [`KILL_GRACE`]
-/// after it told the gateway to stop. Source: the operators' terms.
+/// The platform kills the process no earlier than the longest client timeout, or this if it is shorter, plus
+/// [`KILL_GRACE`] after it told the gateway to stop. Source: the operators' terms.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long beyond the longest client timeout the platform waits before it kills the process. Source: the operators' terms.
+/// How long beyond the longest client timeout the platform waits before it kills the process. Source: the operators'
+/// terms.
 const KILL_GRACE: Duration = Duration::from_millis(700);
 
-/// How long before the kill all requests are answered, so that the answers can still be written: the gateway may stall once
-/// for 150 ms, and checks the time only at each tick.
+/// How long before the kill all requests are answered, so that the answers can still be written: the gateway may stall
+/// once for 150 ms, and checks the time only at each tick.
 const ANSWER_MARGIN: Duration = Duration::from_millis(240);
 
-/// How long the gateway serves as before: clients still connect for up to 0.4 s after it was told to stop, and every time
-/// limit may be exceeded by 50 ms.
+/// How long the gateway serves as before: clients still connect for up to 0.4 s after it was told to stop, and every
+/// time limit may be exceeded by 50 ms.
 const DRAIN_DELAY: Duration = Duration::from_millis(450);
 
-/// The times of a shutdown, as durations since the start of the gateway's clock.
+/// The times of a shutdown, as durations on the gateway's monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct GracefulShutdown {
     /// When the gateway was told to stop.
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Applies new settings. The time to answer by is never moved later, since the platform may go by the old or by the new
-    /// client timeouts.
+    /// Applies new settings. The time to answer by is never moved later, since the platform may go by the old or by the
+    /// new client timeouts.
     pub(crate) fn shorten(&mut self, settings: &Settings) {
         self.answer_by = self.answer_by.min(answer_by(self.requested_at, settings));
     }
--- a/edge/src/stream.rs
+++ b/edge/src/stream.rs
@@ -30,8 +30,8 @@
     is_registered: bool,
     /// Whether the connection is known to be established, from a read, a write or the poll.
     pub(crate) is_connected: bool,
-    /// Whether the last read found the socket empty, so that reading is useless until the poll reports more input. The owner
-    /// resets it when the poll does.
+    /// Whether the last read found the socket empty, so that reading is useless until the poll reports more input. The
+    /// owner resets it when the poll does.
     pub(crate) read_would_block: bool,
     /// Whether a read has failed, for example by a reset, as opposed to the other side's orderly end of the stream.
     pub(crate) has_failed: bool,
@@ -46,8 +46,9 @@
 }
 
 impl BufferedStream {
-    /// Opens a connection and registers it with the poll. It is not established yet when this returns. Fails with the error
-    /// of the last try if the address refuses the connection at once, or if all `MAX_CONNECT_ATTEMPTS` tries fail.
+    /// Opens a connection and registers it with the poll. It is not established yet when this returns. Fails with the
+    /// error of the last try if the address refuses the connection at once, or if all `MAX_CONNECT_ATTEMPTS` tries
+    /// fail.
     pub(crate) fn connect(
         reactor: &mut Reactor,
         address: SocketAddr,
@@ -80,8 +81,8 @@
         Ok(stream)
     }
 
-    /// Wraps a connection that was accepted. It is kept even if registering it with the poll fails, since a command may have
-    /// arrived on it; the owner calls [`BufferedStream::register`] again later.
+    /// Wraps a connection that was accepted. It is kept even if registering it with the poll fails, since a command may
+    /// have arrived on it; the owner calls [`BufferedStream::register`] again later.
     pub(crate) fn accepted(
         reactor: &mut Reactor,
         socket: TcpStream,
@@ -116,8 +117,8 @@
         }
     }
 
-    /// The socket as an event source, by its descriptor: a mio `TcpStream` would count as registered after a registration
-    /// that failed.
+    /// The socket as an event source, by its descriptor: a mio `TcpStream` would count as registered after a
+    /// registration that failed.
     fn source(&self) -> SourceFd<'_> {
         SourceFd(&self.descriptor)
     }
@@ -148,8 +149,8 @@
         is_reported_again || error.kind() == ErrorKind::WouldBlock
     }
 
-    /// Lets `write` append to the output, which is written at the end of the event loop iteration. Returns how many bytes
-    /// were appended.
+    /// Lets `write` append to the output, which is written at the end of the event loop iteration. Returns how many
+    /// bytes were appended.
     pub(crate) fn queue(
         &mut self,
         reactor: &mut Reactor,
@@ -211,8 +212,8 @@
         Ok(has_progressed)
     }
 
-    /// Reads until the socket is empty or the input holds `max_input_bytes`. Returns false once the other side has closed the
-    /// connection or the read has failed, which sets `has_failed`.
+    /// Reads until the socket is empty or the input holds `max_input_bytes`. Returns false once the other side has
+    /// closed the connection or the read has failed, which sets `has_failed`.
     pub(crate) fn read(&mut self, reactor: &mut Reactor, max_input_bytes: usize) -> bool {
         while self.input.len() < max_input_bytes {
             let capacity = reactor
@@ -239,8 +240,8 @@
     /// Appends the first `count` bytes of the scratch buffer to the input.
     fn append_input(&mut self, reactor: &mut Reactor, count: usize) {
         self.is_connected = true;
-        // The buffer grows by what is needed and not by doubling, so that many incomplete commands do not take twice their
-        // size in memory.
+        // The buffer grows by what is needed and not by doubling, so that many incomplete commands do not take twice
+        // their size in memory.
         let growth = if self.input.is_empty() {
             count
         } else {
@@ -261,8 +262,8 @@
         }
     }
 
-    /// Checks, when the poll reports the socket as writable, whether an opened connection is established. Returns the error
-    /// of one that could not be established.
+    /// Checks, when the poll reports the socket as writable, whether an opened connection is established. Returns the
+    /// error of one that could not be established.
     pub(crate) fn check_connected(&mut self) -> io::Result<()> {
         match self.socket.take_error()? {
             Some(error) => Err(error),
@@ -273,8 +274,8 @@
         }
     }
 
-    /// Discards the input and shuts down the sending direction, on a connection on which all output is written. From now on
-    /// the poll reports the socket with the token of `component` and `key`, and for reading only.
+    /// Discards the input and shuts down the sending direction, on a connection on which all output is written. From
+    /// now on the poll reports the socket with the token of `component` and `key`, and for reading only.
     pub(crate) fn shut_down_sending(
         &mut self,
         reactor: &mut Reactor,
@@ -294,8 +295,8 @@
         self.socket.shutdown(Shutdown::Write)
     }
 
-    /// Reads and discards input until the socket is empty, and subtracts its size from `remaining_bytes`. Returns false once
-    /// the other side has closed the connection, the connection has failed or `remaining_bytes` is zero.
+    /// Reads and discards input until the socket is empty, and subtracts its size from `remaining_bytes`. Returns false
+    /// once the other side has closed the connection, the connection has failed or `remaining_bytes` is zero.
     pub(crate) fn discard_input(
         &mut self,
         reactor: &mut Reactor,
