--- a/edge/src/discovery.rs
+++ b/edge/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: follows it at discovery over HTTP/1.1, and decodes what discovery sends.
+//! The client of discovery: follows the endpoint list over HTTP/1.1 and decodes discovery's responses.
 
 mod codec;
 mod follower;
--- a/edge/src/discovery/follower.rs
+++ b/edge/src/discovery/follower.rs
@@ -1,5 +1,6 @@
-//! Follows the endpoint list: the whole list first, then one watch after another on one connection, and a new
-//! connection where the old one breaks or times out. When to call again is for [`DiscoveryRetryPolicy`] to say.
+//! Follows the endpoint list: requests the complete list first, then changes by one watch (long poll) after another on the
+//! same connection. A connection that breaks or times out is replaced. [`DiscoveryRetryPolicy`] computes the timeouts and
+//! when to call again after a failure.
 
 use super::codec::{decode_response, DecodedResponse, EndpointListMessage};
 use crate::component::Component;
@@ -12,59 +13,62 @@
 use wellcrank::settings::DiscoveryMode;
 use wellcrank_fleet::discovery_retry::{DiscoveryFailure, DiscoveryRetryPolicy, DiscoveryTiming};
 
-/// A change that comes within this time of the one before is one of a series: those of a tick are asked for together.
-const MAX_SERIES_INTERVAL: Duration = Duration::from_millis(100);
+/// A change that arrives sooner than this after the previous list or change does not start the next call at once. That
+/// call is made at the next tick, so that one response contains all changes in between.
+const COALESCING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A response may be so many bytes long however little memory there is: 4 KiB each for 1,024 endpoints.
-pub(super) const MIN_RESPONSE_LIMIT: usize = 4 << 20;
+/// The lower bound of the size limit of a response, which applies however small the memory budget is: 4 KiB for each of
+/// 1,024 endpoints.
+pub(super) const MIN_RESPONSE_LIMIT_BYTES: usize = 4 << 20;
 
 /// A connection to discovery.
 struct Connection {
     stream: BufferedStream,
-    /// Whether no response has come on it yet.
-    is_fresh: bool,
-    /// Whether a call is out that was not answered yet.
+    /// Whether no response has arrived on it yet.
+    awaits_first_response: bool,
+    /// Whether a call was sent, or queued, that has no response yet.
     is_call_pending: bool,
 }
 
-/// What the follower knows of its calls, for its log lines.
+/// Times since the latest call and the latest list, for log lines.
 #[derive(Clone, Copy)]
 struct CallAges {
-    /// How long ago the latest call began.
+    /// The time since the latest call started.
     call_age: Duration,
-    /// How long ago the latest list or change came.
+    /// The time since the latest list or change arrived.
     list_age: Duration,
 }
 
-/// Follows the endpoint list at discovery.
+/// The client of discovery: its connection, the revision of the endpoint list and the retry state.
 pub(crate) struct DiscoveryFollower {
     address: SocketAddr,
     host: String,
     connection: Option<Connection>,
-    /// The number of the latest connection, which is its key at the poll.
+    /// The number of the latest connection, counted from 1. It is also the key in the connection's poll token.
     connection_number: usize,
-    /// Whether the list is to be followed.
+    /// Whether calls to discovery are to be made.
     is_following: bool,
-    /// The revision of the latest list or change that this gateway has, also across connections: a call then asks for
-    /// what changed since, which is small, in place of the whole list. None: the whole list is wanted.
+    /// The revision of the latest list or change that this gateway has. It is kept across connections, so that a call
+    /// requests only the changes since then. `None` requests the complete list.
     revision: Option<u64>,
     gateway_index: u32,
-    /// When a new connection is due, where there is none.
+    /// When to open a new connection if there is none.
     reconnect_at: Duration,
-    /// When the first call was due after a move since which no list has come.
-    first_call_after_move: Option<Duration>,
-    /// When the latest call, or the connection for it, began.
+    /// When the first call after a change of the address is due; `None` if a list or change has arrived since. Of several
+    /// changes in a row, the earliest time counts.
+    first_call_after_address_change: Option<Duration>,
+    /// When the latest call, or opening the connection for it, started.
     call_started_at: Duration,
-    /// When the latest list or change came.
+    /// When the latest list or change arrived.
     last_list_at: Duration,
     retry_policy: DiscoveryRetryPolicy,
     rng: WyRand,
 }
 
-/// What the waits follow from, by the settings as they are.
+/// Returns the settings from which the retry policy computes its timeouts and waits.
 fn discovery_timing(reactor: &Reactor) -> DiscoveryTiming {
     let settings = &reactor.settings;
-    // Pushed lists come from an agent on the gateway's own machine; else the fleet shares a service.
+    // In push mode, each gateway calls an agent on its own machine; otherwise all gateways share one service.
     let is_shared = settings.discovery == DiscoveryMode::Subscribe;
     DiscoveryTiming {
         connect_timeout: reactor.connect_timeout(),
@@ -75,8 +79,8 @@
 }
 
 impl DiscoveryFollower {
-    /// A follower of the list at `address`, from the revision that the gateway's configuration holds, if any. It begins
-    /// with [`DiscoveryFollower::follow`].
+    /// Returns a follower of discovery at `address`. `revision` is that of the endpoint list in the gateway's
+    /// configuration, if there is one. The first call is made after [`DiscoveryFollower::follow`].
     pub(crate) fn new(
         address: SocketAddr,
         revision: Option<u64>,
@@ -92,7 +96,7 @@
             revision,
             gateway_index: reactor.settings.gateway_index,
             reconnect_at: Duration::ZERO,
-            first_call_after_move: None,
+            first_call_after_address_change: None,
             call_started_at: reactor.now,
             last_list_at: reactor.now,
             retry_policy: DiscoveryRetryPolicy::new(discovery_timing(reactor)),
@@ -100,14 +104,15 @@
         }
     }
 
-    /// The settings have changed: the waits follow from the new ones, the list and the watch stay.
+    /// Applies changed settings to the timeouts and waits. The revision and a pending watch are kept.
     pub(crate) fn reconfigure(&mut self, reactor: &Reactor) {
         self.gateway_index = reactor.settings.gateway_index;
         self.retry_policy.set_timing(discovery_timing(reactor));
     }
 
-    /// Discovery is elsewhere from now on: the list is followed there, whole at first, as its revisions are its own.
-    pub(crate) fn move_to(&mut self, reactor: &mut Reactor, address: SocketAddr) {
+    /// Follows discovery at another address. The first call there requests the complete list, because the revisions of
+    /// two discovery services are not comparable.
+    pub(crate) fn set_address(&mut self, reactor: &mut Reactor, address: SocketAddr) {
         if address == self.address {
             return;
         }
@@ -116,18 +121,19 @@
         self.revision = None;
         self.retry_policy.record_success();
         self.close_connection(reactor);
-        // All gateways are reconfigured at one moment, and what is there counts as notified some seconds later: after
-        // the first of several moves in a row.
+        // The delay spreads the calls of all gateways, which are reconfigured at the same moment. The gateway counts as
+        // notified of the list there a few seconds after the first of several changes of the address in a row, so only
+        // half of the usual delay is used, and a later change does not postpone the call.
         let delay = self.retry_policy.first_call_delay(self.gateway_index) / 2;
         let due_at = reactor.now + delay;
         let due_at = self
-            .first_call_after_move
+            .first_call_after_address_change
             .map_or(due_at, |earlier| due_at.min(earlier));
-        self.first_call_after_move = Some(due_at);
+        self.first_call_after_address_change = Some(due_at);
         self.connect_after(reactor, due_at.saturating_sub(reactor.now));
     }
 
-    /// Begins or ends following the list.
+    /// Starts or stops making calls. A connection that is open stays open, with its pending call.
     pub(crate) fn follow(&mut self, reactor: &mut Reactor, active: bool) {
         self.is_following = active;
         if self.connection.is_some() {
@@ -141,14 +147,14 @@
         self.connect_after(reactor, delay);
     }
 
-    /// Asks for the whole list now, in place of the watch that is out.
+    /// Requests the complete list now, on a new connection. A pending call is abandoned.
     pub(crate) fn refetch(&mut self, reactor: &mut Reactor) {
         self.is_following = true;
         self.revision = None;
         self.connect(reactor);
     }
 
-    /// Has the first call made at once, or after a delay.
+    /// Opens a connection for the first call, at once or after a delay.
     fn connect_after(&mut self, reactor: &mut Reactor, delay: Duration) {
         self.reconnect_at = reactor.now + delay;
         if self.is_following && delay.is_zero() {
@@ -166,18 +172,22 @@
             Component::Discovery,
             self.connection_number,
         );
-        let Ok(stream) = opened else {
-            return self.on_failure(reactor, DiscoveryFailure::NoResponse, "no connection");
+        let stream = match opened {
+            Ok(stream) => stream,
+            Err(error) => {
+                let reason = format!("cannot connect to {}: {error}", self.address);
+                return self.on_failure(reactor, DiscoveryFailure::NoResponse, &reason);
+            }
         };
         self.connection = Some(Connection {
             stream,
-            is_fresh: true,
+            awaits_first_response: true,
             is_call_pending: false,
         });
         self.send_call(reactor);
     }
 
-    /// Closes the connection; a new one is made at the next tick.
+    /// Closes the connection. A new one is due at the next tick.
     fn close_connection(&mut self, reactor: &mut Reactor) {
         self.reconnect_at = self.reconnect_at.min(reactor.now);
         if let Some(connection) = self.connection.take() {
@@ -185,8 +195,8 @@
         }
     }
 
-    /// A call has failed: the connection is closed, and the next call comes when the retry policy says. Logged once for
-    /// each kind of failure, until a list comes.
+    /// Handles a failed call: closes the connection and schedules the next one as the retry policy says. Only the first
+    /// failure of each kind since the latest list is logged.
     fn on_failure(&mut self, reactor: &mut Reactor, failure: DiscoveryFailure, reason: &str) {
         let policy_before = self.retry_policy;
         self.close_connection(reactor);
@@ -198,12 +208,12 @@
         self.reconnect_at = reactor.now + delay;
         match failure {
             DiscoveryFailure::NoResponse if !policy_before.has_gone_unanswered() => {
-                slog::warn!(reactor.log, "discovery timed out, reconnecting"; "reason" => reason,
+                slog::warn!(reactor.log, "discovery did not respond, reconnecting"; "reason" => reason,
                     "rev" => self.revision, "connection" => self.connection_number,
                     "call_age" => ?ages.call_age, "list_age" => ?ages.list_age);
             }
             DiscoveryFailure::Rejection if !policy_before.was_rejected() => {
-                slog::warn!(reactor.log, "discovery sent no endpoint list"; "reason" => reason,
+                slog::warn!(reactor.log, "discovery's response is not an endpoint list"; "reason" => reason,
                     "rev" => self.revision, "connection" => self.connection_number,
                     "next_call_in" => ?delay);
             }
@@ -218,7 +228,7 @@
         }
     }
 
-    /// Asks for what has changed since the revision at hand, else for the whole list.
+    /// Requests the changes since the known revision, or the complete list if there is none.
     fn send_call(&mut self, reactor: &mut Reactor) {
         let watch_wait = self.watch_wait();
         let Some(connection) = &mut self.connection else {
@@ -237,13 +247,13 @@
         self.call_started_at = reactor.now;
     }
 
-    /// How long the next call may wait for news, or the one that is out.
+    /// Returns how long discovery may wait for a change before it answers the pending call, or the next one.
     fn watch_wait(&self) -> Duration {
-        let is_fresh = self
+        let awaits_first_response = self
             .connection
             .as_ref()
-            .is_some_and(|connection| connection.is_fresh);
-        if is_fresh && self.retry_policy.polls_before_watching() {
+            .is_some_and(|connection| connection.awaits_first_response);
+        if awaits_first_response && self.retry_policy.polls_before_watching() {
             Duration::ZERO
         } else {
             self.retry_policy.watch_wait()
@@ -262,31 +272,31 @@
             .is_some_and(|connection| connection.is_call_pending)
     }
 
-    /// Until when the call that is out may go unanswered, with the wait that it asks for.
-    fn call_deadline(&self) -> Duration {
-        let timeout = if !self.is_connected() {
+    /// Returns how long after its start the pending call times out. The wait that a watch requests is included.
+    fn call_timeout(&self) -> Duration {
+        if !self.is_connected() {
             self.retry_policy.connect_timeout()
         } else if self.revision.is_some() {
             self.watch_wait() + self.retry_policy.response_timeout(false)
         } else {
             self.retry_policy.response_timeout(true)
-        };
-        self.call_started_at + timeout
+        }
     }
 
-    /// The poll has told of a connection. Returns the list or the change that has come, if it is whole.
+    /// Handles a poll event of the connection with this key. Returns the list or change that has arrived, if it is
+    /// complete.
     pub(crate) fn ready(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
         readiness: Readiness,
     ) -> Option<EndpointListMessage> {
-        let connection = self.connection_of(key)?;
+        let connection = self.current_connection(key)?;
         if readiness.is_writable() && connection.stream.pending_bytes() > 0 {
             self.flush(reactor, key);
         }
         let stream = &mut self.connection.as_mut()?.stream;
-        let max_size = reactor.budget.bytes.max(MIN_RESPONSE_LIMIT);
+        let max_size = reactor.budget.bytes.max(MIN_RESPONSE_LIMIT_BYTES);
         let is_open = stream.read(reactor, max_size);
         let is_closed = !is_open && !stream.has_failed;
         let response = match decode_response(&stream.input, is_closed, max_size) {
@@ -296,56 +306,59 @@
                 return None;
             }
         };
-        let calls_at_once = response
+        let should_call_at_once = response
             .as_ref()
-            .is_some_and(|response| self.accept_response(reactor, response));
+            .is_some_and(|response| self.apply_response(reactor, response));
         if !is_open {
             self.on_connection_end(reactor);
         } else if response.is_some() && self.is_following {
-            // Nothing new and too soon: the next call comes at the next tick.
-            let may_call = reactor.now >= self.call_started_at + self.retry_policy.watch_wait() / 2;
-            if calls_at_once || may_call {
+            // Otherwise the next call is made at the next tick: the response came too early for a watch and has no change,
+            // or its change closely follows the previous one.
+            let has_waited =
+                reactor.now >= self.call_started_at + self.retry_policy.watch_wait() / 2;
+            if should_call_at_once || has_waited {
                 self.send_call(reactor);
             }
         }
         response.map(|response| response.message)
     }
 
-    /// The connection of a key, if it is the present one.
-    fn connection_of(&mut self, key: usize) -> Option<&mut Connection> {
+    /// Returns the connection if `key` is that of the latest one.
+    fn current_connection(&mut self, key: usize) -> Option<&mut Connection> {
         self.connection
             .as_mut()
             .filter(|_| key == self.connection_number)
     }
 
-    /// Takes a whole response over. Returns whether the next call is to be made at once.
-    fn accept_response(&mut self, reactor: &mut Reactor, response: &DecodedResponse) -> bool {
+    /// Records a complete response. Returns whether the next call is to be made at once.
+    fn apply_response(&mut self, reactor: &mut Reactor, response: &DecodedResponse) -> bool {
         let Some(connection) = &mut self.connection else {
             return false;
         };
         connection.stream.consume(reactor, response.size);
         connection.is_call_pending = false;
-        let is_first = std::mem::take(&mut connection.is_fresh);
+        let is_first = std::mem::take(&mut connection.awaits_first_response);
         let message = &response.message;
         self.log_recovery(reactor, message.revision);
-        // Discovery begins its revisions anew: a change since ours can't be told, so the whole list is asked for.
+        // Discovery has restarted its numbering of revisions. The change does not refer to the revision of this gateway, so
+        // the complete list is requested.
         let went_back = !message.is_snapshot
             && self
                 .revision
                 .is_some_and(|revision| message.revision < revision);
         if went_back {
-            slog::warn!(reactor.log, "discovery's revision went back, requesting the whole list";
+            slog::warn!(reactor.log, "discovery's revision went back, requesting the complete list";
                 "previous_rev" => self.revision, "rev" => message.revision);
         }
         self.revision = (!went_back).then_some(message.revision);
-        let is_in_series = reactor.now < self.last_list_at + MAX_SERIES_INTERVAL;
+        let is_coalesced = reactor.now < self.last_list_at + COALESCING_INTERVAL;
         self.last_list_at = reactor.now;
-        self.first_call_after_move = None;
+        self.first_call_after_address_change = None;
         self.retry_policy.record_success();
-        is_first || went_back || (!message.is_empty() && !is_in_series)
+        is_first || went_back || (!message.is_empty() && !is_coalesced)
     }
 
-    /// Logs that discovery answers again after failures.
+    /// Logs the first response after failures.
     fn log_recovery(&self, reactor: &Reactor, revision: u64) {
         if self.retry_policy.failures() == 0 {
             return;
@@ -356,7 +369,7 @@
             "list_age" => ?ages.list_age, "previous_rev" => self.revision, "rev" => revision);
     }
 
-    /// The peer has ended the connection, or it broke.
+    /// Handles a connection that discovery closed or that failed.
     fn on_connection_end(&mut self, reactor: &mut Reactor) {
         let Some(connection) = &self.connection else {
             return;
@@ -364,30 +377,29 @@
         if !connection.is_call_pending {
             return self.close_connection(reactor);
         }
-        let reason = if connection.stream.input.is_empty() {
-            "the connection ended"
+        let cause = if connection.stream.has_failed {
+            "the connection failed"
         } else {
-            "an answer cut short"
+            "discovery closed the connection"
         };
-        self.on_failure(reactor, DiscoveryFailure::NoResponse, reason);
+        let received = connection.stream.input.len();
+        let reason = format!("{cause} before the response was complete, {received} bytes received");
+        self.on_failure(reactor, DiscoveryFailure::NoResponse, &reason);
     }
 
-    /// Writes what is queued for a connection.
+    /// Writes queued bytes to the connection with this key.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor, key: usize) {
-        let Some(connection) = self.connection_of(key) else {
+        let Some(connection) = self.current_connection(key) else {
             return;
         };
-        if connection.stream.flush(reactor).is_err() {
-            self.on_failure(
-                reactor,
-                DiscoveryFailure::NoResponse,
-                "the connection broke",
-            );
+        if let Err(error) = connection.stream.flush(reactor) {
+            let reason = format!("cannot send the call to {}: {error}", self.address);
+            self.on_failure(reactor, DiscoveryFailure::NoResponse, &reason);
         }
     }
 
-    /// At each tick: makes a call where none is out, on a new connection where there is none and one is due or where the
-    /// call that is out has timed out.
+    /// Runs at each tick. Makes the next call if none is pending, checks the timeout of a pending call, and opens a new
+    /// connection if there is none and one is due.
     pub(crate) fn on_tick(&mut self, reactor: &mut Reactor) {
         if !self.is_following {
             return;
@@ -396,15 +408,17 @@
             return self.send_call(reactor);
         }
         if self.is_call_pending() {
-            if reactor.now < self.call_deadline() {
+            let timeout = self.call_timeout();
+            if reactor.now < self.call_started_at + timeout {
                 return;
             }
-            let reason = if self.is_connected() {
-                "no answer"
+            let missing = if self.is_connected() {
+                "response from"
             } else {
-                "it never came up"
+                "connection to"
             };
-            self.on_failure(reactor, DiscoveryFailure::NoResponse, reason);
+            let reason = format!("no {missing} {} within {timeout:?}", self.address);
+            self.on_failure(reactor, DiscoveryFailure::NoResponse, &reason);
         }
         if reactor.now >= self.reconnect_at {
             self.connect(reactor);
--- a/edge/src/discovery/tests.rs
+++ b/edge/src/discovery/tests.rs
@@ -1,5 +1,5 @@
 use super::codec::{decode_response, DecodedResponse};
-use super::follower::MIN_RESPONSE_LIMIT;
+use super::follower::MIN_RESPONSE_LIMIT_BYTES;
 use super::http::ResponseError;
 use wellcrank::port::EndpointState;
 
@@ -30,12 +30,12 @@
 
 /// Decodes what has come on an open connection, in a gateway with little memory.
 fn decode_open(bytes: &[u8]) -> Result<Option<DecodedResponse>, ResponseError> {
-    decode_response(bytes, false, MIN_RESPONSE_LIMIT)
+    decode_response(bytes, false, MIN_RESPONSE_LIMIT_BYTES)
 }
 
 /// Decodes what came on a connection that the peer has ended.
 fn decode_ended(bytes: &[u8]) -> Result<Option<DecodedResponse>, ResponseError> {
-    decode_response(bytes, true, MIN_RESPONSE_LIMIT)
+    decode_response(bytes, true, MIN_RESPONSE_LIMIT_BYTES)
 }
 
 /// The whole response that must be there.
--- a/edge/src/reload.rs
+++ b/edge/src/reload.rs
@@ -28,7 +28,7 @@
     warn_of_restart_only_changes(reactor, &config, &settings, started_with);
     apply_settings(reactor, discovery, settings);
     slog::info!(reactor.log, "configuration reloaded"; "discovery" => %config.discovery, "counter" => ?config.counter);
-    discovery.move_to(reactor, config.discovery);
+    discovery.set_address(reactor, config.discovery);
     counter.move_to(reactor, config.counter);
 }
 
