--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -1,6 +1,7 @@
-//! Calls on the shared counter: a few connections, calls written one behind another, a name always on the same connection,
-//! so that its replies come in order. What comes after its timeout was reported is matched off and dropped. Where the
-//! counter moves, each connection has a successor, whose replies are handled once the old one owes none.
+//! The client of the shared counter. It has a few connections, on which calls are pipelined. All calls for one name use
+//! the same connection, so that their replies arrive in order. A reply that arrives after the timeout of its call was
+//! reported is matched to that call and dropped. When the counter's address changes, each connection gets a successor,
+//! whose replies are handled once the old connection owes none.
 
 use crate::component::Component;
 use crate::deadlines::{Deadline, DeadlineId};
@@ -15,43 +16,42 @@
 use std::time::Duration;
 use wellcrank::port::{CounterName, CounterReply};
 
-/// The longest line that the counter has to say, in bytes.
-const MAX_REPLY_LINE: usize = 256;
+/// The longest reply line that is accepted without a line end, in bytes.
+const MAX_REPLY_LINE_BYTES: usize = 256;
 
-/// The longest time to live that a call may state, in milliseconds.
+/// The longest time to live of a value that a call may request, in milliseconds.
 const MAX_TTL_MS: u128 = 60_000;
 
-/// A call that was written, or will be when the turn ends, and whose reply has not come.
+/// A call that was written or is queued to be written, and whose reply has not arrived.
 struct PendingCall {
     serial: Serial,
-    /// None for a ping, and once the controller was told that the time is up.
+    /// The name that the call is for; `None` for a ping, and after the call's timeout was reported to the controller.
     name: Option<CounterName>,
-    /// When it was asked for.
     queued_at: Duration,
-    /// Its timeout; none for a ping.
+    /// The deadline of the reply; `None` for a ping.
     timeout: Option<DeadlineId>,
-    /// How many bytes of its connection there are up to its last.
+    /// The number of bytes that were queued on the connection up to the end of this call.
     end_offset: usize,
 }
 
-/// One connection to the counter; without a stream it is to be opened at the next call.
+/// One connection to the counter. If it has no stream, the next call opens it.
 #[derive(Default)]
 struct Connection {
     stream: Option<BufferedStream>,
     pending_calls: VecDeque<PendingCall>,
-    /// How many bytes were queued since it was opened.
+    /// The number of bytes queued since the connection was opened.
     queued_bytes: usize,
-    /// When it was opened or a reply came last.
+    /// When the latest reply arrived, or when the connection was opened if none has.
     last_reply_at: Duration,
 }
 
 impl Connection {
-    /// Whether a call waits whose reply the controller was not told yet.
+    /// Returns whether a call is pending for which nothing has been reported to the controller yet.
     fn owes_replies(&self) -> bool {
         self.pending_calls.iter().any(|call| call.name.is_some())
     }
 
-    /// How many bytes have gone out since it was opened.
+    /// Returns the number of bytes written to the socket since the connection was opened.
     fn written_bytes(&self) -> usize {
         let pending = self
             .stream
@@ -60,24 +60,24 @@
         self.queued_bytes - pending
     }
 
-    /// Whether calls wait, and nothing has come for longer than `patience`.
-    fn is_silent(&self, now: Duration, patience: Duration) -> bool {
+    /// Returns whether a call has been pending for longer than `max_silence` without any reply on the connection.
+    fn is_unresponsive(&self, now: Duration, max_silence: Duration) -> bool {
         self.pending_calls
             .front()
-            .is_some_and(|call| call.queued_at.max(self.last_reply_at) + patience < now)
+            .is_some_and(|call| call.queued_at.max(self.last_reply_at) + max_silence < now)
     }
 }
 
 /// The connections to the shared counter.
 pub(crate) struct Counter {
     address: Option<SocketAddr>,
-    /// Two halves: the active connections, and those to where the counter was before.
+    /// One half holds the active connections, the other half those to the counter's previous address.
     connections: Vec<Connection>,
-    /// Where the active half begins.
+    /// The index at which the active half begins.
     active_start: usize,
 }
 
-/// What a line of the counter says; none where it can't be read.
+/// Parses a reply line of the counter. Returns `None` if it is malformed.
 fn parse_reply(line: &str) -> Option<CounterReply> {
     let mut words = line.split_ascii_whitespace();
     match (words.next(), words.next()) {
@@ -91,13 +91,13 @@
     }
 }
 
-/// The length of the first line with its end. A line that is too long can't be read, nor anything behind it: all of it
-/// counts as one line then.
+/// Returns the length in bytes of the first line including its line end, or `None` if the line is incomplete. If it is
+/// longer than [`MAX_REPLY_LINE_BYTES`] and has no end, nothing can be parsed, and all bytes count as one line.
 fn line_length(bytes: &[u8]) -> Option<usize> {
     let end = bytes.iter().position(|byte| *byte == b'\n');
     match end {
         Some(end) => Some(end + 1),
-        None if bytes.len() > MAX_REPLY_LINE => Some(bytes.len()),
+        None if bytes.len() > MAX_REPLY_LINE_BYTES => Some(bytes.len()),
         None => None,
     }
 }
@@ -107,7 +107,7 @@
 }
 
 impl Counter {
-    /// Connects to the counter, if there is one.
+    /// Returns a client that is connected to the counter at `address`, or without connections if that is `None`.
     pub(crate) fn new(reactor: &mut Reactor, address: Option<SocketAddr>) -> Counter {
         let connections = (0..reactor.budget.counter * 2)
             .map(|_| Connection::default())
@@ -117,12 +117,12 @@
             connections,
             active_start: 0,
         };
-        counter.move_to(reactor, address);
+        counter.set_address(reactor, address);
         counter
     }
 
-    /// The counter is elsewhere from now on. Calls made before are still answered on the old connections.
-    pub(crate) fn move_to(&mut self, reactor: &mut Reactor, address: Option<SocketAddr>) {
+    /// Uses the counter at another address from now on. Earlier calls still get their replies on the old connections.
+    pub(crate) fn set_address(&mut self, reactor: &mut Reactor, address: Option<SocketAddr>) {
         if address == self.address {
             return;
         }
@@ -131,7 +131,7 @@
         for index in self.active_start..self.active_start + self.half() {
             self.disconnect(reactor, index);
             self.connect(reactor, index);
-            self.retire(reactor, self.counterpart(index));
+            self.retire_if_drained(reactor, self.counterpart(index));
         }
     }
 
@@ -139,7 +139,7 @@
         self.connections.len() / 2
     }
 
-    /// The index of the same connection in the other half.
+    /// Returns the index of the corresponding connection in the other half.
     fn counterpart(&self, index: usize) -> usize {
         (index + self.half()) % self.connections.len()
     }
@@ -148,8 +148,8 @@
         (self.active_start..self.active_start + self.half()).contains(&index)
     }
 
-    /// An old connection that owes no reply any more is closed, and the replies on its successor are handled.
-    fn retire(&mut self, reactor: &mut Reactor, index: usize) {
+    /// Closes a connection of the inactive half if it owes no replies, and handles the replies on its successor.
+    fn retire_if_drained(&mut self, reactor: &mut Reactor, index: usize) {
         if self.connections[index].owes_replies() || self.is_active(index) {
             return;
         }
@@ -172,7 +172,8 @@
         };
     }
 
-    /// Adds an amount to a number, which the counter keeps for `ttl` from its first call on.
+    /// Adds an amount to a value on the counter, which keeps the value for `ttl` from the first call with its name. If no
+    /// connection can be opened, [`CounterReply::NotApplied`] is reported.
     pub(crate) fn add(
         &mut self,
         reactor: &mut Reactor,
@@ -208,11 +209,11 @@
         });
     }
 
-    /// Connects anew where there is no connection, or one on which nothing has come for longer than a new one and a call on
-    /// it would take: it may belong to a machine that is gone without a word.
+    /// Opens a connection if there is none. Replaces one without replies for longer than a new connection and a call on it
+    /// may take together, since its machine may have failed without closing the connection.
     fn ensure_connected(&mut self, reactor: &mut Reactor, index: usize, timeout: Duration) {
-        let patience = timeout + reactor.connect_timeout();
-        if self.connections[index].is_silent(reactor.now, patience) {
+        let max_silence = timeout + reactor.connect_timeout();
+        if self.connections[index].is_unresponsive(reactor.now, max_silence) {
             self.disconnect(reactor, index);
         }
         if self.connections[index].stream.is_none() {
@@ -220,7 +221,8 @@
         }
     }
 
-    /// A call's time is up: reported at once, as not applied where it was not even written.
+    /// Handles the timeout of a call, which is reported at once. If the call was not written completely, the connection is
+    /// closed instead, which reports the call as not applied.
     pub(crate) fn on_timeout(&mut self, reactor: &mut Reactor, index: usize, serial: Serial) {
         let connection = &mut self.connections[index];
         let written_bytes = connection.written_bytes();
@@ -237,10 +239,10 @@
         if let Some(name) = call.name.take() {
             report_reply(reactor, name, CounterReply::Unknown);
         }
-        self.retire(reactor, index);
+        self.retire_if_drained(reactor, index);
     }
 
-    /// The poll tells of a connection.
+    /// Handles a poll event of a connection.
     pub(crate) fn on_ready(&mut self, reactor: &mut Reactor, index: usize, readiness: Readiness) {
         let Some(stream) = self
             .connections
@@ -260,7 +262,7 @@
         }
     }
 
-    /// Reads and handles what has come. Returns whether more may have.
+    /// Reads and handles replies, up to the size of the scratch buffer. Returns whether the socket may have more.
     fn read_replies(&mut self, reactor: &mut Reactor, index: usize) -> bool {
         let Some(stream) = &mut self.connections[index].stream else {
             return false;
@@ -272,11 +274,11 @@
             self.disconnect(reactor, index);
             return false;
         }
-        self.retire(reactor, index);
+        self.retire_if_drained(reactor, index);
         may_have_more && self.can_read(reactor, index)
     }
 
-    /// Whether a connection is there and its input has room.
+    /// Returns whether the connection is open and its input buffer has room.
     fn can_read(&self, reactor: &Reactor, index: usize) -> bool {
         self.connections[index]
             .stream
@@ -284,9 +286,11 @@
             .is_some_and(|stream| stream.input.len() < reactor.scratch.len())
     }
 
-    /// Hands each reply that has come to the call that waits for it. Returns false if there is none that does, or a reply
-    /// can't be read: it tells that its call was applied, and ends the connection. What the connection before it still owes
-    /// comes first: the replies for a name keep their order.
+    /// Matches each reply to the oldest pending call and reports it. Returns false if the connection must be closed: a reply
+    /// has no pending call or is malformed. A malformed reply still means that its call was applied.
+    ///
+    /// While the connection to the previous address owes replies, nothing is handled here, so that the replies for one name
+    /// stay in order.
     fn handle_replies(&mut self, reactor: &mut Reactor, index: usize) -> bool {
         if self.is_active(index) && self.connections[self.counterpart(index)].owes_replies() {
             return true;
@@ -311,7 +315,7 @@
                 invariant!(
                     reactor,
                     text != "error",
-                    "the counter knows the calls that it gets"
+                    "the counter does not reply with an error"
                 );
                 report_reply(reactor, name, reply.unwrap_or(CounterReply::Applied));
             }
@@ -326,7 +330,7 @@
         true
     }
 
-    /// Writes what it can of a connection's calls.
+    /// Writes as many queued bytes of a connection as the socket takes.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor, index: usize) {
         let Some(stream) = &mut self.connections[index].stream else {
             return;
@@ -336,7 +340,8 @@
         }
     }
 
-    /// Ends a connection: what was not written was not applied, the rest may have been.
+    /// Closes a connection. Pending calls that were not written completely are reported as not applied, the others as
+    /// unknown.
     fn disconnect(&mut self, reactor: &mut Reactor, index: usize) {
         let mut connection = std::mem::take(&mut self.connections[index]);
         let written_bytes = connection.written_bytes();
@@ -356,10 +361,11 @@
         if let Some(stream) = connection.stream {
             stream.close(reactor);
         }
-        self.retire(reactor, index);
+        self.retire_if_drained(reactor, index);
     }
 
-    /// Once a second: a connection on which nothing waits is kept open by a ping, which costs nothing.
+    /// Sends a ping on each connection without pending calls, which keeps it open. Runs once a second; a ping is not
+    /// charged.
     pub(crate) fn ping_idle(&mut self, reactor: &mut Reactor) {
         for connection in &mut self.connections {
             let Some(stream) = connection
@@ -384,7 +390,7 @@
         }
     }
 
-    /// Whether no reply is owed but those whose timeouts were reported.
+    /// Returns whether no calls are pending except pings and calls whose timeout was reported to the controller.
     pub(crate) fn owes_no_replies(&self) -> bool {
         !self.connections.iter().any(Connection::owes_replies)
     }
--- a/edge/src/counter/tests.rs
+++ b/edge/src/counter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_line_of_the_counter_is_read_or_known_to_be_unreadable() {
+fn reply_lines_are_parsed_or_found_malformed() {
     let cases = [
         ("ok 17", Some(CounterReply::Total(17.0))),
         ("ok -2.5", Some(CounterReply::Total(-2.5))),
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn a_line_is_taken_whole_or_too_long_or_waited_for() {
-    let too_long = [b'x'; MAX_REPLY_LINE + 1];
+fn line_length_covers_complete_overlong_and_incomplete_lines() {
+    let too_long = [b'x'; MAX_REPLY_LINE_BYTES + 1];
     let cases: [(&[u8], Option<usize>); 4] = [
         (b"ok 1\r\nok 2\r\n", Some(6)),
         (b"ok 1\r", None),
--- a/edge/src/reload.rs
+++ b/edge/src/reload.rs
@@ -29,7 +29,7 @@
     apply_settings(reactor, discovery, settings);
     slog::info!(reactor.log, "configuration reloaded"; "discovery" => %config.discovery, "counter" => ?config.counter);
     discovery.set_address(reactor, config.discovery);
-    counter.move_to(reactor, config.counter);
+    counter.set_address(reactor, config.counter);
 }
 
 /// Logs which changes take effect at the next start only.
