--- a/edge/src/config.rs
+++ b/edge/src/config.rs
@@ -1,4 +1,5 @@
-//! The node's configuration: the JSON file that `BALANCER_CONFIG` names, read at the start and again on SIGHUP.
+//! The node's configuration: the JSON file that the environment variable `BALANCER_CONFIG` names. It is read at start-up
+//! and again on SIGHUP.
 
 use crate::discovery::EndpointListMessage;
 use serde::Deserialize;
@@ -11,50 +12,50 @@
 use wellcrank::settings::Settings;
 use wellcrank_settings::SettingsError;
 
-/// The environment variable that names the file.
+/// The environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
 
-/// The file: who this gateway is, where others are, and the deployment's settings.
+/// The content of the configuration file: the gateway's name and addresses, and the deployment's settings.
 #[derive(Deserialize)]
 pub(crate) struct NodeConfig {
-    /// The gateway's name, which its log lines carry.
+    /// The gateway's name, which its log lines contain.
     pub(crate) name: String,
-    /// Where clients connect.
+    /// The address on which clients are accepted.
     pub(crate) listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of discovery.
     pub(crate) discovery: SocketAddr,
-    /// The seed of the random generators, a hexadecimal number.
+    /// The seed of the random number generators, as a hexadecimal number.
     seed: String,
-    /// What the process may hold.
+    /// The limits of the process.
     #[serde(default)]
     pub(crate) limits: Limits,
-    /// Where datagrams of other gateways come in.
+    /// The address on which datagrams of other gateways are received.
     pub(crate) peer_listen: Option<SocketAddr>,
-    /// Where the other gateways take datagrams, by their numbers.
+    /// The addresses to which datagrams for the other gateways are sent, by gateway index.
     #[serde(default)]
     pub(crate) peers: Vec<SocketAddr>,
-    /// Where a datagram reaches all gateways.
+    /// The address to which datagrams for all gateways are sent.
     #[serde(rename = "peers_all")]
     pub(crate) peer_broadcast: Option<SocketAddr>,
-    /// Where the shared counter is.
+    /// The address of the shared counter.
     pub(crate) counter: Option<SocketAddr>,
-    /// The endpoint list as it was when the file was written.
+    /// The endpoint list at the time when the file was written.
     #[serde(rename = "known")]
     pub(crate) known_endpoints: Option<EndpointListMessage>,
     settings: Value,
 }
 
-/// What the process may hold; 0: not stated.
+/// The limits of the process; 0 if not configured.
 #[derive(Clone, Default, Deserialize, PartialEq)]
 #[serde(default)]
 pub(crate) struct Limits {
-    /// Memory in MB (of 2^20 bytes).
+    /// The memory limit in units of 2^20 bytes.
     pub(crate) memory_mb: usize,
-    /// Descriptors.
+    /// The maximum number of file descriptors.
     pub(crate) sockets: usize,
 }
 
-/// The part of the configuration that takes effect at a start only.
+/// The fields of the configuration whose changes take effect only after a restart.
 #[derive(Clone, PartialEq)]
 pub(crate) struct RestartOnlyConfig {
     listen: SocketAddr,
@@ -67,45 +68,45 @@
 /// Why a configuration can't be used.
 #[derive(Debug, Error)]
 pub(crate) enum ConfigError {
-    /// The environment variable is missing or no text.
-    #[error("{CONFIG_VARIABLE} names no file")]
+    /// The environment variable is not set or is not Unicode.
+    #[error("{CONFIG_VARIABLE} must be set to the path of the configuration file")]
     Variable(#[source] VarError),
     /// The file can't be read.
-    #[error("cannot read {path}")]
+    #[error("cannot read the configuration file {path}")]
     Read {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file is no JSON of the form of [`NodeConfig`].
-    #[error("{path} is no configuration")]
+    /// The file can't be deserialized as a [`NodeConfig`].
+    #[error("{path} is not a valid configuration")]
     Parse {
-        /// The file.
+        /// The path of the file.
         path: String,
         /// What is wrong, with line and column.
         source: serde_json::Error,
     },
     /// The settings in the file are invalid.
-    #[error("{path} holds invalid settings")]
+    #[error("{path} contains invalid settings")]
     Settings {
-        /// The file.
+        /// The path of the file.
         path: String,
         /// What is wrong, with its place in the settings.
         source: SettingsError,
     },
-    /// The seed is no hexadecimal number.
-    #[error("seed {seed:?}")]
+    /// The seed is not a hexadecimal number of at most 64 bits.
+    #[error("seed {seed:?} is not a hexadecimal number of at most 64 bits")]
     Seed {
-        /// What the file says.
+        /// The seed in the file.
         seed: String,
-        /// Why that is no number.
+        /// Why the seed can't be parsed.
         source: ParseIntError,
     },
 }
 
 impl NodeConfig {
-    /// The part that takes effect at a start only.
+    /// Returns the fields whose changes take effect only after a restart.
     pub(crate) fn restart_only(&self) -> RestartOnlyConfig {
         RestartOnlyConfig {
             listen: self.listen,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The seed as a number.
+    /// Returns the seed as a number.
     pub(crate) fn parse_seed(&self) -> Result<u64, ConfigError> {
         u64::from_str_radix(&self.seed, 16).map_err(|source| ConfigError::Seed {
             seed: self.seed.clone(),
@@ -126,7 +127,7 @@
 }
 
 impl RestartOnlyConfig {
-    /// The names in the file of the fields in which another configuration differs.
+    /// Returns the names, as in the configuration file, of the fields whose values differ in `other`.
     pub(crate) fn differing_fields(&self, other: &RestartOnlyConfig) -> Vec<&'static str> {
         let fields = [
             ("listen", self.listen != other.listen),
@@ -143,7 +144,7 @@
     }
 }
 
-/// Reads the file that `BALANCER_CONFIG` names, and checks its settings.
+/// Reads the configuration file that `BALANCER_CONFIG` names and validates its settings.
 pub(crate) fn load_config() -> Result<(NodeConfig, Settings), ConfigError> {
     let path = std::env::var(CONFIG_VARIABLE).map_err(ConfigError::Variable)?;
     match std::fs::read(&path) {
@@ -152,7 +153,7 @@
     }
 }
 
-/// Parses the text of a configuration file; `path` is what errors name it by.
+/// Parses and validates the text of the configuration file at `path`, which is used only in errors.
 fn parse_config(path: &str, text: &[u8]) -> Result<(NodeConfig, Settings), ConfigError> {
     let config: NodeConfig = serde_json::from_slice(text).map_err(|source| ConfigError::Parse {
         path: path.to_string(),
--- a/edge/src/discovery/codec.rs
+++ b/edge/src/discovery/codec.rs
@@ -1,5 +1,5 @@
-//! Discovery's JSON: the endpoint list or a change of it, decoded into the terms of the interface to the admission
-//! controller.
+//! Decodes discovery's JSON messages, which hold the endpoint list or changes of it, into the types of the admission
+//! controller's interface.
 
 use super::http::{self, ResponseError};
 use serde::{Deserialize, Deserializer};
@@ -10,33 +10,33 @@
 use thiserror::Error;
 use wellcrank::port::{Endpoint, EndpointId, EndpointState, UnixTime};
 
-/// The endpoint list or a change of it, as discovery words it.
+/// A message of discovery in its JSON form: the complete endpoint list or the changes since a revision.
 #[derive(Deserialize)]
 pub(crate) struct EndpointListMessage {
-    /// The revision of the list.
+    /// The revision of the list after this message.
     #[serde(rename = "rev")]
     pub(crate) revision: u64,
-    /// Whether this is the whole list: what it does not name is gone.
+    /// Whether this is the complete list. Endpoints that it does not contain no longer exist.
     #[serde(rename = "all")]
     pub(crate) is_snapshot: bool,
     #[serde(rename = "targets", default)]
     entries: Vec<MessageEntry>,
 }
 
-/// An entry of the message. One that can't be read loses nothing but itself.
+/// An entry of the message. A malformed entry does not affect the others.
 enum MessageEntry {
-    /// All of it could be read, except perhaps its address.
+    /// A well-formed entry, whose address is not parsed yet.
     Readable(Target),
-    /// It could not be read.
+    /// A malformed entry.
     Unreadable {
-        /// The endpoint's id, if that could be read.
+        /// The endpoint's id, if the entry has a string there.
         uid: Option<String>,
-        /// What is wrong.
+        /// Why the entry could not be deserialized.
         error: serde_json::Error,
     },
 }
 
-/// An endpoint as discovery describes it.
+/// An endpoint in the JSON form of discovery.
 #[derive(Deserialize)]
 struct Target {
     uid: String,
@@ -51,12 +51,12 @@
     state: TargetState,
     #[serde(rename = "capacity_hint")]
     weight: Option<f64>,
-    /// When its process started, in milliseconds of Unix time; 0: not known.
+    /// When the endpoint's process started, in milliseconds since the Unix epoch; 0 if not known.
     #[serde(default, rename = "boot_ms")]
     started_at_ms: u64,
 }
 
-/// What discovery says of an endpoint; see [`EndpointState`] for what it means.
+/// The state of an endpoint by its name in discovery's JSON.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum TargetState {
@@ -91,33 +91,33 @@
     }
 }
 
-/// An endpoint of the list, with its address.
+/// An endpoint of a list or change, with its address.
 #[derive(Clone, Debug)]
 pub(crate) struct ListedEndpoint {
-    /// What the admission controller is told of it.
+    /// The endpoint as the admission controller sees it.
     pub(crate) endpoint: Endpoint,
-    /// Its address; none where discovery states none that can be read.
+    /// The endpoint's address, or `None` if discovery states none or a malformed one.
     pub(crate) address: Option<SocketAddr>,
 }
 
-/// An entry that could not be read, or not in full.
+/// A malformed entry, or one with a malformed address, for log lines.
 #[derive(Debug)]
 pub(crate) struct UnreadableEntry {
-    /// The entry's place in the message, counted from 0.
+    /// The entry's index in the message, counted from 0.
     index: usize,
-    /// The endpoint's id, if that could be read.
+    /// The endpoint's id, if the entry has a string there.
     uid: Option<String>,
     reason: EntryError,
 }
 
-/// What is wrong with an entry.
+/// Why an entry is unreadable.
 #[derive(Debug, Error)]
 enum EntryError {
-    /// It is not of the form of [`Target`].
+    /// The entry can't be deserialized as a [`Target`].
     #[error("{0}")]
     Malformed(serde_json::Error),
-    /// It states an address that can't be read.
-    #[error("{0:?} is no address")]
+    /// The address is not an IP address with a port.
+    #[error("address {0:?} is not an IP address with a port")]
     Address(String),
 }
 
@@ -128,27 +128,27 @@
     }
 }
 
-/// The endpoint list or a change of it, decoded.
+/// A decoded message of discovery.
 pub(crate) struct ParsedUpdate {
-    /// The revision of the list.
+    /// The revision of the list after this message.
     pub(crate) revision: u64,
-    /// Whether this is the whole list: what it does not name is gone.
+    /// Whether this is the complete list. Endpoints that it does not contain no longer exist.
     pub(crate) is_snapshot: bool,
-    /// The endpoints that it names.
+    /// The endpoints of the well-formed entries.
     pub(crate) endpoints: Vec<ListedEndpoint>,
-    /// Endpoints of which nothing could be read but the id: they stay as they were.
+    /// The endpoints of malformed entries whose id is known. They keep their previous state.
     pub(crate) unreadable_endpoints: Vec<EndpointId>,
-    /// The entries that could not be read, or not in full.
+    /// The malformed entries and those with a malformed address.
     pub(crate) unreadable_entries: Vec<UnreadableEntry>,
 }
 
 impl EndpointListMessage {
-    /// Whether it names no endpoint.
+    /// Returns whether the message has no entries.
     pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Decodes the entries.
+    /// Decodes the entries. Malformed ones are collected in the result.
     pub(crate) fn parse(self) -> ParsedUpdate {
         let mut update = ParsedUpdate {
             revision: self.revision,
@@ -176,7 +176,8 @@
 }
 
 impl ParsedUpdate {
-    /// Adds the endpoint of an entry, and notes where its address can't be read.
+    /// Adds the endpoint of a well-formed entry. A malformed address is recorded as an unreadable entry; an endpoint that
+    /// no longer exists needs no address.
     fn add_target(&mut self, index: usize, target: Target) {
         let address = target.address.parse().ok();
         let needs_no_address =
@@ -194,7 +195,7 @@
         });
     }
 
-    /// How many of the endpoints are in a state.
+    /// Returns the number of endpoints in this state.
     pub(crate) fn count(&self, state: EndpointState) -> usize {
         self.endpoints
             .iter()
@@ -218,25 +219,25 @@
     }
 }
 
-/// A whole response of discovery.
+/// A complete response of discovery.
 pub(super) struct DecodedResponse {
-    /// The list or the change that it holds.
     pub(super) message: EndpointListMessage,
-    /// Its size in bytes.
+    /// The size of the response in bytes, with informational responses before it.
     pub(super) size: usize,
 }
 
-/// Decodes the response at the front of `bytes`; none if it is not whole yet. Where `bytes` are as many as may be
-/// buffered, it can't become whole any more. See [`http::take_response`] for the rest.
+/// Decodes the response at the start of `bytes`, or returns `None` if it is incomplete. If `max_size` bytes or more are
+/// buffered, an incomplete response is an error, since no more bytes may be read. `is_closed` says whether discovery has
+/// closed the connection, see [`http::parse_response`].
 pub(super) fn decode_response(
     bytes: &[u8],
     is_closed: bool,
     max_size: usize,
 ) -> Result<Option<DecodedResponse>, ResponseError> {
-    let Some(body) = http::take_response(bytes, is_closed, max_size)? else {
+    let Some(body) = http::parse_response(bytes, is_closed, max_size)? else {
         let is_full = bytes.len() >= max_size;
         return if is_full {
-            Err(ResponseError::TooLong)
+            Err(ResponseError::TooLong { max_size })
         } else {
             Ok(None)
         };
--- a/edge/src/discovery/http.rs
+++ b/edge/src/discovery/http.rs
@@ -1,53 +1,55 @@
-//! HTTP/1.1 responses, as far as discovery's need it: a body of a stated length, in chunks, or up to the end of the
-//! connection.
+//! Parses the HTTP/1.1 responses of discovery, whose body has a Content-Length, is chunked or ends with the connection.
 
 use std::borrow::Cow;
 use thiserror::Error;
 
-/// The most header fields that a response may have.
+/// The maximum number of header fields of a response.
 const MAX_HEADERS: usize = 32;
 
-/// The one status under which a response holds an endpoint list.
+/// The status of responses that contain an endpoint list.
 const STATUS_OK: u16 = 200;
 
-/// The line end behind the data of a chunk, in bytes.
-const CHUNK_END: usize = 2;
+/// The size in bytes of the line end after the data of a chunk.
+const CHUNK_TERMINATOR_BYTES: usize = 2;
 
-/// Why a response holds no endpoint list.
+/// Why a response contains no endpoint list.
 #[derive(Debug, Error)]
 pub(super) enum ResponseError {
-    /// It is no HTTP.
-    #[error("{0}")]
+    /// The head is malformed.
+    #[error("malformed HTTP response head: {0}")]
     Head(httparse::Error),
-    /// It has another status than 200.
-    #[error("status {0}")]
+    /// The status is not 200.
+    #[error("status {0}, expected {STATUS_OK}")]
     Status(u16),
-    /// Its Content-Length is no number.
-    #[error("a malformed Content-Length")]
-    ContentLength,
-    /// The size of one of its chunks is no number.
-    #[error("{0}")]
+    /// The Content-Length is not a number of bytes.
+    #[error("Content-Length {0:?} is not a number of bytes")]
+    ContentLength(String),
+    /// The size of a chunk is malformed.
+    #[error("{0}, expected a hexadecimal number")]
     ChunkSize(httparse::InvalidChunkSize),
-    /// It is longer than what may be buffered.
-    #[error("longer than the memory allows")]
-    TooLong,
-    /// Its body is no endpoint list.
-    #[error("{0}")]
+    /// The response is larger than what may be buffered.
+    #[error("the response is larger than the limit of {max_size} bytes")]
+    TooLong {
+        /// The limit in bytes.
+        max_size: usize,
+    },
+    /// The body is not the JSON form of an endpoint list.
+    #[error("the body is not an endpoint list: {0}")]
     Body(serde_json::Error),
 }
 
-/// The body of a whole response.
+/// The body of a complete response.
 pub(super) struct ResponseBody<'a> {
-    /// The body, put together where it came in chunks.
+    /// The body, with the data of its chunks joined.
     pub(super) content: Cow<'a, [u8]>,
-    /// The size in bytes of the response, and of informational ones before it.
+    /// The size in bytes of the response, including informational responses before it.
     pub(super) response_size: usize,
 }
 
-/// Takes a whole response off the front of `bytes`, past informational (1xx) ones; none if it is not whole yet. A
-/// response of more than `max_size` bytes is an error. One that states no length is whole when the peer has ended its
-/// sending (`is_closed`), and only then.
-pub(super) fn take_response(
+/// Parses the response at the start of `bytes`, after any informational (1xx) ones. Returns `None` if it is incomplete. A
+/// response whose size is known to exceed `max_size` bytes is an error. A response without a length is complete once the
+/// peer has closed its side of the connection (`is_closed`).
+pub(super) fn parse_response(
     bytes: &[u8],
     is_closed: bool,
     max_size: usize,
@@ -60,24 +62,24 @@
     };
     let status = head.code.unwrap_or(0);
     if (100..200).contains(&status) {
-        let next = take_response(&bytes[body_start..], is_closed, max_size)?;
+        let next = parse_response(&bytes[body_start..], is_closed, max_size)?;
         return Ok(next.map(|body| ResponseBody {
             content: body.content,
             response_size: body_start + body.response_size,
         }));
     }
-    // It holds no list, whatever its body is: there is no need to wait for that.
+    // The body is not an endpoint list, so there is no need to wait for it.
     if status != STATUS_OK {
         return Err(ResponseError::Status(status));
     }
     if let Some(length) = header(&head, "Content-Length") {
-        let length = length.trim().parse();
-        let length = length.map_err(|_| ResponseError::ContentLength)?;
-        return take_sized_body(bytes, body_start, length, max_size);
+        let parsed = length.trim().parse();
+        let length = parsed.map_err(|_| ResponseError::ContentLength(length.to_string()))?;
+        return parse_sized_body(bytes, body_start, length, max_size);
     }
     let encoding = header(&head, "Transfer-Encoding");
     if encoding.is_some_and(|encoding| encoding.eq_ignore_ascii_case("chunked")) {
-        return take_chunks(bytes, body_start, max_size);
+        return parse_chunks(bytes, body_start, max_size);
     }
     Ok(is_closed.then(|| ResponseBody {
         content: Cow::Borrowed(&bytes[body_start..]),
@@ -85,7 +87,7 @@
     }))
 }
 
-/// The value of a header field, if the response has it and it is text.
+/// Returns the value of a header field, if the response has the field and the value is UTF-8.
 fn header<'a>(head: &httparse::Response<'_, 'a>, name: &str) -> Option<&'a str> {
     let field = head
         .headers
@@ -94,15 +96,15 @@
     std::str::from_utf8(field.value).ok()
 }
 
-/// Takes a body of a stated length.
-fn take_sized_body(
+/// Returns the body of `length` bytes that begins at `start`, or `None` if it is incomplete.
+fn parse_sized_body(
     bytes: &[u8],
     start: usize,
     length: usize,
     max_size: usize,
 ) -> Result<Option<ResponseBody<'_>>, ResponseError> {
     if length > max_size.saturating_sub(start) {
-        return Err(ResponseError::TooLong);
+        return Err(ResponseError::TooLong { max_size });
     }
     let end = start + length;
     Ok(bytes.get(start..end).map(|content| ResponseBody {
@@ -111,8 +113,8 @@
     }))
 }
 
-/// Takes a body that comes in chunks, the last of which is empty.
-fn take_chunks(
+/// Joins the chunks that begin at `start`, up to the empty last one. Returns `None` if they are incomplete.
+fn parse_chunks(
     bytes: &[u8],
     start: usize,
     max_size: usize,
@@ -128,11 +130,11 @@
         let data_start = next + head_size;
         let chunk_end = chunk_end(data_start, length)
             .filter(|end| *end <= max_size)
-            .ok_or(ResponseError::TooLong)?;
+            .ok_or(ResponseError::TooLong { max_size })?;
         if bytes.len() < chunk_end {
             return Ok(None);
         }
-        body.extend_from_slice(&bytes[data_start..chunk_end - CHUNK_END]);
+        body.extend_from_slice(&bytes[data_start..chunk_end - CHUNK_TERMINATOR_BYTES]);
         next = chunk_end;
         if length == 0 {
             return Ok(Some(ResponseBody {
@@ -143,8 +145,10 @@
     }
 }
 
-/// Where a chunk ends, with its line end; none where that can't be counted.
+/// Returns the offset after a chunk and its line end, or `None` if it exceeds the range of `usize`.
 fn chunk_end(data_start: usize, length: u64) -> Option<usize> {
     let length = usize::try_from(length).ok()?;
-    data_start.checked_add(length)?.checked_add(CHUNK_END)
+    data_start
+        .checked_add(length)?
+        .checked_add(CHUNK_TERMINATOR_BYTES)
 }
--- a/edge/src/discovery/tests.rs
+++ b/edge/src/discovery/tests.rs
@@ -3,18 +3,18 @@
 use super::http::ResponseError;
 use wellcrank::port::EndpointState;
 
-/// A whole list of so many endpoints, every third of them leaving, indented.
-pub(crate) fn indented(endpoints: usize) -> String {
+/// Returns a complete, indented list with this number of endpoints, every third of which is leaving.
+pub(crate) fn indented_list(endpoints: usize) -> String {
     let indent = format!("\n{}", " ".repeat(16));
-    let entry = |n: usize| {
+    let entry = |index: usize| {
         format!(
-            r#"{indent}{{{indent}"uid": "s-{n:08x}",{indent}"endpoint": "10.{}.{}.18:6379",{indent}"az": "a",
+            r#"{indent}{{{indent}"uid": "s-{index:08x}",{indent}"endpoint": "10.{}.{}.18:6379",{indent}"az": "a",
             {indent}"model": "m2",{indent}"pod_group": {},{indent}"state": "{}",{indent}"capacity_hint": 1.0,
             {indent}"boot_ms": 1733100000000{indent}}}"#,
-            n / 256,
-            n % 256,
-            n / 8,
-            if n.is_multiple_of(3) {
+            index / 256,
+            index % 256,
+            index / 8,
+            if index.is_multiple_of(3) {
                 "leaving"
             } else {
                 "active"
@@ -28,36 +28,37 @@
     )
 }
 
-/// Decodes what has come on an open connection, in a gateway with little memory.
+/// Decodes bytes that arrived on an open connection, with the smallest size limit.
 fn decode_open(bytes: &[u8]) -> Result<Option<DecodedResponse>, ResponseError> {
     decode_response(bytes, false, MIN_RESPONSE_LIMIT_BYTES)
 }
 
-/// Decodes what came on a connection that the peer has ended.
-fn decode_ended(bytes: &[u8]) -> Result<Option<DecodedResponse>, ResponseError> {
+/// Decodes bytes that arrived on a connection that the peer has closed, with the smallest size limit.
+fn decode_closed(bytes: &[u8]) -> Result<Option<DecodedResponse>, ResponseError> {
     decode_response(bytes, true, MIN_RESPONSE_LIMIT_BYTES)
 }
 
-/// The whole response that must be there.
-fn whole(decoded: Result<Option<DecodedResponse>, ResponseError>) -> DecodedResponse {
-    decoded.expect("nothing is wrong").expect("all is there")
+fn expect_response(decoded: Result<Option<DecodedResponse>, ResponseError>) -> DecodedResponse {
+    decoded
+        .expect("a well-formed response")
+        .expect("a complete response")
 }
 
-/// Whether nothing is wrong, and something is missing yet.
+/// Returns whether the bytes are the beginning of a well-formed response.
 fn is_incomplete(decoded: &Result<Option<DecodedResponse>, ResponseError>) -> bool {
     matches!(decoded, Ok(None))
 }
 
-fn sized(body: &str) -> String {
+fn sized_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-fn chunked(body: &str, chunk_size: usize) -> String {
+fn chunked_response(body: &str, chunk_size: usize) -> String {
     let chunks = body.as_bytes().chunks(chunk_size).map(|chunk| {
-        let text = std::str::from_utf8(chunk).expect("plain letters");
+        let text = std::str::from_utf8(chunk).expect("an ASCII body");
         format!("{:x}\r\n{text}\r\n", text.len())
     });
     format!(
@@ -67,17 +68,17 @@
 }
 
 #[test]
-fn a_response_is_taken_whole_or_not_at_all() {
+fn a_response_is_decoded_only_when_it_is_complete() {
     let body = r#"{"rev":7,"all":false,"targets":[]}"#;
-    let sized = sized(body);
+    let sized = sized_response(body);
     let after_informational =
         format!("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n{sized}");
-    for text in [sized, chunked(body, 9), after_informational] {
+    for text in [sized, chunked_response(body, 9), after_informational] {
         for end in 0..text.len() {
             let decoded = decode_open(&text.as_bytes()[..end]);
             assert!(is_incomplete(&decoded), "{end} bytes of {text}");
         }
-        let response = whole(decode_open(text.as_bytes()));
+        let response = expect_response(decode_open(text.as_bytes()));
         assert_eq!(response.message.revision, 7);
         assert!(!response.message.is_snapshot);
         assert_eq!(response.size, text.len());
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn what_holds_no_list_is_an_error() {
+fn a_response_without_an_endpoint_list_is_an_error() {
     for text in [
         "HTTP/1.1 200 OK\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\n{\"rev\":7,\"all\":true,\"targets\":[",
@@ -98,30 +99,33 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n",
         "+OK\r\n\r\n",
     ] {
-        assert!(decode_ended(text.as_bytes()).is_err(), "{text}");
+        assert!(decode_closed(text.as_bytes()).is_err(), "{text}");
     }
 }
 
 #[test]
-fn an_incomplete_response_is_an_error_once_no_more_may_be_buffered() {
+fn an_incomplete_response_of_the_maximum_size_is_an_error() {
     let text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n";
     let bytes = text.as_bytes();
-    let with_room = decode_response(bytes, false, bytes.len() + 1);
-    assert!(is_incomplete(&with_room));
-    let without_room = decode_response(bytes, false, bytes.len());
-    assert!(matches!(without_room, Err(ResponseError::TooLong)));
+    let below_limit = decode_response(bytes, false, bytes.len() + 1);
+    assert!(is_incomplete(&below_limit));
+    let at_limit = decode_response(bytes, false, bytes.len());
+    assert!(matches!(
+        at_limit,
+        Err(ResponseError::TooLong { max_size }) if max_size == bytes.len()
+    ));
 }
 
 #[test]
-fn an_indented_list_of_1024_endpoints_is_read_with_the_least_memory() {
-    let body = indented(1024);
+fn an_indented_list_of_1024_endpoints_fits_the_smallest_size_limit() {
+    let body = indented_list(1024);
     for text in [
-        sized(&body),
-        chunked(&body, 1000),
-        chunked(&body, 7),
-        chunked(&body, 400_000),
+        sized_response(&body),
+        chunked_response(&body, 1000),
+        chunked_response(&body, 7),
+        chunked_response(&body, 400_000),
     ] {
-        let response = whole(decode_open(text.as_bytes()));
+        let response = expect_response(decode_open(text.as_bytes()));
         assert_eq!(response.size, text.len());
         let update = response.message.parse();
         assert_eq!(update.revision, 41);
@@ -135,7 +139,7 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_loses_nothing_but_itself() {
+fn a_malformed_entry_does_not_affect_the_others() {
     let body = r#"{"rev":9,"all":true,"targets":[
         {"uid":"a","endpoint":"127.0.0.1:1","state":"active"},
         {"uid":"b","endpoint":"127.0.0.1:2","state":"paused"},
@@ -144,7 +148,9 @@
         {"uid":"e","endpoint":"127.0.0.1:5","state":"active","boot_ms":-1},
         7,
         {"uid":"f","state":"left"}]}"#;
-    let update = whole(decode_open(sized(body).as_bytes())).message.parse();
+    let update = expect_response(decode_open(sized_response(body).as_bytes()))
+        .message
+        .parse();
     let endpoints: Vec<(&str, EndpointState, bool)> = update
         .endpoints
         .iter()
@@ -165,7 +171,7 @@
     assert_eq!(unreadable.collect::<Vec<_>>(), ["b", "e"]);
     let expected = [
         "entry 1 (b): unknown variant `paused`",
-        "entry 2 (c): \"render-3\" is no address",
+        "entry 2 (c): address \"render-3\" is not an IP address with a port",
         "entry 3 (no uid)",
         "entry 4 (e)",
         "entry 5 (no uid)",
@@ -177,20 +183,23 @@
 }
 
 #[test]
-fn a_response_without_length_is_whole_where_the_peer_ends_the_connection() {
+fn a_response_without_length_is_complete_when_the_peer_closes_the_connection() {
     let text = "HTTP/1.1 200 OK\r\n\r\n{\"rev\":7,\"all\":true,\"targets\":[]}";
     for end in 0..=text.len() {
         assert!(is_incomplete(&decode_open(&text.as_bytes()[..end])));
     }
-    let response = whole(decode_ended(text.as_bytes()));
+    let response = expect_response(decode_closed(text.as_bytes()));
     assert_eq!(response.message.revision, 7);
     assert!(response.message.is_snapshot);
     assert_eq!(response.size, text.len());
-    // A response that states its length, or comes in chunks, does not become whole by an end.
-    for cut in [
+    // Closing the connection does not complete a response that has a Content-Length or is chunked.
+    for truncated in [
         "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{}",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{",
     ] {
-        assert!(is_incomplete(&decode_ended(cut.as_bytes())), "{cut}");
+        assert!(
+            is_incomplete(&decode_closed(truncated.as_bytes())),
+            "{truncated}"
+        );
     }
 }
