--- a/edge/src/budget.rs
+++ b/edge/src/budget.rs
@@ -1,22 +1,22 @@
-//! The socket and memory budget: how much of the process's limits each component may hold.
+//! The socket and memory budget: divides the limits of the process among the components.
 
-/// Descriptors that are neither clients' nor endpoints' nor the counter's: standard streams, poll, signals, listener,
-/// peers, discovery (an old connection and its successor), the clock's and the log's.
+/// The number of file descriptors that are not connections to clients, endpoints or the counter: standard streams, poll,
+/// signals, listener, peers, discovery (a connection and its successor), clock and log.
 const RESERVED_SOCKETS: usize = 16;
 
-/// The descriptors of a gateway that was not told its limit: the least that the platform is known to give.
+/// The number of file descriptors if no limit is configured: the smallest limit known on the platform.
 const DEFAULT_SOCKETS: usize = 256;
 
-/// The memory of a gateway that was not told its limit, in MiB.
-const DEFAULT_MEMORY_MB: usize = 32;
+/// The memory in MiB if no limit is configured.
+const DEFAULT_MEMORY_MIB: usize = 32;
 
-/// So many descriptors bring one connection to the counter.
+/// The number of file descriptors per connection to the counter.
 const SOCKETS_PER_COUNTER_CONNECTION: usize = 512;
 
-/// The most connections to the counter.
+/// The maximum number of connections to the counter.
 const MAX_COUNTER_CONNECTIONS: usize = 4;
 
-/// A configured limit; zero stands for none.
+/// Returns a configured limit, or the default if it is 0, which means that none is configured.
 fn limit_or(configured: usize, default: usize) -> usize {
     if configured == 0 {
         default
@@ -25,33 +25,38 @@
     }
 }
 
-/// As many descriptors as are configured, and no more than the system gives the process: clients that fill what is not
-/// there would leave none for discovery and the counter.
+/// Returns the configured number of file descriptors, limited to what the system allows the process. With a budget above
+/// the system's limit, clients could use up all descriptors and leave none for discovery and the counter.
 pub(crate) fn available_descriptors(configured: usize) -> usize {
-    let given = rlimit::Resource::NOFILE.get_soft().unwrap_or(u64::MAX);
-    configured.min(usize::try_from(given).unwrap_or(usize::MAX))
+    let allowed = rlimit::Resource::NOFILE.get_soft().unwrap_or(u64::MAX);
+    configured.min(usize::try_from(allowed).unwrap_or(usize::MAX))
 }
 
-/// What each component may hold.
+/// The maximum number of connections of each component, and the limit of buffered bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Budget {
-    /// Connections of clients.
+    /// The maximum number of client connections.
     pub(crate) clients: usize,
-    /// Connections to endpoints.
+    /// The maximum number of connections to endpoints.
     pub(crate) upstream: usize,
-    /// Connections to the counter.
+    /// The number of connections to the counter.
     pub(crate) counter: usize,
-    /// Bytes in buffers and open requests from which no more requests are taken.
+    /// The number of bytes in buffers and open requests at which no further requests are accepted.
     pub(crate) bytes: usize,
 }
 
 impl Budget {
-    /// The counter gets one connection in 512 (one at least), endpoints a third of all but no more than half of the rest:
-    /// clients' requests hold a third at most, and one that is in flight holds one there. The others are the clients', of
-    /// whom many may come and say nothing. Half of the memory may lie in buffers.
+    /// Divides the limits, of which 0 means not configured:
+    ///
+    /// - The counter gets one connection per 512 descriptors, at least 1 and at most 4.
+    /// - Endpoints get a third of all descriptors, but at most half of those left after the counter's and the reserved
+    ///   ones. Requests of clients hold at most a third of all descriptors, and each request in flight needs one connection
+    ///   to an endpoint.
+    /// - Clients get the rest, since many may be connected without sending anything.
+    /// - Half of the memory may be used for buffers.
     pub(crate) fn new(configured_sockets: usize, configured_memory_mb: usize) -> Budget {
         let sockets = limit_or(configured_sockets, DEFAULT_SOCKETS);
-        let memory_mb = limit_or(configured_memory_mb, DEFAULT_MEMORY_MB);
+        let memory_mb = limit_or(configured_memory_mb, DEFAULT_MEMORY_MIB);
         let counter = (sockets / SOCKETS_PER_COUNTER_CONNECTION).clamp(1, MAX_COUNTER_CONNECTIONS);
         let rest = sockets.saturating_sub(RESERVED_SOCKETS + counter).max(2);
         let upstream = sockets.div_ceil(3).min(rest.div_ceil(2));
--- a/edge/src/clock.rs
+++ b/edge/src/clock.rs
@@ -1,30 +1,30 @@
-//! The only file that reads the system's clocks. Two of them, with a type each: spans are measured by the monotonic
-//! clock (`Duration`, counted from a moment that the process chose at its start), and starts of endpoints come in the
-//! wall clock's time ([`UnixTime`]).
+//! The only module that reads the system's clocks. Each of the two has its own type: durations are measured with the
+//! monotonic clock (`Duration`, see [`Clock::now`]), and start times of endpoints are wall-clock times ([`UnixTime`]).
 //!
-//! The wall clock may be stepped. No span follows it. The monotonic count begins at the Unix time of the process's start,
-//! since all gateways number their windows by it; a step changes neither a window nor its number, so that leases and
-//! units stay where they were counted. Trade-off: a gateway whose wall clock was wrong when it started numbers its
-//! windows apart from the others until it starts again; the step that corrects the clock is logged.
+//! The wall clock may be stepped, so no duration is computed from it. The monotonic time begins at the Unix time of the
+//! process's start, because all gateways number their windows by it. A step changes neither the length nor the number of a
+//! window, so leases and units stay in the window in which they were counted. Trade-off: a gateway whose wall clock was
+//! wrong at start-up numbers its windows differently from the other gateways until it is restarted. The step that corrects
+//! the wall clock is logged.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use wellcrank::port::UnixTime;
 
-/// A wall clock that has moved by more than this against the monotonic one was stepped.
+/// The smallest change of the wall clock relative to the monotonic clock that counts as a step.
 const MIN_STEP: Duration = Duration::from_millis(100);
 
-/// The gateway's clocks.
+/// The gateway's clocks, and the offset between them.
 pub(crate) struct Clock {
-    /// Unix time at the start, by the wall clock of that moment.
-    origin: Duration,
-    start: Instant,
-    /// By how much the wall clock was behind the monotonic count, at the most so far.
+    /// The wall-clock time at the start, since the Unix epoch.
+    unix_time_at_start: Duration,
+    started_at: Instant,
+    /// The largest time so far by which the wall clock was behind the monotonic time.
     max_behind: Duration,
-    /// The wall clock against the monotonic count at the last check.
+    /// The offset of the wall clock at the latest check.
     last_offset: WallClockOffset,
 }
 
-/// A wall clock against the monotonic count; at least one of the two is zero.
+/// The offset of the wall clock from the monotonic time; at least one of the two fields is zero.
 #[derive(Clone, Copy, Default)]
 struct WallClockOffset {
     ahead: Duration,
@@ -32,13 +32,13 @@
 }
 
 impl WallClockOffset {
-    /// The seconds by which the wall clock is ahead; negative where it is behind.
+    /// Returns the seconds by which the wall clock is ahead, which are negative if it is behind.
     fn seconds_ahead(self) -> f64 {
         self.ahead.as_secs_f64() - self.behind.as_secs_f64()
     }
 }
 
-/// What the wall clock shows, since the start of Unix time.
+/// Returns the wall-clock time since the Unix epoch, or zero if the wall clock is set to an earlier time.
 fn wall_clock() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -46,30 +46,30 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Returns a clock that starts now.
     pub(crate) fn start() -> Clock {
         Clock {
-            origin: wall_clock(),
-            start: Instant::now(),
+            unix_time_at_start: wall_clock(),
+            started_at: Instant::now(),
             max_behind: Duration::ZERO,
             last_offset: WallClockOffset::default(),
         }
     }
 
-    /// The monotonic count.
+    /// Returns the monotonic time: the Unix time at the start plus the time elapsed since then.
     pub(crate) fn now(&self) -> Duration {
-        self.origin + self.start.elapsed()
+        self.unix_time_at_start + self.started_at.elapsed()
     }
 
-    /// Unix time by the slowest wall clock that was seen: an endpoint is never taken for older than it may be, whichever
-    /// side of a step was wrong. Trade-off: after a step back, an endpoint that had started before it is in slow start
-    /// for longer.
+    /// Returns the Unix time according to the smallest offset of the wall clock so far. An endpoint is therefore never
+    /// considered older than it may be, whether the wall clock was wrong before or after a step. Trade-off: after a step
+    /// back, an endpoint that started before the step stays in slow start for longer.
     pub(crate) fn unix_now(&self) -> UnixTime {
         UnixTime(self.now().saturating_sub(self.max_behind))
     }
 
-    /// Compares the wall clock with the monotonic count. Returns by how many seconds it was stepped since the last
-    /// check, if it was.
+    /// Compares the wall clock with the monotonic time. Returns the seconds by which the wall clock was stepped since the
+    /// latest check, or `None` if it was not stepped.
     pub(crate) fn detect_step(&mut self) -> Option<f64> {
         let wall_clock = wall_clock();
         let monotonic = self.now();
--- a/edge/src/error_chain.rs
+++ b/edge/src/error_chain.rs
@@ -1,4 +1,4 @@
-//! Errors as one line of text, for standard error and for log lines.
+//! Formats errors with their causes as one line, for standard error and for log lines.
 
 use std::error::Error;
 use std::fmt;
--- a/edge/src/invariants.rs
+++ b/edge/src/invariants.rs
@@ -1,10 +1,10 @@
-//! Conditions that hold unless the program has a fault: asserted in debug builds, counted and logged in release builds,
-//! where the gateway goes on serving.
+//! Checks of conditions that are false only if the program has a bug. A violation panics in debug builds. In release builds
+//! it is counted and logged, and the gateway continues to serve.
 
 use slog::Logger;
 use std::collections::BTreeMap;
 
-/// Checks that a condition holds. A violation panics in debug builds and is recorded by the reactor in release builds.
+/// Checks a condition. A violation panics in debug builds and is recorded by the reactor in release builds.
 macro_rules! invariant {
     ($reactor:expr, $condition:expr, $description:literal) => {
         if !$condition {
@@ -18,7 +18,7 @@
 
 pub(crate) use invariant;
 
-/// The invariants that were violated since the last report, and how often.
+/// The invariants that were violated since the latest report, with the number of violations.
 #[derive(Default)]
 pub(crate) struct InvariantViolations {
     counts: BTreeMap<&'static str, u64>,
@@ -30,7 +30,7 @@
         *self.counts.entry(description).or_default() += 1;
     }
 
-    /// Logs the violations, and counts anew.
+    /// Logs the violations and resets their counts.
     pub(crate) fn report(&mut self, log: &Logger) {
         for (description, count) in std::mem::take(&mut self.counts) {
             slog::error!(log, "invariant violated"; "invariant" => description, "count" => count);
--- a/edge/src/metrics.rs
+++ b/edge/src/metrics.rs
@@ -1,39 +1,40 @@
-//! What the gateway has done, counted and logged once a minute.
+//! The gateway's counters and gauges, which are logged once a minute.
 
 use slog::Logger;
 use std::collections::BTreeMap;
 use wellcrank::port::AttemptOutcome;
 
-/// Counts since the last report.
+/// The counts of events since the latest report.
 #[derive(Default)]
 pub(crate) struct Metrics {
-    /// Requests that were taken.
+    /// Requests that the gateway received.
     pub(crate) requests: u64,
-    /// Requests that were answered with an endpoint's value.
+    /// Requests that were answered with the value of an endpoint.
     pub(crate) served: u64,
-    /// Requests that were answered with the advice to ask again.
+    /// Requests that were rejected, which tells the client that it may safely retry.
     pub(crate) rejected: u64,
     /// Requests that were answered with an error.
     pub(crate) failed: u64,
-    /// Requests whose client disconnected, or ended its sending, before they were answered.
+    /// Requests whose client disconnected or stopped sending before they were answered.
     pub(crate) disconnected: u64,
-    /// Responses of endpoints that could not be read.
+    /// Malformed responses of endpoints.
     pub(crate) malformed_responses: u64,
-    /// Attempts that were given up before the first byte, as what they were decided under no longer held.
+    /// Attempts that were given up before their first byte was sent, because the request was no longer wanted, the endpoint
+    /// no longer usable or the time up.
     pub(crate) lapsed_attempts: u64,
-    /// Attempts that have ended, by outcome.
+    /// Finished attempts by outcome.
     attempts: BTreeMap<&'static str, u64>,
 }
 
-/// How things stand when the metrics are reported.
+/// The current values that are logged with the counts.
 pub(crate) struct Gauges {
-    /// Requests that are open.
+    /// The number of open requests.
     pub(crate) open_requests: usize,
-    /// Connections of clients.
+    /// The number of client connections.
     pub(crate) client_connections: usize,
-    /// Connections to endpoints.
+    /// The number of connections to endpoints.
     pub(crate) upstream_connections: usize,
-    /// Bytes in the buffers of connections and in open requests.
+    /// The number of bytes in the buffers of connections and in open requests.
     pub(crate) buffered_bytes: usize,
 }
 
@@ -51,12 +52,12 @@
 }
 
 impl Metrics {
-    /// Counts the end of an attempt.
+    /// Counts an attempt that has ended with this outcome.
     pub(crate) fn count_attempt(&mut self, outcome: AttemptOutcome) {
         *self.attempts.entry(outcome_name(outcome)).or_default() += 1;
     }
 
-    /// Logs the counts beside the gauges, and counts anew.
+    /// Logs the counts and the gauges, and resets the counts.
     pub(crate) fn report(&mut self, log: &Logger, gauges: &Gauges) {
         let counts = std::mem::take(self);
         slog::info!(log, "metrics";
--- a/edge/src/notification.rs
+++ b/edge/src/notification.rs
@@ -1,4 +1,4 @@
-//! What the components have for the admission controller, queued until the event loop hands it over.
+//! Events for the admission controller, which components queue and the event loop delivers.
 
 use std::rc::Rc;
 use wellcrank::port::{
@@ -7,42 +7,42 @@
 };
 use wellcrank::settings::Settings;
 
-/// One call on the admission controller; the variants are named after its entry points.
+/// One event for the admission controller. The variants are named after the controller's methods that handle them.
 pub(crate) enum Notification {
-    /// A client has sent a request.
+    /// A client sent a request.
     Request(Request),
-    /// A request was read that is to be answered and not admitted: the gateway is full, or the client has ended its
+    /// A request must be rejected without being admitted, because the gateway is at its limits or the client has stopped
     /// sending.
     RejectUnadmitted(RequestId),
-    /// The client of an open request has disconnected.
+    /// The client of an open request disconnected.
     ClientDisconnect(RequestId),
-    /// An open request is to be answered now, before the deadline that it came with.
+    /// An open request must be answered now, before its deadline.
     ExpireRequest(RequestId),
-    /// An attempt has ended.
+    /// An attempt ended.
     AttemptEnd {
-        /// The request that the attempt was for.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which of its attempts.
+        /// The number of the attempt within the request.
         attempt: AttemptNumber,
-        /// How it ended.
+        /// The outcome of the attempt.
         result: AttemptResult,
     },
-    /// A call on the shared counter was answered, or has timed out.
+    /// A call on the shared counter was answered, failed or timed out.
     CounterReply {
-        /// The number on the counter that the call was for.
+        /// The name of the value on the counter that the call was for.
         name: CounterName,
-        /// The answer.
+        /// The counter's answer, or what is known without one.
         reply: CounterReply,
     },
-    /// Discovery has sent the endpoint list or a change of it.
+    /// A complete endpoint list, or a change of it, was received from discovery or read from the configuration.
     EndpointUpdate {
-        /// By what the endpoints' ages are reckoned.
+        /// The times from which the ages of the endpoints are computed.
         timing: UpdateTiming,
-        /// The list or the change.
+        /// The complete list or the change.
         update: EndpointUpdate,
     },
-    /// A timer of the controller has fired.
+    /// A timer of the controller fired.
     Timer(TimerToken),
-    /// The settings have changed.
+    /// The settings changed.
     Reconfigure(Rc<Settings>),
 }
--- a/edge/src/peers.rs
+++ b/edge/src/peers.rs
@@ -1,5 +1,5 @@
-//! Datagrams between gateways, where the settings allow them. The controller sends none today and is told of none: what
-//! comes is read and dropped, so that the socket's buffer does not stay full.
+//! Datagrams between gateways, if the settings allow them. The admission controller neither sends nor receives any at
+//! present. Incoming datagrams are read and dropped, so that the socket's buffer does not stay full.
 
 use crate::component::Component;
 use crate::reactor::Reactor;
@@ -8,21 +8,21 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The longest datagram that may be sent, in bytes.
-const MAX_DATAGRAM: usize = 256;
+/// The maximum size of a datagram that is sent, in bytes. Larger ones are dropped.
+const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// The datagram socket and the addresses of the other gateways; without a socket nothing is sent.
+/// The datagram socket and the addresses of the other gateways. Without a socket, nothing is sent.
 #[derive(Default)]
 pub(crate) struct Peers {
     socket: Option<UdpSocket>,
-    /// The gateways by their numbers.
+    /// The addresses of the gateways by gateway index.
     addresses: Vec<SocketAddr>,
-    /// The address that reaches all of them.
+    /// The address that reaches all gateways.
     broadcast: Option<SocketAddr>,
 }
 
 impl Peers {
-    /// Opens the socket.
+    /// Opens the socket on the address `listen` and registers it with the poll.
     pub(crate) fn open(
         reactor: &mut Reactor,
         listen: SocketAddr,
@@ -41,13 +41,14 @@
         })
     }
 
-    /// Sends a datagram to one gateway by its number, or to all. It may be lost, also here.
+    /// Sends a datagram to the gateway with index `peer`, or to all gateways if `peer` is `None`. Delivery is not
+    /// guaranteed: a datagram that can't be sent is dropped without an error.
     pub(crate) fn send(&self, peer: Option<u32>, body: &[u8]) {
         let address = match peer {
-            Some(number) => self.addresses.get(number as usize).copied(),
+            Some(index) => self.addresses.get(index as usize).copied(),
             None => self.broadcast,
         };
-        if body.len() > MAX_DATAGRAM {
+        if body.len() > MAX_DATAGRAM_BYTES {
             return;
         }
         if let (Some(socket), Some(address)) = (&self.socket, address) {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Reads and drops what has come.
+    /// Reads and drops all datagrams that have arrived.
     pub(crate) fn discard_incoming(&mut self, reactor: &mut Reactor) {
         if let Some(socket) = &self.socket {
             while socket.recv_from(&mut reactor.scratch).is_ok() {}
--- a/edge/src/readiness.rs
+++ b/edge/src/readiness.rs
@@ -1,8 +1,8 @@
-//! What the poll says of one socket, as a value that is handed to the component which owns the socket.
+//! The state of one socket as reported by a poll event, in the form that is passed to the component that owns the socket.
 
 use mio::event::Event;
 
-/// For what a socket is ready, and whether its connection has ended.
+/// Which operations a socket is ready for, and whether its connection has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Readiness {
     readable: bool,
@@ -25,22 +25,22 @@
 }
 
 impl Readiness {
-    /// The socket takes bytes, or the attempt to connect it has ended.
+    /// Returns whether the socket accepts bytes, or the attempt to connect it has succeeded or failed.
     pub(crate) fn is_writable(self) -> bool {
         self.writable
     }
 
-    /// There are bytes to read, or an end or an error that a read reports.
+    /// Returns whether there are bytes to read, or an end of the stream or an error that a read reports.
     pub(crate) fn should_read(self) -> bool {
         self.readable || self.read_closed || self.error
     }
 
-    /// The connection is broken in both directions: nothing that is written reaches the peer any more.
+    /// Returns whether the connection is broken in both directions: written bytes no longer reach the peer.
     pub(crate) fn is_broken(self) -> bool {
         self.write_closed || self.error
     }
 
-    /// The peer sends nothing any more; it may still take what is written.
+    /// Returns whether the peer sends no more bytes. It may still receive.
     pub(crate) fn has_peer_stopped_sending(self) -> bool {
         self.read_closed || self.is_broken()
     }
