--- a/edge/src/lib.rs
+++ b/edge/src/lib.rs
@@ -1,4 +1,5 @@
-//! One gateway on real sockets. `wellcrank-edge` is this and nothing else; the operators' command has it built in.
+//! A gateway on real sockets. The program `wellcrank-edge` only calls [`main`]; the command `wellcrank` contains the gateway
+//! as well.
 
 mod budget;
 mod client;
@@ -33,25 +34,26 @@
 use slog::{Drain, Logger};
 use std::sync::Mutex;
 
-/// A log whose lines go to standard error, each as soon as it is made, with the node's name.
+/// Returns a logger that writes each line to standard error at once and adds the node's name to it.
 fn logger(node: &str) -> Logger {
     let plain = slog_term::PlainSyncDecorator::new(std::io::stderr());
     let drain = slog_term::FullFormat::new(plain)
         .use_utc_timestamp()
         .build();
-    // A log that nobody takes any more is no reason to stop serving.
+    // The gateway continues to serve if standard error can't be written to.
     let drain = Mutex::new(drain).ignore_res();
     Logger::root(drain, slog::o!("node" => node.to_string()))
 }
 
-/// Runs the gateway that `BALANCER_CONFIG` names.
+/// Runs the gateway with the configuration file that `BALANCER_CONFIG` names, until it is shut down.
 fn run() -> Result<(), NodeError> {
     let (config, settings) = config::load_config()?;
     let log = logger(&config.name);
     node::run(config, settings, &log)
 }
 
-/// Runs the gateway that `BALANCER_CONFIG` names; exits with 1 where it cannot start or go on.
+/// Runs the gateway with the configuration file that the environment variable `BALANCER_CONFIG` names. Returns after a
+/// graceful shutdown. If the gateway can't start or can't continue, prints the error and exits with status 1.
 pub fn main() {
     if let Err(error) = run() {
         eprintln!("wellcrank-edge: {}", ErrorChain(&error));
--- a/edge/src/main.rs
+++ b/edge/src/main.rs
@@ -1,4 +1,4 @@
-//! The edge node as a program of its own.
+//! The gateway as a separate program.
 
 fn main() {
     wellcrank_edge::main();
--- a/edge/src/node.rs
+++ b/edge/src/node.rs
@@ -1,4 +1,4 @@
-//! One gateway from its start to its end: sets up the components, and runs the event loop until a shutdown is complete.
+//! Runs one gateway: sets up its components and runs the event loop until a shutdown is complete.
 
 use crate::budget::{self, Budget};
 use crate::clients::Clients;
@@ -22,32 +22,34 @@
 use wellcrank::control::AdmissionController;
 use wellcrank::settings::Settings;
 
-/// Parts the random numbers of the discovery follower from those of the admission controller.
+/// Makes the seed of the discovery follower differ from that of the admission controller.
 const DISCOVERY_SEED_MASK: u64 = 0x5eed_d15c;
 
-/// Why a gateway could not start or go on.
+/// Why a gateway could not start or continue.
 #[derive(Debug, Error)]
 pub(crate) enum NodeError {
-    /// Its configuration can't be used.
+    /// The configuration can't be read or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// It could not get what it needs of the system.
+    /// A resource of the operating system could not be set up.
     #[error(transparent)]
     Startup(#[from] StartupError),
-    /// The poll has failed.
-    #[error("the poll failed")]
+    /// Polling for events failed.
+    #[error("cannot poll for socket events")]
     Poll(#[source] io::Error),
 }
 
-/// Runs a gateway until it was told to stop and nobody is left to answer.
+/// Runs a gateway until it was told to stop and every client is answered.
 pub(crate) fn run(config: NodeConfig, settings: Settings, log: &Logger) -> Result<(), NodeError> {
-    let mut poll = startup::acquire(log, "the poll", Poll::new)?;
-    let registry = startup::acquire(log, "the poll's registry", || poll.registry().try_clone())?;
+    let mut poll = startup::acquire(log, "the event poll", Poll::new)?;
+    let registry = startup::acquire(log, "the registry of the event poll", || {
+        poll.registry().try_clone()
+    })?;
     let signals = register_signals(&registry, log)?;
     let budget = derive_budget(&config.limits, log);
     let settings = Rc::new(settings);
     let mut reactor = Reactor::new(registry, settings.clone(), budget, log.clone());
-    let clients = startup::acquire(log, "the listener", || {
+    let clients = startup::acquire(log, &format!("the listener on {}", config.listen), || {
         Clients::listen(&mut reactor, config.listen)
     })?;
     let peers = open_peers(&mut reactor, &config, log)?;
@@ -74,13 +76,13 @@
     let mut controller = AdmissionController::new(settings, seed, now, port);
     gateway.borrow_mut().begin_serving(config);
     event_loop::run(&mut poll, &gateway, &mut controller).map_err(NodeError::Poll)?;
-    slog::info!(log, "stopped: nobody left to answer");
+    slog::info!(log, "stopped: no client connections or open requests left");
     Ok(())
 }
 
-/// Has the poll tell of SIGTERM and SIGHUP.
+/// Registers SIGTERM and SIGHUP with the poll.
 fn register_signals(registry: &Registry, log: &Logger) -> Result<Signals, StartupError> {
-    startup::acquire(log, "signals", || {
+    startup::acquire(log, "the signal handlers", || {
         let mut signals = Signals::new([SIGTERM, SIGHUP])?;
         let token = Component::Signals.token(0);
         registry.register(&mut signals, token, Interest::READABLE)?;
@@ -88,16 +90,17 @@
     })
 }
 
-/// The budget by the configured limits, as far as the system gives as many descriptors.
+/// Returns the budget for the configured limits, or for fewer file descriptors if the system allows only those.
 fn derive_budget(limits: &Limits, log: &Logger) -> Budget {
     let sockets = budget::available_descriptors(limits.sockets);
     if sockets < limits.sockets {
-        slog::warn!(log, "the system gives fewer descriptors than the limits say"; "given" => sockets);
+        slog::warn!(log, "the system allows fewer file descriptors than the configured limit of {}", limits.sockets;
+            "given" => sockets);
     }
     Budget::new(sockets, limits.memory_mb)
 }
 
-/// Opens the datagram socket, where the configuration has one and the settings allow messages between gateways.
+/// Opens the datagram socket if the configuration has an address for it and the settings allow messages between gateways.
 fn open_peers(
     reactor: &mut Reactor,
     config: &NodeConfig,
@@ -109,7 +112,7 @@
     let Some(address) = address else {
         return Ok(Peers::default());
     };
-    startup::acquire(log, "the peers' socket", || {
+    startup::acquire(log, &format!("the peer socket on {address}"), || {
         Peers::open(
             reactor,
             address,
@@ -119,7 +122,7 @@
     })
 }
 
-/// The revision of the endpoint list in the configuration, if that names any endpoint.
+/// Returns the revision of the endpoint list in the configuration, or `None` if the list is missing or empty.
 fn known_revision(config: &NodeConfig) -> Option<u64> {
     let known = config.known_endpoints.as_ref()?;
     (!known.is_empty()).then_some(known.revision)
--- a/edge/src/reload.rs
+++ b/edge/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reloads the configuration on SIGHUP: its settings hold from now on, and discovery and the counter are followed to
-//! where it says that they are. One that can't be used changes nothing.
+//! Reloads the configuration on SIGHUP: applies the settings and the addresses of discovery and the counter. An invalid
+//! configuration changes nothing.
 
 use crate::config::{load_config, NodeConfig, RestartOnlyConfig};
 use crate::counter::Counter;
@@ -10,7 +10,8 @@
 use std::rc::Rc;
 use wellcrank::settings::Settings;
 
-/// Reads the configuration again and applies it; `started_with` is what this process was started with.
+/// Reads the configuration again and applies it. `started_with` holds the values of the fields that stay as they were when
+/// the process started.
 pub(crate) fn reload_config(
     reactor: &mut Reactor,
     counter: &mut Counter,
@@ -20,7 +21,7 @@
     let (config, settings) = match load_config() {
         Ok(loaded) => loaded,
         Err(error) => {
-            slog::warn!(reactor.log, "configuration not reloaded, the old one stays";
+            slog::warn!(reactor.log, "configuration not reloaded, keeping the previous one";
                 "reason" => %ErrorChain(&error));
             return;
         }
@@ -32,7 +33,7 @@
     counter.set_address(reactor, config.counter);
 }
 
-/// Logs which changes take effect at the next start only.
+/// Logs the changed fields that take effect only after a restart.
 fn warn_of_restart_only_changes(
     reactor: &Reactor,
     config: &NodeConfig,
@@ -48,7 +49,7 @@
     }
 }
 
-/// Has other settings hold; where they are as before, nothing changes.
+/// Replaces the settings if they differ from the current ones.
 fn apply_settings(reactor: &mut Reactor, discovery: &mut DiscoveryFollower, settings: Settings) {
     if settings == *reactor.settings {
         return;
@@ -58,6 +59,7 @@
     if let Some(shutdown) = &mut reactor.shutdown {
         shutdown.shorten(&reactor.settings);
     }
-    // In its turn: what has arrived before keeps the terms that it was checked against.
+    // Queued behind earlier notifications, so that requests received before the reload are handled with the settings that
+    // they were checked against.
     reactor.notify(Notification::Reconfigure(reactor.settings.clone()));
 }
--- a/edge/src/startup.rs
+++ b/edge/src/startup.rs
@@ -1,18 +1,19 @@
-//! What a start needs of the system, asked for again where it is not available for a moment: a start that is refused
-//! costs more than one that takes a little longer.
+//! Sets up the resources of the operating system that the gateway needs at start-up. Transient errors are retried, since a
+//! failed start costs more than a slightly longer one.
 
 use slog::Logger;
 use std::io;
 use std::time::Duration;
 use thiserror::Error;
 
-/// How often something is asked for.
+/// The maximum number of attempts to set up a resource.
 const MAX_ATTEMPTS: u32 = 100;
 
-/// The wait between two attempts.
+/// The time between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a system says that is short of something, interrupted, or still clearing up after a former process.
+/// The error numbers of a system that is short of a resource, was interrupted or has not yet released the address of an
+/// earlier process.
 const TRANSIENT_ERRORS: [i32; 8] = [
     libc::EMFILE,
     libc::ENFILE,
@@ -24,36 +25,45 @@
     libc::EADDRNOTAVAIL,
 ];
 
-/// Something that a start needs could not be had.
+/// A resource that the gateway needs at start-up could not be set up.
 #[derive(Debug, Error)]
 #[error("cannot set up {resource}")]
 pub(crate) struct StartupError {
-    resource: &'static str,
+    resource: String,
     source: io::Error,
 }
 
+impl StartupError {
+    fn new(resource: &str, source: io::Error) -> StartupError {
+        StartupError {
+            resource: resource.to_string(),
+            source,
+        }
+    }
+}
+
 fn is_transient(error: &io::Error) -> bool {
     error
         .raw_os_error()
         .is_some_and(|number| TRANSIENT_ERRORS.contains(&number))
 }
 
-/// Sets something up, at once or within some seconds. `resource` is what messages name it by.
+/// Sets up a resource. Transient errors are retried for about 5 seconds. `resource` is the resource's name in messages.
 pub(crate) fn acquire<T>(
     log: &Logger,
-    resource: &'static str,
+    resource: &str,
     mut set_up: impl FnMut() -> io::Result<T>,
 ) -> Result<T, StartupError> {
     for attempt in 1..MAX_ATTEMPTS {
         match set_up() {
             Err(error) if is_transient(&error) => {
                 if attempt == 1 {
-                    slog::warn!(log, "not available yet, trying again"; "resource" => resource, "error" => %error);
+                    slog::warn!(log, "resource not available yet, retrying"; "resource" => resource, "error" => %error);
                 }
                 std::thread::sleep(RETRY_INTERVAL);
             }
-            outcome => return outcome.map_err(|source| StartupError { resource, source }),
+            outcome => return outcome.map_err(|source| StartupError::new(resource, source)),
         }
     }
-    set_up().map_err(|source| StartupError { resource, source })
+    set_up().map_err(|source| StartupError::new(resource, source))
 }
