--- a/edge/tests/node_scenario/node.rs
+++ b/edge/tests/gateway_scenario/gateway.rs
@@ -1,4 +1,4 @@
-//! The process of the node under test: its configuration, its log, and signals to it.
+//! The process of the gateway under test: its configuration, its log, and signals to it.
 
 use super::stand_ins::LoopbackHost;
 use super::{wait_until, TIMEOUT};
@@ -8,54 +8,51 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// The settings of the node, before a scenario changes them.
+/// The settings of the gateway, before a scenario changes them.
 const DEFAULT_SETTINGS: &str = include_str!("../scenarios/settings.json");
 const DEFAULT_MEMORY_MB: usize = 192;
 const DEFAULT_SOCKETS: usize = 1024;
-/// A command that the node answers itself.
+/// A command that the gateway answers itself.
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
+/// The answer to [`PING`] of a gateway that is ready.
 const PONG: &str = "+PONG";
 
-/// Where the node finds the services that it talks to, and the endpoints that it knows at its start.
-pub(crate) struct Services {
-    /// The address of discovery.
+/// The addresses of the services that the gateway uses.
+pub(crate) struct ServiceAddresses {
     pub(crate) discovery: String,
-    /// The address of the counter.
     pub(crate) counter: String,
-    /// The endpoint list as JSON.
-    pub(crate) known_endpoints: String,
 }
 
-/// What the node may use.
+/// The resource limits in the gateway's configuration.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResourceLimits {
     /// Memory in megabytes.
     pub(crate) memory_mb: usize,
-    /// Sockets.
+    /// The number of sockets.
     pub(crate) sockets: usize,
 }
 
-/// The node under test. The process ends with this value.
-pub(crate) struct Node {
+/// The gateway under test. Dropping this value ends the process and removes its files.
+pub(crate) struct GatewayProcess {
     configuration_file: PathBuf,
     log_file: PathBuf,
-    /// Chosen when the configuration is first written.
+    /// The address on which the gateway listens. Set when the configuration is first written.
     address: Option<String>,
     limits: ResourceLimits,
-    /// Settings that the scenario has changed: the path of each and its value.
+    /// The settings that the scenario has changed: the JSON pointer of each and its value.
     changed_settings: Vec<(String, serde_json::Value)>,
-    /// The most descriptors that the system gives the process.
+    /// The number of descriptors that the system grants the process, if the scenario limits it.
     descriptor_limit: Option<u32>,
     process: Option<Child>,
 }
 
-impl Node {
-    /// The node of a scenario of that name, which has not been started.
+impl GatewayProcess {
+    /// Returns a gateway that is not started yet, for the scenario of this name.
     pub(crate) fn new(scenario: &str) -> Self {
         let process = std::process::id();
         let configuration_file =
             std::env::temp_dir().join(format!("wellcrank-{process}-{scenario}.json"));
-        Node {
+        GatewayProcess {
             log_file: configuration_file.with_extension("log"),
             configuration_file,
             address: None,
@@ -69,35 +66,39 @@
         }
     }
 
-    /// Changes what the node may use, as its configuration states it.
+    /// Sets the resource limits in the configuration that is written next.
     pub(crate) fn set_limits(&mut self, limits: ResourceLimits) {
         self.limits = limits;
     }
 
-    /// Changes how many descriptors the system gives the process.
+    /// Sets the number of descriptors that the system grants the process that is started next.
     pub(crate) fn set_descriptor_limit(&mut self, limit: u32) {
         self.descriptor_limit = Some(limit);
     }
 
-    /// Changes a setting in the configuration that is written next.
+    /// Changes a setting in all configurations that are written from now on. `name` is its path, such as
+    /// `rules.ask_within_ns`.
     pub(crate) fn change_setting(&mut self, name: &str, value: &serde_json::Value) {
         let path = format!("/{}", name.replace('.', "/"));
         self.changed_settings.push((path, value.clone()));
     }
 
-    /// Writes the configuration.
-    pub(crate) fn write_configuration(&mut self, host: &LoopbackHost, services: &Services) {
+    /// Writes the configuration. `known_endpoints` is the endpoint list that the gateway starts with, as JSON.
+    pub(crate) fn write_configuration(
+        &mut self,
+        host: &LoopbackHost,
+        services: &ServiceAddresses,
+        known_endpoints: &str,
+    ) {
         let address = self.address.get_or_insert_with(|| host.free_address());
         let mut settings: serde_json::Value =
-            serde_json::from_str(DEFAULT_SETTINGS).expect("settings");
+            serde_json::from_str(DEFAULT_SETTINGS).expect("expected JSON in settings.json");
         for (path, value) in &self.changed_settings {
-            *settings.pointer_mut(path).expect("a setting") = value.clone();
+            let setting = settings.pointer_mut(path);
+            *setting.unwrap_or_else(|| panic!("expected a setting {path} in settings.json")) =
+                value.clone();
         }
-        let Services {
-            discovery,
-            counter,
-            known_endpoints,
-        } = services;
+        let ServiceAddresses { discovery, counter } = services;
         let ResourceLimits { memory_mb, sockets } = self.limits;
         let configuration = format!(
             "{{\"name\":\"n0\",\"listen\":\"{address}\",\"discovery\":\"{discovery}\",\"seed\":\"7\",\
@@ -108,25 +109,28 @@
         self.write_file(&configuration);
     }
 
-    /// Writes a configuration that can't be read.
+    /// Writes a configuration that is not valid JSON.
     pub(crate) fn write_malformed_configuration(&self) {
         self.write_file("{");
     }
 
     fn write_file(&self, text: &str) {
-        fs::write(&self.configuration_file, text).expect("a file for the configuration");
+        fs::write(&self.configuration_file, text)
+            .expect("expected to write the configuration file");
     }
 
-    /// Starts the process and waits until it accepts connections.
+    /// Starts the process with additional environment variables and waits until it accepts connections.
     pub(crate) fn start(&mut self, environment: Vec<(String, std::ffi::OsString)>) {
-        let log = fs::File::create(&self.log_file).expect("a file for the log");
+        let log = fs::File::create(&self.log_file).expect("expected to create the log file");
         let mut command = self.command();
         command
             .env("BALANCER_CONFIG", &self.configuration_file)
             .envs(environment)
             .stderr(Stdio::from(log));
-        self.process = Some(command.spawn().expect("the node starts"));
-        wait_until(|| TcpStream::connect(self.address()).ok());
+        self.process = Some(command.spawn().expect("expected the gateway to start"));
+        wait_until("the gateway accepts connections", || {
+            TcpStream::connect(self.address()).ok()
+        });
     }
 
     fn command(&self) -> Command {
@@ -139,72 +143,94 @@
         shell
     }
 
-    /// Where the node listens.
+    /// Returns the address on which the gateway listens.
     pub(crate) fn address(&self) -> &str {
-        self.address.as_deref().expect("a configuration is written")
+        self.address
+            .as_deref()
+            .expect("expected a configuration to be written before")
     }
 
-    /// Sends the process a signal.
+    /// Sends a signal, such as `-HUP`, to the process.
     pub(crate) fn signal(&self, signal: &str) {
         let id = self.process_id().to_string();
         let status = Command::new("kill").args([signal, &id]).status();
-        assert!(status.expect("kill").success());
+        let status = status.expect("expected the program kill to start");
+        assert!(
+            status.success(),
+            "expected kill {signal} {id} to succeed, found {status}"
+        );
     }
 
     fn process_id(&self) -> u32 {
-        self.process.as_ref().expect("the node is started").id()
+        self.process
+            .as_ref()
+            .expect("expected the gateway to be started")
+            .id()
     }
 
-    /// Stops the process where it is, until it is resumed.
+    /// Suspends the process and waits until it is suspended.
     pub(crate) fn pause(&self) {
         self.signal("-STOP");
         let stat_file = format!("/proc/{}/stat", self.process_id());
-        wait_until(|| {
+        wait_until("the process is suspended", || {
             let stat = fs::read_to_string(&stat_file).unwrap();
             let state = stat.rsplit(')').next().unwrap().trim_start();
             state.starts_with('T').then_some(())
         });
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a suspended process.
     pub(crate) fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Waits until the process has ended by itself.
+    /// Waits until the process has exited by itself.
     pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
-        let process = self.process.as_mut().expect("the node is started");
-        wait_until(|| process.try_wait().expect("the state of the process"))
-    }
-
-    /// What the node has logged so far.
+        let process = self
+            .process
+            .as_mut()
+            .expect("expected the gateway to be started");
+        wait_until("the gateway exits", || {
+            process
+                .try_wait()
+                .expect("expected the state of the process")
+        })
+    }
+
+    /// Returns what the gateway has logged so far.
     pub(crate) fn log(&self) -> String {
-        fs::read_to_string(&self.log_file).expect("the log")
+        fs::read_to_string(&self.log_file).expect("expected a readable log file")
     }
 
-    /// Panics where the node does not answer a ping. What happened before reaches the node no later than the ping.
+    /// Sends a ping and panics if the answer is not `+PONG`. Events from before reach the gateway no later than the ping.
     pub(crate) fn expect_pong(&self) {
-        assert_eq!(self.ping(), PONG);
+        let answer = self.ping();
+        assert_eq!(answer, PONG, "expected the answer to PING");
     }
 
-    /// Whether the node says that it serves.
-    pub(crate) fn answers_ping(&self) -> bool {
+    /// Returns whether the gateway answers a ping with `+PONG`, which it does once it is ready.
+    pub(crate) fn is_ready(&self) -> bool {
         self.ping() == PONG
     }
 
-    /// The node's answer to a ping on a connection of its own.
+    /// Sends a ping on a new connection and returns the answer.
     fn ping(&self) -> String {
-        let mut connection = TcpStream::connect(self.address()).expect("the node accepts");
+        let mut connection = TcpStream::connect(self.address())
+            .expect("expected the gateway to accept a connection");
         connection.set_read_timeout(Some(TIMEOUT)).unwrap();
         connection.write_all(PING).unwrap();
         let mut answer = String::new();
         let count = BufReader::new(connection).read_line(&mut answer);
-        assert!(count.expect("an answer") > 0, "the connection was closed");
+        let count = count.expect("expected an answer to PING");
+        assert!(
+            count > 0,
+            "expected an answer to PING, found a closed connection"
+        );
         answer.trim_end().to_string()
     }
 }
 
-impl Drop for Node {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         if let Some(mut process) = self.process.take() {
             let _ = process.kill();
--- a/edge/tests/node_scenario/mod.rs
+++ b/edge/tests/gateway_scenario/mod.rs
@@ -1,15 +1,16 @@
-//! Runs the steps of a scenario against the built node, with stand-ins for all that it talks to.
+//! Runs the steps of a scenario against the built gateway, with stand-ins for everything that it talks to.
 
-mod node;
+mod gateway;
 mod notation;
 mod stand_ins;
 
 use crate::fault_injection::FaultInjector;
 use crate::scenario_runner::Scenario;
 use crate::step_arguments::StepError;
-use node::{Node, Services};
+use gateway::{GatewayProcess, ServiceAddresses};
 use notation::{
-    ClientStep, CounterStep, DiscoveryStep, EndpointChange, NodeStep, ServerStep, StartTime, Step,
+    ClientStep, CounterStep, DiscoveryStep, EndpointChange, GatewayStep, ServerStep, StartTime,
+    Step,
 };
 use stand_ins::{
     connect_burst, Clients, FakeAppServers, FakeCounter, FakeDiscovery, ListeningServer,
@@ -18,37 +19,37 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What does not happen within this fails the scenario.
+/// The time within which an expected event must happen.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// How often it is looked whether something has happened.
+/// The interval at which [`wait_until`] checks for an event.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// As long as sends may go on after a drain was told by the settings, and the slack of the rule.
+/// The `stop_sending_within_ns` of `settings.json`, which is 500 ms, and 50 ms of tolerance.
 const DRAIN_GRACE: Duration = Duration::from_millis(550);
 
-/// The node under test and its stand-ins.
-pub(crate) struct NodeScenario {
+/// The gateway under test and its stand-ins.
+pub(crate) struct GatewayScenario {
     host: LoopbackHost,
-    node: Node,
+    gateway: GatewayProcess,
     servers: FakeAppServers,
     clients: Clients,
     counter: FakeCounter,
     discovery: FakeDiscovery,
-    /// The listeners of the counter and of discovery that the node's configuration names.
+    /// The listeners of the counter and of discovery that the gateway's configuration names.
     service_listeners: Vec<ListeningServer>,
-    /// The endpoint list that the node's configuration holds, where it is not to be the present one.
+    /// The endpoint list for the gateway's configuration, as JSON. If not set, the configuration gets the current list.
     pinned_endpoints: Option<String>,
-    /// How the node's system calls fail.
+    /// Injects faults into the gateway's system calls, if the scenario has asked for it.
     fault_injector: Option<FaultInjector>,
 }
 
-impl Scenario for NodeScenario {
+impl Scenario for GatewayScenario {
     type Step = Step;
     type ParseError = StepError;
 
     fn new(name: &str) -> Self {
-        NodeScenario {
+        GatewayScenario {
             host: LoopbackHost::allocate(),
-            node: Node::new(name),
+            gateway: GatewayProcess::new(name),
             servers: FakeAppServers::new(),
             clients: Clients::default(),
             counter: FakeCounter::default(),
@@ -65,98 +66,110 @@
 
     fn run_step(&mut self, step: &Step) {
         match step {
-            Step::Node(step) => self.run_node_step(step),
+            Step::Gateway(step) => self.run_gateway_step(step),
             Step::Server(step) => self.run_server_step(step),
             Step::Client(step) => self.run_client_step(step),
             Step::Counter(step) => self.run_counter_step(step),
             Step::Discovery(step) => self.run_discovery_step(step),
-            Step::Wait(span) => sleep(*span),
+            Step::Wait(duration) => sleep(*duration),
         }
     }
 }
 
-impl NodeScenario {
-    fn run_node_step(&mut self, step: &NodeStep) {
+impl GatewayScenario {
+    fn run_gateway_step(&mut self, step: &GatewayStep) {
         match step {
-            NodeStep::Start => self.start_node(),
-            NodeStep::ExpectReady => wait_until(|| self.node.answers_ping().then_some(())),
-            NodeStep::Synchronize => self.node.expect_pong(),
-            NodeStep::Pause => self.node.pause(),
-            NodeStep::Resume => self.node.resume(),
-            NodeStep::Reload => {
+            GatewayStep::Start => self.start_gateway(),
+            GatewayStep::ExpectReady => {
+                wait_until("the gateway answers PING with +PONG", || {
+                    self.gateway.is_ready().then_some(())
+                });
+            }
+            GatewayStep::Synchronize => self.gateway.expect_pong(),
+            GatewayStep::Pause => self.gateway.pause(),
+            GatewayStep::Resume => self.gateway.resume(),
+            GatewayStep::Reload => {
                 self.write_configuration();
-                self.node.signal("-HUP");
+                self.gateway.signal("-HUP");
             }
-            NodeStep::ReloadMalformed => {
-                self.node.write_malformed_configuration();
-                self.node.signal("-HUP");
+            GatewayStep::ReloadMalformedConfiguration => {
+                self.gateway.write_malformed_configuration();
+                self.gateway.signal("-HUP");
             }
-            NodeStep::MoveServices => self.move_services(),
-            NodeStep::Terminate => self.node.signal("-TERM"),
-            NodeStep::Kill { after } => {
-                sleep(*after);
-                self.node.signal("-KILL");
+            GatewayStep::MoveCounterAndDiscovery => self.move_counter_and_discovery(),
+            GatewayStep::Terminate => self.gateway.signal("-TERM"),
+            GatewayStep::Kill { delay } => {
+                sleep(*delay);
+                self.gateway.signal("-KILL");
             }
-            NodeStep::ExpectExit => {
-                let status = self.node.wait_for_exit();
-                assert!(status.success(), "{status}");
+            GatewayStep::ExpectExit => {
+                let status = self.gateway.wait_for_exit();
+                assert!(
+                    status.success(),
+                    "expected the gateway to exit with success, found {status}"
+                );
             }
-            NodeStep::WaitDrainGrace => sleep(DRAIN_GRACE),
-            NodeStep::ExpectLogged { text, is_there } => self.expect_logged(text, *is_there),
+            GatewayStep::WaitDrainGrace => sleep(DRAIN_GRACE),
+            GatewayStep::ExpectLogged { text, is_there } => self.expect_logged(text, *is_there),
             _ => self.run_environment_step(step),
         }
     }
 
-    /// Runs a step about the node's configuration or its system calls.
-    fn run_environment_step(&mut self, step: &NodeStep) {
+    /// Runs a step of the gateway's configuration or its system calls.
+    fn run_environment_step(&mut self, step: &GatewayStep) {
         match step {
-            NodeStep::SetLimits(limits) => self.node.set_limits(*limits),
-            NodeStep::SetDescriptorLimit { limit } => self.node.set_descriptor_limit(*limit),
-            NodeStep::SetSetting { name, value } => self.node.change_setting(name, value),
-            NodeStep::PinKnownEndpoints => {
+            GatewayStep::SetLimits(limits) => self.gateway.set_limits(*limits),
+            GatewayStep::SetDescriptorLimit { limit } => self.gateway.set_descriptor_limit(*limit),
+            GatewayStep::SetSetting { name, value } => self.gateway.change_setting(name, value),
+            GatewayStep::PinKnownEndpoints => {
                 self.pinned_endpoints = Some(self.discovery.list_json());
             }
-            NodeStep::InjectFaults => {
+            GatewayStep::InjectFaults => {
                 self.fault_injector = Some(FaultInjector::create(&self.host.name()))
             }
-            NodeStep::FailCalls {
+            GatewayStep::FailCalls {
                 call,
                 error_number,
                 count,
             } => self
                 .fault_injector()
                 .fail_calls(*call, *error_number, *count),
-            NodeStep::StepClock { seconds } => self.fault_injector().step_wall_clock(*seconds),
-            NodeStep::LimitTransfers { bytes } => self.fault_injector().limit_transfers(*bytes),
-            NodeStep::StallWrite { milliseconds } => {
+            GatewayStep::SetWallClockOffset { seconds } => {
+                self.fault_injector().step_wall_clock(*seconds)
+            }
+            GatewayStep::LimitTransfers { max_bytes } => {
+                self.fault_injector().limit_transfers(*max_bytes);
+            }
+            GatewayStep::StallWrite { milliseconds } => {
                 self.fault_injector().stall_writes(*milliseconds, 1)
             }
-            other => unreachable!("{other:?} is run above"),
+            other => unreachable!("expected a step of the environment, found {other:?}"),
         }
     }
 
     fn fault_injector(&self) -> &FaultInjector {
         self.fault_injector
             .as_ref()
-            .expect("'inject_faults' comes first")
+            .expect("expected the step 'inject_faults' before this one")
     }
 
-    fn start_node(&mut self) {
+    fn start_gateway(&mut self) {
         self.write_configuration();
         let environment = self.fault_injector.as_ref().map(FaultInjector::environment);
-        self.node.start(environment.unwrap_or_default());
+        self.gateway.start(environment.unwrap_or_default());
     }
 
-    /// Writes the configuration, with a counter and a discovery at addresses that it did not name before.
+    /// Writes the configuration. The counter and discovery get new addresses each time; the old ones still serve.
     fn write_configuration(&mut self) {
         let discovery = self.discovery.listen(&self.host);
         let counter = self.counter.listen(&self.host);
-        let services = Services {
+        let services = ServiceAddresses {
             discovery: discovery.address().to_string(),
             counter: counter.address().to_string(),
-            known_endpoints: self.known_endpoints(),
         };
-        self.node.write_configuration(&self.host, &services);
+        let known_endpoints = self.known_endpoints();
+        self.gateway
+            .write_configuration(&self.host, &services, &known_endpoints);
         self.service_listeners = vec![discovery, counter];
     }
 
@@ -167,29 +180,39 @@
         }
     }
 
-    /// Moves the counter and discovery, and cuts the old ones off once the node has come to the new ones.
-    fn move_services(&mut self) {
+    /// Moves the counter and discovery to new addresses. The old ones accept no connections any more, and their open
+    /// connections are broken once the gateway has connected to the new ones.
+    fn move_counter_and_discovery(&mut self) {
         for listener in &self.service_listeners {
             listener.close();
         }
         let mut old_connections = self.counter.take_connections();
         old_connections.append(&mut self.discovery.take_connections());
         self.write_configuration();
-        self.node.signal("-HUP");
-        wait_until(|| {
-            let has_come = self.counter.has_connections() && self.discovery.has_connections();
-            has_come.then_some(())
-        });
+        self.gateway.signal("-HUP");
+        wait_until(
+            "the gateway connects to the new counter and the new discovery",
+            || {
+                let is_connected =
+                    self.counter.has_connections() && self.discovery.has_connections();
+                is_connected.then_some(())
+            },
+        );
         stand_ins::disconnect(&mut old_connections);
     }
 
     fn expect_logged(&self, text: &str, is_there: bool) {
         if is_there {
-            let log = self.node.log();
-            assert!(log.contains(text), "{log}");
+            let log = self.gateway.log();
+            assert!(
+                log.contains(text),
+                "expected the log to contain '{text}' by now, found:\n{log}"
+            );
             return;
         }
-        wait_until(|| self.node.log().contains(text).then_some(()));
+        wait_until(&format!("the log contains '{text}'"), || {
+            self.gateway.log().contains(text).then_some(())
+        });
     }
 
     fn run_server_step(&mut self, step: &ServerStep) {
@@ -200,8 +223,8 @@
                     servers.start(name, &self.host, &self.discovery);
                 }
             }
-            ServerStep::StartFull { server } => {
-                servers.start_full(server, &self.host, &self.discovery);
+            ServerStep::StartWithFullQueue { server } => {
+                servers.start_with_full_queue(server, &self.host, &self.discovery);
             }
             ServerStep::AcceptConnections { server } => servers.accept_connections(server),
             ServerStep::CloseListener { server } => servers.close_listener(server),
@@ -212,16 +235,24 @@
                 servers.expect_unused_connection_closed(server);
             }
             ServerStep::ExpectSameConnection { first, second } => {
-                assert_eq!(servers.connection_of(first), servers.connection_of(second));
+                assert_eq!(
+                    servers.connection_of(first),
+                    servers.connection_of(second),
+                    "expected {first} and {second} on the same connection"
+                );
             }
             ServerStep::ExpectDifferentConnections { first, second } => {
-                assert_ne!(servers.connection_of(first), servers.connection_of(second));
+                assert_ne!(
+                    servers.connection_of(first),
+                    servers.connection_of(second),
+                    "expected {first} and {second} on different connections"
+                );
             }
             _ => self.run_request_step(step),
         }
     }
 
-    /// Runs a step about a request that comes to an app server.
+    /// Runs a step of a request that an app server receives.
     fn run_request_step(&mut self, step: &ServerStep) {
         let servers = &mut self.servers;
         match step {
@@ -237,34 +268,39 @@
                 milliseconds,
             } => {
                 let remaining = servers.remaining_ms(request);
-                assert!(remaining <= *milliseconds, "{remaining} ms are left");
+                assert!(
+                    remaining <= *milliseconds,
+                    "expected at most {milliseconds} ms left for {request}, found {remaining} ms"
+                );
             }
-            ServerStep::Respond { request, reply } => {
-                servers.send_bytes(request, &reply.to_resp());
+            ServerStep::Respond { request, response } => {
+                servers.send_bytes(request, &response.to_resp());
             }
             ServerStep::SendBytes { request, bytes } => servers.send_bytes(request, bytes),
             ServerStep::Disconnect { request } => servers.disconnect(request),
             ServerStep::ExpectConnectionClosed { request } => {
                 servers.expect_connection_closed(request);
             }
-            other => unreachable!("{other:?} is run above"),
+            other => unreachable!("expected a step of a request, found {other:?}"),
         }
     }
 
     fn run_client_step(&mut self, step: &ClientStep) {
         let clients = &mut self.clients;
-        let node = self.node.address();
+        let gateway = self.gateway.address();
         match step {
             ClientStep::Connect { client } => {
-                clients.connect(client, node);
+                clients.connect(client, gateway);
+            }
+            ClientStep::ConnectBurst { count } => connect_burst(gateway, *count),
+            ClientStep::Request { client, request } => {
+                clients.send_request(client, gateway, request)
             }
-            ClientStep::ConnectBurst { count } => connect_burst(node, *count),
-            ClientStep::Request { client, request } => clients.send_request(client, node, request),
             ClientStep::SendBytes { client, bytes } => {
-                clients.send_bytes(client, node, bytes.as_bytes());
+                clients.send_bytes(client, gateway, bytes.as_bytes());
             }
             ClientStep::SendKib { client, kib } => {
-                clients.send_bytes(client, node, &vec![b'x'; kib << 10]);
+                clients.send_bytes(client, gateway, &vec![b'x'; kib << 10]);
             }
             ClientStep::Receive {
                 client,
@@ -272,13 +308,16 @@
                 is_there,
             } => {
                 if *is_there {
-                    clients.expect_something_received(client, node);
+                    clients.expect_something_received(client, gateway);
                 }
-                let received = clients.receive(client, node);
-                assert!(expected.matches(&received), "got: {received:.60}");
+                let received = clients.receive(client, gateway);
+                assert!(
+                    expected.matches(&received),
+                    "expected {client} to receive {expected:?}, found: {received:.60}"
+                );
             }
-            ClientStep::ExpectNotReset { client } => clients.expect_not_reset(client, node),
-            ClientStep::ShutDownSending { client } => clients.shut_down_sending(client, node),
+            ClientStep::ExpectNotReset { client } => clients.expect_not_reset(client, gateway),
+            ClientStep::ShutDownSending { client } => clients.shut_down_sending(client, gateway),
             ClientStep::Disconnect { client } => clients.disconnect(client),
         }
     }
@@ -288,7 +327,9 @@
             CounterStep::SetMode(mode) => self.counter.set_mode(*mode),
             CounterStep::Disconnect => self.counter.disconnect_all(),
             CounterStep::ExpectLeasesReleased => {
-                wait_until(|| self.counter.newest_total_is_zero().then_some(()));
+                wait_until("the total of the name added last is zero", || {
+                    self.counter.newest_total_is_zero().then_some(())
+                });
             }
         }
     }
@@ -296,9 +337,9 @@
     fn run_discovery_step(&mut self, step: &DiscoveryStep) {
         let discovery = &self.discovery;
         match step {
-            DiscoveryStep::ChangeEndpoints(changes) => {
+            DiscoveryStep::UpdateEndpoints(changes) => {
                 for change in changes {
-                    self.change_endpoint(change);
+                    self.update_endpoint(change);
                 }
             }
             DiscoveryStep::SetMode(mode) => discovery.set_mode(*mode),
@@ -306,23 +347,29 @@
             DiscoveryStep::RejectCalls { count } => discovery.reject_next_calls(*count),
             DiscoveryStep::IgnoreCalls { count } => discovery.ignore_next_calls(*count),
             DiscoveryStep::IgnoreWatches { count } => discovery.ignore_next_watches(*count),
-            DiscoveryStep::ScriptAnswer(answer) => discovery.script_answer(answer.clone()),
+            DiscoveryStep::ScriptResponse(response) => discovery.script_response(response.clone()),
             DiscoveryStep::ExpectAbandonedCalls { count } => {
-                wait_until(|| (discovery.abandoned_calls() >= *count).then_some(()));
+                wait_until(&format!("{count} calls to discovery are abandoned"), || {
+                    (discovery.abandoned_calls() >= *count).then_some(())
+                });
             }
-            DiscoveryStep::ExpectDeltaRequests { count } => {
-                let request_lines = wait_until(|| {
+            DiscoveryStep::ExpectOnlyDeltaRequests { count } => {
+                let expected = format!("discovery receives {count} calls");
+                let request_lines = wait_until(&expected, || {
                     let request_lines = discovery.request_lines();
                     (request_lines.len() >= *count).then_some(request_lines)
                 });
                 let is_for_whole_list = |line: &String| !line.contains("?after=");
                 let whole_list = request_lines.into_iter().find(is_for_whole_list);
-                assert_eq!(whole_list, None, "the whole list was asked for");
+                assert_eq!(
+                    whole_list, None,
+                    "expected only calls for the changes since a version"
+                );
             }
         }
     }
 
-    fn change_endpoint(&self, change: &EndpointChange) {
+    fn update_endpoint(&self, change: &EndpointChange) {
         let started_at = match change.started_at {
             StartTime::UnixMilliseconds(milliseconds) => u128::from(milliseconds),
             StartTime::Now => unix_milliseconds(),
@@ -336,17 +383,21 @@
 
 fn unix_milliseconds() -> u128 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    now.expect("a time after 1970").as_millis()
+    now.expect("expected a wall clock after 1970").as_millis()
 }
 
-/// Looks again and again until there is something; panics where there is nothing in time.
-fn wait_until<T>(mut look: impl FnMut() -> Option<T>) -> T {
+/// Calls `check` until it returns a value. Panics with the expectation if there is none within [`TIMEOUT`].
+fn wait_until<T>(expected: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = check() {
             return found;
         }
-        assert!(start.elapsed() < TIMEOUT, "it did not happen in time");
+        assert!(
+            start.elapsed() < TIMEOUT,
+            "expected within {} s: {expected}; it did not happen",
+            TIMEOUT.as_secs()
+        );
         sleep(POLL_INTERVAL);
     }
 }
--- a/edge/tests/node_scenario/notation/client.rs
+++ b/edge/tests/gateway_scenario/notation/client.rs
@@ -1,49 +1,50 @@
-//! Steps about clients.
+//! Steps of clients.
 
-use super::escaped_bytes;
-use crate::node_scenario::stand_ins::{Received, RequestArguments};
-use crate::step_arguments::{Arguments, StepError};
+use super::{escaped_bytes, named_value, optional_named_value};
+use crate::gateway_scenario::stand_ins::{Received, RequestArguments};
+use crate::step_arguments::{invalid, Arguments, StepError};
 
-/// A step about one client, or about many at once.
+/// A step of one client, or of many at once.
 #[derive(Debug)]
 pub(crate) enum ClientStep {
-    /// A client connects.
+    /// The client connects, unless it is connected.
     Connect { client: String },
-    /// So many clients connect at once and leave.
+    /// Connects this many clients and then disconnects them.
     ConnectBurst { count: usize },
-    /// A client sends a request.
+    /// The client sends a request.
     Request {
         client: String,
         request: RequestArguments,
     },
-    /// A client sends bytes.
+    /// The client sends bytes.
     SendBytes { client: String, bytes: String },
-    /// A client sends so many KiB of no command.
+    /// The client sends this many KiB that are not a command.
     SendKib { client: String, kib: usize },
-    /// A client receives this next; with `is_there`, it has come already.
+    /// Waits for the next reply to the client, which must be the expected one. With `is_there`, fails if nothing has
+    /// arrived yet.
     Receive {
         client: String,
         expected: ExpectedReply,
         is_there: bool,
     },
-    /// The node has not reset a client's connection.
+    /// Expects that the gateway has not reset the client's connection.
     ExpectNotReset { client: String },
-    /// A client ends its sending and goes on receiving.
+    /// The client shuts down its sending direction and can still receive.
     ShutDownSending { client: String },
-    /// A client closes its connection.
+    /// The client closes its connection.
     Disconnect { client: String },
 }
 
-/// What a client is to receive.
+/// What a client is expected to receive next.
 #[derive(Debug)]
 pub(crate) enum ExpectedReply {
     /// The end of the connection.
     Closed,
     /// A reset of the connection.
     Reset,
-    /// This line, or `$` and this value.
+    /// This line, or a bulk string with the value that follows `$`.
     Exactly(String),
-    /// A line or value that begins so.
+    /// A line or value, written as for [`Exactly`](Self::Exactly), that starts with this text.
     StartsWith(String),
 }
 
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Whether this is what came.
+    /// Returns whether the received reply is the expected one.
     pub(crate) fn matches(&self, received: &Received) -> bool {
         match (self, received) {
             (ExpectedReply::Closed, Received::Closed) => true,
@@ -76,7 +77,7 @@
 }
 
 impl ClientStep {
-    /// Reads a step that begins with this word, if it is about clients.
+    /// Parses the arguments of the step `verb`. Returns `None` if it is not a step of clients.
     pub(super) fn parse(verb: &str, arguments: &mut Arguments) -> Result<Option<Self>, StepError> {
         let step = match verb {
             "connect_burst" => ClientStep::ConnectBurst {
@@ -95,7 +96,7 @@
             },
             "send_kib" => ClientStep::SendKib {
                 client: arguments.value("client")?,
-                kib: arguments.value("KiB")?,
+                kib: arguments.value("size in KiB")?,
             },
             "receive" | "receive_now" => ClientStep::Receive {
                 client: arguments.value("client")?,
@@ -119,10 +120,19 @@
 
 fn parse_request(arguments: &mut Arguments) -> Result<RequestArguments, StepError> {
     Ok(RequestArguments {
-        request: arguments.value("request")?,
+        id: parse_request_id(arguments.word("request")?)?,
         route: arguments.value("route")?,
         plan: arguments.value("plan")?,
-        timeout_ms: arguments.value("timeout")?,
-        body_size: arguments.optional_value("size of the body")?,
+        timeout_ms: named_value(arguments, "timeout_ms")?,
+        body_bytes: optional_named_value(arguments, "body_bytes")?,
     })
 }
+
+/// Returns the id of a request that a scenario names `r` and the id, in hex digits without leading zeros.
+fn parse_request_id(name: &str) -> Result<String, StepError> {
+    let id = name.strip_prefix('r').filter(|id| {
+        !id.is_empty() && !id.starts_with('0') && id.bytes().all(|byte| byte.is_ascii_hexdigit())
+    });
+    id.map(str::to_string)
+        .ok_or_else(|| invalid("request, which is 'r' and hex digits", name))
+}
--- a/edge/tests/node_scenario/notation/mod.rs
+++ b/edge/tests/gateway_scenario/notation/mod.rs
@@ -1,36 +1,40 @@
-//! The steps of the node's scenarios, and how they are read. `edge/tests/scenarios.rs` describes the notation.
+//! The steps of the gateway's scenarios and their parser. `edge/tests/scenarios.rs` describes the notation.
 
 mod client;
-mod node;
+mod gateway;
 mod server;
 mod service;
 
 pub(crate) use client::ClientStep;
-pub(crate) use node::NodeStep;
+pub(crate) use gateway::GatewayStep;
 pub(crate) use server::ServerStep;
 pub(crate) use service::{CounterStep, DiscoveryStep, EndpointChange, StartTime};
 
-use crate::step_arguments::{Arguments, StepError};
+use crate::step_arguments::{invalid, parse_value, Arguments, StepError};
+use std::str::FromStr;
 use std::time::Duration;
 
+/// In the steps of `repeat`, stands for the number of the round, from 0.
+const ROUND_PLACEHOLDER: &str = "{n}";
+
 /// One step of a scenario.
 #[derive(Debug)]
 pub(crate) enum Step {
-    /// About the process of the node.
-    Node(NodeStep),
-    /// About an app server.
+    /// A step of the gateway's process, its configuration or its system calls.
+    Gateway(GatewayStep),
+    /// A step of an app server.
     Server(ServerStep),
-    /// About a client.
+    /// A step of a client.
     Client(ClientStep),
-    /// About the counter.
+    /// A step of the counter.
     Counter(CounterStep),
-    /// About discovery.
+    /// A step of discovery.
     Discovery(DiscoveryStep),
-    /// Time passes.
+    /// Waits for a fixed time.
     Wait(Duration),
 }
 
-/// Reads a line: one step, or with `repeat` several, as often as it says.
+/// Parses a line: one step, or the steps of all rounds of a `repeat`.
 pub(crate) fn parse_line(line: &str) -> Result<Vec<Step>, StepError> {
     let mut arguments = Arguments::new(line);
     if arguments.word("step")? != "repeat" {
@@ -40,7 +44,7 @@
     let template = arguments.text("steps to repeat")?;
     let mut steps = Vec::new();
     for round in 0..count {
-        let round_steps = template.replace('%', &round.to_string());
+        let round_steps = template.replace(ROUND_PLACEHOLDER, &round.to_string());
         for step in round_steps.split(';') {
             steps.push(Step::parse(step.trim())?);
         }
@@ -55,7 +59,7 @@
         let step = match verb {
             "counter" => Step::Counter(CounterStep::parse(&mut arguments)?),
             "discovery" => Step::Discovery(DiscoveryStep::parse(&mut arguments)?),
-            "wait" => Step::Wait(milliseconds(&mut arguments)?),
+            "wait_ms" => Step::Wait(Duration::from_millis(arguments.value("milliseconds")?)),
             _ => Self::parse_other(verb, &mut arguments)?,
         };
         arguments.end()?;
@@ -63,8 +67,8 @@
     }
 
     fn parse_other(verb: &str, arguments: &mut Arguments) -> Result<Step, StepError> {
-        if let Some(step) = NodeStep::parse(verb, arguments)? {
-            return Ok(Step::Node(step));
+        if let Some(step) = GatewayStep::parse(verb, arguments)? {
+            return Ok(Step::Gateway(step));
         }
         if let Some(step) = ServerStep::parse(verb, arguments)? {
             return Ok(Step::Server(step));
@@ -72,7 +76,7 @@
         if let Some(step) = ClientStep::parse(verb, arguments)? {
             return Ok(Step::Client(step));
         }
-        if let Some(step) = DiscoveryStep::parse_expectation(verb, arguments)? {
+        if let Some(step) = DiscoveryStep::parse_unprefixed(verb, arguments)? {
             return Ok(Step::Discovery(step));
         }
         if verb == "leases_released" {
@@ -82,12 +86,26 @@
     }
 }
 
-/// A span in milliseconds.
-fn milliseconds(arguments: &mut Arguments) -> Result<Duration, StepError> {
-    arguments.value("milliseconds").map(Duration::from_millis)
+/// Parses the next word, which is required, as `name=value`.
+fn named_value<T: FromStr>(arguments: &mut Arguments, name: &'static str) -> Result<T, StepError> {
+    optional_named_value(arguments, name)?.ok_or(StepError::Missing(name))
+}
+
+/// Parses the next word, if there is one, as `name=value`.
+fn optional_named_value<T: FromStr>(
+    arguments: &mut Arguments,
+    name: &'static str,
+) -> Result<Option<T>, StepError> {
+    let Some(word) = arguments.optional_word() else {
+        return Ok(None);
+    };
+    match word.split_once('=') {
+        Some((key, value)) if key == name => parse_value(name, value).map(Some),
+        _ => Err(invalid(name, word)),
+    }
 }
 
-/// The rest of a step as bytes: `\r` and `\n` stand for the ends of lines.
+/// Parses the rest of a step as bytes. `\r` and `\n` stand for CR and LF.
 fn escaped_bytes(arguments: &mut Arguments) -> Result<String, StepError> {
     let text = arguments.text("bytes")?;
     Ok(text.replace("\\r", "\r").replace("\\n", "\n"))
--- a/edge/tests/node_scenario/notation/server.rs
+++ b/edge/tests/gateway_scenario/notation/server.rs
@@ -1,94 +1,107 @@
-//! Steps about app servers.
+//! Steps of app servers.
 
 use super::escaped_bytes;
 use crate::step_arguments::{invalid, parse_value, Arguments, StepError};
 
-/// A step about one app server, or about requests that have come to one.
+/// Stands for any app server in place of a name.
+const ANY_SERVER: &str = "any";
+
+/// A step of app servers, or of the requests that they have received.
 #[derive(Debug)]
 pub(crate) enum ServerStep {
-    /// App servers start, each at a new address.
+    /// Starts app servers, each at a new address, and enters them into discovery's list.
     Start { servers: Vec<String> },
-    /// An app server starts to which no connection comes up.
-    StartFull { server: String },
-    /// Connections come up at such a server from now on.
+    /// Starts an app server whose listener has a full queue, so that no connection to it is established.
+    StartWithFullQueue { server: String },
+    /// Lets connections to such a server be established from now on.
     AcceptConnections { server: String },
-    /// An app server refuses connections from now on.
+    /// Closes the listener of a server, so that it refuses connections from now on.
     CloseListener { server: String },
-    /// A connection of the node to a server is coming up.
+    /// Waits until the gateway has started to connect to a server and the connection is not established.
     ExpectConnecting { server: String },
-    /// A connection to a server has ended with no command on it.
+    /// Waits until the gateway has closed a connection to a server on which it has sent no command.
     ExpectUnusedConnectionClosed { server: String },
-    /// A request comes to a server; none: to any.
+    /// Waits until a request is received, and expects that it was received by this server; `None` stands for any server.
     ExpectRequest {
         server: Option<String>,
         request: String,
     },
-    /// A request has come to a server already.
+    /// Expects that a server has already received a request.
     ExpectRequestNow { server: String, request: String },
-    /// No request has come that no step has expected.
+    /// Expects that no app server has received a request that no step has claimed.
     ExpectNoRequest,
-    /// The command of a request says that no more milliseconds than these are left.
+    /// Expects that the latest command of a request states at most this remaining time.
     ExpectRemainingAtMost { request: String, milliseconds: u64 },
-    /// The server answers a request.
-    Respond { request: String, reply: ServerReply },
-    /// The server writes bytes where a request came.
+    /// The server responds to a request.
+    Respond {
+        request: String,
+        response: ServerResponse,
+    },
+    /// The server writes bytes to the connection on which it received a request.
     SendBytes { request: String, bytes: String },
-    /// The server ends the connection on which a request came.
+    /// The server closes the connection on which it received a request.
     Disconnect { request: String },
-    /// The node has ended the connection on which a request came.
+    /// Waits until the gateway has closed the connection on which a server received a request.
     ExpectConnectionClosed { request: String },
-    /// Two requests came on the same connection.
+    /// Expects that two requests were received on the same connection.
     ExpectSameConnection { first: String, second: String },
-    /// Two requests came on different connections.
+    /// Expects that two requests were received on different connections.
     ExpectDifferentConnections { first: String, second: String },
 }
 
-/// An answer of an app server.
+/// A response of an app server.
 #[derive(Debug)]
-pub(crate) enum ServerReply {
-    /// A value, with the figures that the server reports, if any.
+pub(crate) enum ServerResponse {
+    /// A value and, if the server reports any, load figures such as `cost=2`.
     Value {
         value: String,
-        figures: Option<String>,
+        load_figures: Option<String>,
     },
-    /// A line.
+    /// A RESP2 line without its line end.
     Line(String),
 }
 
-impl ServerReply {
-    /// The bytes of the answer.
+impl ServerResponse {
+    /// Returns the response as RESP2.
     pub(crate) fn to_resp(&self) -> String {
         match self {
-            ServerReply::Line(line) => format!("{line}\r\n"),
-            ServerReply::Value { value, figures } => {
-                let figures = match figures {
+            ServerResponse::Line(line) => format!("{line}\r\n"),
+            ServerResponse::Value {
+                value,
+                load_figures,
+            } => {
+                let load_figures = match load_figures {
                     None => "$-1".to_string(),
                     Some(figures) => format!("${}\r\n{figures}", figures.len()),
                 };
-                format!("*3\r\n${}\r\n{value}\r\n{figures}\r\n$-1\r\n", value.len())
+                let length = value.len();
+                format!("*3\r\n${length}\r\n{value}\r\n{load_figures}\r\n$-1\r\n")
             }
         }
     }
 
-    /// `$value [figures]`, where `$x*9` is a value repeated, or a line of one word.
+    /// Parses `$VALUE [LOAD_FIGURES]`, where `$x*9` stands for `x` repeated nine times, or a line of one word.
     fn parse(arguments: &mut Arguments) -> Result<Self, StepError> {
-        let word = arguments.word("reply")?;
+        let word = arguments.word("response")?;
         let Some(value) = word.strip_prefix('$') else {
-            return Ok(ServerReply::Line(word.to_string()));
+            return Ok(ServerResponse::Line(word.to_string()));
         };
         let value = match value.split_once('*') {
             None => value.to_string(),
-            Some((part, times)) => part.repeat(parse_value("repetition of a value", times)?),
+            Some((part, count)) => part.repeat(parse_value("number of repetitions", count)?),
         };
-        let figures = arguments.optional_value("figures")?;
-        Ok(ServerReply::Value { value, figures })
+        let load_figures = arguments.optional_value("list of load figures")?;
+        Ok(ServerResponse::Value {
+            value,
+            load_figures,
+        })
     }
 }
 
 impl ServerStep {
-    /// Reads a step that begins with this word, if it is about app servers.
+    /// Parses the arguments of the step `verb`. Returns `None` if it is not a step of app servers.
     pub(super) fn parse(verb: &str, arguments: &mut Arguments) -> Result<Option<Self>, StepError> {
-        if verb == "server" {
+        if verb == "start_servers" {
             return parse_start(arguments).map(Some);
         }
         if let Some(step) = Self::parse_connection_step(verb, arguments)? {
@@ -97,25 +110,25 @@
         Self::parse_request_step(verb, arguments)
     }
 
-    /// Reads a step about the connections to a server.
+    /// Parses the arguments of a step of the connections to a server.
     fn parse_connection_step(
         verb: &str,
         arguments: &mut Arguments,
     ) -> Result<Option<Self>, StepError> {
         let step = match verb {
-            "server_with_full_queue" => ServerStep::StartFull {
+            "start_server_with_full_queue" => ServerStep::StartWithFullQueue {
                 server: arguments.value("server")?,
             },
-            "server_accepts" => ServerStep::AcceptConnections {
+            "server_accepts_connections" => ServerStep::AcceptConnections {
                 server: arguments.value("server")?,
             },
-            "server_refuses" => ServerStep::CloseListener {
+            "server_refuses_connections" => ServerStep::CloseListener {
                 server: arguments.value("server")?,
             },
-            "connecting_to" => ServerStep::ExpectConnecting {
+            "gateway_connecting_to" => ServerStep::ExpectConnecting {
                 server: arguments.value("server")?,
             },
-            "unused_connection_closed" => ServerStep::ExpectUnusedConnectionClosed {
+            "gateway_closes_unused_connection" => ServerStep::ExpectUnusedConnectionClosed {
                 server: arguments.value("server")?,
             },
             "same_connection" => ServerStep::ExpectSameConnection {
@@ -131,14 +144,14 @@
         Ok(Some(step))
     }
 
-    /// Reads a step about a request that comes to a server.
+    /// Parses the arguments of a step of a request that a server receives.
     fn parse_request_step(
         verb: &str,
         arguments: &mut Arguments,
     ) -> Result<Option<Self>, StepError> {
         let step = match verb {
             "server_receives" => ServerStep::ExpectRequest {
-                server: Some(arguments.value("server")?).filter(|server| server != "*"),
+                server: Some(arguments.value("server")?).filter(|server| server != ANY_SERVER),
                 request: arguments.value("request")?,
             },
             "server_receives_now" => ServerStep::ExpectRequestNow {
@@ -146,13 +159,13 @@
                 request: arguments.value("request")?,
             },
             "no_server_request" => ServerStep::ExpectNoRequest,
-            "remaining_time_at_most" => ServerStep::ExpectRemainingAtMost {
+            "remaining_ms_at_most" => ServerStep::ExpectRemainingAtMost {
                 request: arguments.value("request")?,
                 milliseconds: arguments.value("milliseconds")?,
             },
             "server_responds" => ServerStep::Respond {
                 request: arguments.value("request")?,
-                reply: ServerReply::parse(arguments)?,
+                response: ServerResponse::parse(arguments)?,
             },
             "server_sends_bytes" => ServerStep::SendBytes {
                 request: arguments.value("request")?,
@@ -161,7 +174,7 @@
             "server_disconnects" => ServerStep::Disconnect {
                 request: arguments.value("request")?,
             },
-            "server_connection_closed" => ServerStep::ExpectConnectionClosed {
+            "gateway_closes_connection" => ServerStep::ExpectConnectionClosed {
                 request: arguments.value("request")?,
             },
             _ => return Ok(None),
--- a/edge/tests/node_scenario/stand_ins/app_servers.rs
+++ b/edge/tests/gateway_scenario/stand_ins/app_servers.rs
@@ -1,41 +1,43 @@
-//! The app servers, each at an address of its own.
+//! The app servers, each at its own address.
 
 use super::discovery::{EndpointState, FakeDiscovery};
 use super::loopback::{FullListener, ListeningServer, LoopbackHost};
 use super::{lock, resp};
-use crate::node_scenario::wait_until;
+use crate::gateway_scenario::wait_until;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 
-/// A request that has come to an app server.
+/// A command of a request that an app server has received.
 #[derive(Debug)]
 struct ReceivedRequest {
     server: String,
+    /// The name of the request in the scenario, such as `r1`.
     request: String,
+    /// The index of the connection.
     connection: usize,
-    /// How long the client still waits, in milliseconds, as the command says.
+    /// How long the client still waits according to the command, in milliseconds.
     remaining_ms: u64,
 }
 
-/// What a connection's thread has seen at an app server.
+/// What the thread of a connection reports.
 enum ServerEvent {
     Request(ReceivedRequest),
     ConnectionClosed {
         server: String,
         connection: usize,
-        /// No command has come on the connection.
+        /// No command was received on the connection.
         was_unused: bool,
     },
 }
 
-/// Where an app server listens.
+/// The listener of an app server.
 enum Listener {
-    /// It accepts connections.
+    /// Accepts connections, unless it is closed.
     Accepting(ListeningServer),
-    /// Its queue is full and nobody accepts.
+    /// Has a full queue and accepts no connections.
     Full(FullListener),
 }
 
@@ -48,26 +50,27 @@
     }
 }
 
-/// All app servers of a scenario. They answer when a step tells them to.
+/// All app servers of a scenario. They respond when a step tells them to.
 pub(crate) struct FakeAppServers {
     listeners: BTreeMap<String, Listener>,
-    /// All connections to app servers, by their number.
+    /// All connections to app servers, in the order in which they were accepted.
     connections: Arc<Mutex<Vec<TcpStream>>>,
     event_sender: Sender<ServerEvent>,
     events: Receiver<ServerEvent>,
-    /// Requests that have come and that no step has asked for yet.
+    /// Requests that have been received and that no step has claimed yet.
     unclaimed_requests: VecDeque<ReceivedRequest>,
-    /// The connection on which each request that a step has asked for came.
+    /// The index of the connection on which each claimed request was received, by the request's name.
     request_connections: BTreeMap<String, usize>,
-    /// How long the client of each request still waits, in milliseconds.
+    /// How long the client of each request still waits according to its latest command, in milliseconds.
     remaining_ms: BTreeMap<String, u64>,
+    /// The indices of the connections that have ended.
     closed_connections: Vec<usize>,
-    /// App servers at which an unused connection was closed that no step has asked for yet.
-    unused_closed_at: Vec<String>,
+    /// The server of each unused connection that has ended and that no step has claimed yet.
+    servers_of_closed_unused: Vec<String>,
 }
 
 impl FakeAppServers {
-    /// No app servers yet.
+    /// Returns a set without app servers.
     pub(crate) fn new() -> Self {
         let (event_sender, events) = channel();
         FakeAppServers {
@@ -79,18 +82,18 @@
             request_connections: BTreeMap::new(),
             remaining_ms: BTreeMap::new(),
             closed_connections: Vec::new(),
-            unused_closed_at: Vec::new(),
+            servers_of_closed_unused: Vec::new(),
         }
     }
 
-    /// Starts an app server at a new address and enters it with discovery.
+    /// Starts an app server at a new address and enters it into discovery's list.
     pub(crate) fn start(&mut self, name: &str, host: &LoopbackHost, discovery: &FakeDiscovery) {
         let server = ListeningServer::start(host, self.connection_handler(name));
         self.enter(name, Listener::Accepting(server), discovery);
     }
 
-    /// Starts an app server to which no connection comes up yet, and enters it with discovery.
-    pub(crate) fn start_full(
+    /// Starts an app server to which no connection can be established yet, and enters it into discovery's list.
+    pub(crate) fn start_with_full_queue(
         &mut self,
         name: &str,
         host: &LoopbackHost,
@@ -105,55 +108,60 @@
         self.listeners.insert(name.to_string(), listener);
     }
 
-    /// Lets connections come up at a server whose queue was full.
+    /// Lets connections to a server with a full queue be established.
     pub(crate) fn accept_connections(&mut self, name: &str) {
         let listener = self.listeners.remove(name);
         let Some(Listener::Full(listener)) = listener else {
-            panic!("the queue of {name} is not full");
+            panic!("expected {name} to have a full queue");
         };
         let server = listener.open(self.connection_handler(name));
         self.listeners
             .insert(name.to_string(), Listener::Accepting(server));
     }
 
-    /// Closes the listener of a server; connections that are up stay.
+    /// Closes the listener of a server. Established connections stay open.
     pub(crate) fn close_listener(&self, name: &str) {
         let Listener::Accepting(server) = &self.listeners[name] else {
-            panic!("{name} does not accept");
+            panic!("expected {name} to accept connections, but its queue is full");
         };
         server.close();
-        // The listener is dropped when the next connection comes.
+        // The thread drops the listener when it accepts the next connection.
         let _ = TcpStream::connect(server.address());
-        wait_until(|| TcpStream::connect(server.address()).err());
+        wait_until(&format!("{name} refuses connections"), || {
+            TcpStream::connect(server.address()).err()
+        });
     }
 
-    /// Where a server listens.
+    /// Returns the address on which a server listens.
     pub(crate) fn address(&self, name: &str) -> String {
         self.listeners[name].address()
     }
 
-    /// Waits until a request comes, and panics where it came to another server than the named one.
+    /// Waits until a request is received and claims it. Panics if another server than the named one received it.
     pub(crate) fn expect_request(&mut self, server: Option<&str>, request: &str) {
-        let received = wait_until(|| {
+        let received = wait_until(&format!("an app server receives {request}"), || {
             self.drain_events();
             let is_wanted = |received: &ReceivedRequest| received.request == request;
             let position = self.unclaimed_requests.iter().position(is_wanted)?;
             self.unclaimed_requests.remove(position)
         });
         if let Some(server) = server {
-            assert_eq!(received.server, server, "{request} came elsewhere");
+            assert_eq!(
+                received.server, server,
+                "expected {request} at another app server"
+            );
         }
         self.claim(received);
     }
 
-    /// Panics where a request has not come to a server by now.
+    /// Claims a request that a server has already received. Panics if it has not.
     pub(crate) fn expect_request_now(&mut self, server: &str, request: &str) {
         self.drain_events();
         let is_wanted =
             |received: &ReceivedRequest| received.server == server && received.request == request;
         let position = self.unclaimed_requests.iter().position(is_wanted);
         let received = position.and_then(|position| self.unclaimed_requests.remove(position));
-        self.claim(received.expect("the request has come"));
+        self.claim(received.unwrap_or_else(|| panic!("expected {request} at {server} by now")));
     }
 
     fn claim(&mut self, received: ReceivedRequest) {
@@ -161,59 +169,62 @@
             .insert(received.request, received.connection);
     }
 
-    /// Panics where a request has come that no step has asked for.
+    /// Panics if a request has been received that no step has claimed.
     pub(crate) fn expect_no_request(&mut self) {
         self.drain_events();
         let unclaimed = &self.unclaimed_requests;
-        assert!(unclaimed.is_empty(), "{unclaimed:?}");
+        assert!(
+            unclaimed.is_empty(),
+            "expected no unclaimed request, found {unclaimed:?}"
+        );
     }
 
-    /// Waits until the node has closed the connection on which a request came.
+    /// Waits until the connection on which a request was received has ended.
     pub(crate) fn expect_connection_closed(&mut self, request: &str) {
         let connection = self.request_connections[request];
-        wait_until(|| {
+        wait_until(&format!("the connection of {request} ends"), || {
             self.drain_events();
             let is_closed = self.closed_connections.contains(&connection);
             is_closed.then_some(())
         });
     }
 
-    /// Waits until the node has closed a connection to a server on which no command came.
+    /// Waits until a connection to a server on which no command was received has ended, and claims it.
     pub(crate) fn expect_unused_connection_closed(&mut self, server: &str) {
-        wait_until(|| {
+        wait_until(&format!("an unused connection to {server} ends"), || {
             self.drain_events();
-            let closed_at = &mut self.unused_closed_at;
-            let position = closed_at.iter().position(|name| name == server)?;
-            Some(closed_at.remove(position))
+            let servers = &mut self.servers_of_closed_unused;
+            let position = servers.iter().position(|name| name == server)?;
+            Some(servers.remove(position))
         });
     }
 
-    /// The number of the connection on which a request came.
+    /// Returns the index of the connection on which a request was received.
     pub(crate) fn connection_of(&self, request: &str) -> usize {
         self.request_connections[request]
     }
 
-    /// How long the client of a request still waits, in milliseconds, as its latest command says.
+    /// Returns how long the client of a request still waits according to its latest command, in milliseconds.
     pub(crate) fn remaining_ms(&self, request: &str) -> u64 {
         self.remaining_ms[request]
     }
 
-    /// Writes bytes to the connection on which a request came.
+    /// Writes bytes to the connection on which a request was received.
     pub(crate) fn send_bytes(&self, request: &str, bytes: &str) {
         let mut connection = &lock(&self.connections)[self.connection_of(request)];
         connection
             .write_all(bytes.as_bytes())
-            .expect("the node reads");
+            .expect("expected the gateway to keep the connection open");
     }
 
-    /// Shuts the connection down on which a request came.
+    /// Shuts down the connection on which a request was received.
     pub(crate) fn disconnect(&self, request: &str) {
         let connection = &lock(&self.connections)[self.connection_of(request)];
-        // The node may have closed it before.
+        // Fails if the gateway has closed the connection before.
         let _ = connection.shutdown(Shutdown::Both);
     }
 
-    /// Takes in what the threads of the connections have seen.
+    /// Handles the events that the threads of the connections have reported.
     fn drain_events(&mut self) {
         for event in self.events.try_iter() {
             match event {
@@ -228,13 +239,14 @@
                     was_unused,
                 } => {
                     self.closed_connections.push(connection);
-                    self.unused_closed_at.extend(was_unused.then_some(server));
+                    self.servers_of_closed_unused
+                        .extend(was_unused.then_some(server));
                 }
             }
         }
     }
 
-    /// What an app server does with a connection: it reports the requests that come, and the end.
+    /// Returns the function that serves a connection of an app server: it reports each request and the end.
     fn connection_handler(&self, server: &str) -> impl Fn(TcpStream) + Send + Sync + 'static {
         let server = server.to_string();
         let connections = self.connections.clone();
@@ -268,17 +280,17 @@
         let remaining_ms = words[3]
             .split(',')
             .find_map(|pair| pair.strip_prefix("d=")?.parse().ok())
-            .expect("the command says how long the client still waits");
+            .expect("expected the remaining time d=N in the command");
         ReceivedRequest {
             server: server.to_string(),
-            request: words[2].trim_start_matches('0').to_string(),
+            request: format!("r{}", words[2].trim_start_matches('0')),
             connection,
             remaining_ms,
         }
     }
 }
 
-/// Reports an event; the scenario may have ended before.
+/// Reports an event. An error is ignored, because the scenario may have ended before.
 fn report(events: &Sender<ServerEvent>, event: ServerEvent) {
     let _ = events.send(event);
 }
--- a/edge/tests/node_scenario/stand_ins/counter.rs
+++ b/edge/tests/gateway_scenario/stand_ins/counter.rs
@@ -8,24 +8,24 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// How often a silent counter looks whether it is to answer again.
-const SILENCE_POLL: Duration = Duration::from_millis(5);
+/// The interval at which a silent counter checks whether it must reply again.
+const SILENT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How the counter replies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum CounterMode {
-    /// It adds and tells the total.
+    /// It adds the amount and replies with the total.
     #[default]
     Answering,
-    /// It does not reply until the mode changes.
+    /// It neither adds nor replies until the mode changes.
     Silent,
-    /// It refuses to add.
+    /// It adds nothing and replies `busy`.
     Rejecting,
-    /// It adds to the next number and replies with something that is no number; then it answers again.
-    Malformed,
+    /// It adds the amount of the next call and replies without a number. After that it is in the mode `Answering`.
+    MalformedOnce,
 }
 
-/// A counter that the node can be pointed at, at one or more addresses.
+/// A counter that serves at one or more addresses.
 #[derive(Clone, Default)]
 pub(crate) struct FakeCounter {
     state: Arc<Mutex<CounterState>>,
@@ -34,39 +34,39 @@
 #[derive(Default)]
 struct CounterState {
     mode: CounterMode,
-    /// Names and their totals, in the order in which the names were first used.
+    /// The names and their totals, in the order in which the names were first used.
     totals: Vec<(String, f64)>,
     connections: Vec<TcpStream>,
 }
 
 impl FakeCounter {
-    /// Listens at one more address; all addresses share the totals.
+    /// Listens on one more address. All addresses share the totals.
     pub(crate) fn listen(&self, host: &LoopbackHost) -> ListeningServer {
         let state = self.state.clone();
         ListeningServer::start(host, move |connection| serve(&state, connection))
     }
 
-    /// Changes how it replies from now on.
+    /// Sets how it replies from now on.
     pub(crate) fn set_mode(&self, mode: CounterMode) {
         lock(&self.state).mode = mode;
     }
 
-    /// Breaks all its connections.
+    /// Shuts down all its connections.
     pub(crate) fn disconnect_all(&self) {
         disconnect(&mut lock(&self.state).connections);
     }
 
-    /// Hands over its open connections, and forgets them.
+    /// Returns its open connections and removes them from its list.
     pub(crate) fn take_connections(&self) -> Vec<TcpStream> {
         std::mem::take(&mut lock(&self.state).connections)
     }
 
-    /// Whether a connection has come that has not been handed over or broken.
+    /// Returns whether it has accepted a connection since its list of connections was last emptied.
     pub(crate) fn has_connections(&self) -> bool {
         !lock(&self.state).connections.is_empty()
     }
 
-    /// Whether the total of the newest name is zero.
+    /// Returns whether the total of the name that was added last is zero.
     pub(crate) fn newest_total_is_zero(&self) -> bool {
         let state = lock(&self.state);
         state.totals.last().is_some_and(|(_, total)| *total == 0.0)
@@ -81,7 +81,7 @@
     let mut input = BufReader::new(connection);
     while let Some(call) = resp::read_line(&mut input) {
         while lock(state).mode == CounterMode::Silent {
-            sleep(SILENCE_POLL);
+            sleep(SILENT_POLL_INTERVAL);
         }
         let reply = lock(state).reply(&call);
         send(&output, &format!("{reply}\r\n"));
@@ -95,8 +95,11 @@
             ["ping"] => "pong".to_string(),
             _ if self.mode == CounterMode::Rejecting => "busy".to_string(),
             ["incr", name, amount, _ttl] => {
-                let total = self.add(name, amount.parse().expect("an amount"));
-                if self.mode == CounterMode::Malformed {
+                let total = self.add(
+                    name,
+                    amount.parse().expect("expected a number as the amount"),
+                );
+                if self.mode == CounterMode::MalformedOnce {
                     self.mode = CounterMode::Answering;
                     return "ok #".to_string();
                 }
@@ -114,7 +117,7 @@
             .totals
             .iter_mut()
             .find(|(known, _)| known == name)
-            .expect("added above");
+            .expect("expected the name that was added above");
         *total += amount;
         *total
     }
--- a/edge/tests/node_scenario/stand_ins/discovery.rs
+++ b/edge/tests/gateway_scenario/stand_ins/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery service, over HTTP with long polls.
+//! The discovery service, which serves the endpoint list over HTTP with long polls.
 
 use super::loopback::{ListeningServer, LoopbackHost};
 use super::{disconnect, lock, resp, send};
@@ -11,57 +11,57 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// How long a connection is looked at for its end by the other side.
-const CLOSE_POLL: Duration = Duration::from_millis(5);
-/// How long the node has to read what was sent before a reset, which would overtake it.
+/// How long each check whether the peer has closed a connection waits.
+const CLOSE_CHECK_TIMEOUT: Duration = Duration::from_millis(5);
+/// How long the gateway has to read the bytes that were sent before a reset. A reset would discard unread bytes.
 const RESET_DELAY: Duration = Duration::from_millis(100);
-/// The answer of a crowded discovery.
+/// The response of an overloaded discovery.
 const REJECTION: &str =
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-/// How discovery takes calls.
+/// How discovery answers calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum DiscoveryMode {
-    /// It answers, also the calls that still wait.
+    /// It answers all calls, including those that still wait.
     #[default]
     Answering,
-    /// It takes calls and does not answer, also not the watches that wait already.
+    /// It reads calls and does not answer, not even the watches that wait already.
     Silent,
-    /// It closes each connection at once.
+    /// It closes each new connection at once.
     Closing,
 }
 
 /// The state of an endpoint in discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum EndpointState {
-    /// It takes requests.
+    /// The endpoint takes requests.
     Active,
-    /// It drains.
-    Leaving,
-    /// It is gone.
-    Left,
+    /// The endpoint drains; `leaving` on the wire.
+    Draining,
+    /// The endpoint is removed; `left` on the wire.
+    Removed,
 }
 
 impl Display for EndpointState {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
             EndpointState::Active => "active",
-            EndpointState::Leaving => "leaving",
-            EndpointState::Left => "left",
+            EndpointState::Draining => "leaving",
+            EndpointState::Removed => "left",
         })
     }
 }
 
-/// Bytes that discovery sends in place of an answer, before it ends the connection.
+/// Bytes that discovery sends in place of a response, before it ends the connection.
 #[derive(Clone, Debug)]
-pub(crate) struct ScriptedAnswer {
-    /// What it sends.
+pub(crate) struct ScriptedResponse {
+    /// The bytes.
     pub(crate) bytes: String,
-    /// Whether it resets the connection in place of closing it.
+    /// Whether discovery resets the connection instead of closing it.
     pub(crate) resets: bool,
 }
 
-/// A discovery service that the node can be pointed at, at one or more addresses.
+/// A discovery service that serves at one or more addresses.
 #[derive(Clone, Default)]
 pub(crate) struct FakeDiscovery {
     list: Arc<Mutex<EndpointList>>,
@@ -69,58 +69,67 @@
     calls: Arc<Mutex<CallState>>,
 }
 
-/// The entries of the list as JSON, by the endpoint's name.
+/// The endpoint list.
 #[derive(Default)]
 struct EndpointList {
+    /// The number of changes so far.
     version: u64,
+    /// The entries as JSON, by the endpoint's name.
     entries: BTreeMap<String, String>,
 }
 
-/// What discovery was called with, and how it is to answer.
+/// The calls so far, and how the next ones are answered.
 #[derive(Default)]
 struct CallState {
     mode: DiscoveryMode,
+    /// The HTTP request lines of all calls so far.
     request_lines: Vec<String>,
-    /// So many of the next calls are rejected.
-    rejections: usize,
-    /// So many of the next calls are never answered.
-    ignored_calls: usize,
-    /// So many of the next calls that wait for changes are never answered.
-    ignored_watches: usize,
-    scripted_answers: VecDeque<ScriptedAnswer>,
-    /// Calls without an answer whose connections the node has closed, and connections that a closing discovery
-    /// has closed, since the mode was set.
+    /// The number of next calls that are rejected.
+    calls_to_reject: usize,
+    /// The number of next calls that are never answered.
+    calls_to_ignore: usize,
+    /// The number of next watches that are never answered. A watch is a call that waits for changes.
+    watches_to_ignore: usize,
+    /// The responses to the next calls.
+    scripted_responses: VecDeque<ScriptedResponse>,
+    /// The number of calls without an answer whose connections the gateway has closed, and of connections that
+    /// discovery has closed in the mode `Closing`, since the mode was set.
     abandoned_calls: usize,
 }
 
 /// How one call is answered.
 enum Answer {
     Never,
-    Scripted(ScriptedAnswer),
+    Scripted(ScriptedResponse),
     Rejection,
     List,
 }
 
 impl FakeDiscovery {
-    /// Listens at one more address; all addresses share the list.
+    /// Listens on one more address. All addresses share the list.
     pub(crate) fn listen(&self, host: &LoopbackHost) -> ListeningServer {
         let discovery = self.clone();
         ListeningServer::start(host, move |connection| discovery.serve(connection))
     }
 
-    /// Enters an endpoint, in place of the entry of that name if there is one. `started_at` is in milliseconds of
-    /// Unix time.
-    pub(crate) fn enter(&self, name: &str, address: &str, state: EndpointState, started_at: u128) {
+    /// Adds the entry of an endpoint, or replaces the entry with this name.
+    pub(crate) fn enter(
+        &self,
+        name: &str,
+        address: &str,
+        state: EndpointState,
+        started_at_unix_ms: u128,
+    ) {
         let entry = format!(
             "{{\"uid\":\"{name}\",\"endpoint\":\"{address}\",\"az\":\"z\",\"model\":\"m\",\"pod_group\":0,\
-             \"state\":\"{state}\",\"capacity_hint\":1.0,\"boot_ms\":{started_at}}}"
+             \"state\":\"{state}\",\"capacity_hint\":1.0,\"boot_ms\":{started_at_unix_ms}}}"
         );
         let mut list = lock(&self.list);
         list.version += 1;
         list.entries.insert(name.to_string(), entry);
     }
 
-    /// The list as it is now, as JSON.
+    /// Returns the current list as JSON.
     pub(crate) fn list_json(&self) -> String {
         let list = lock(&self.list);
         let entries: Vec<&str> = list.entries.values().map(String::as_str).collect();
@@ -131,7 +140,8 @@
         )
     }
 
-    /// Changes how it takes calls from now on, and begins to count abandoned calls anew.
+    /// Sets how it answers calls from now on, and resets the number of abandoned calls. In the mode `Closing`, also shuts
+    /// down the open connections.
     pub(crate) fn set_mode(&self, mode: DiscoveryMode) {
         {
             let mut calls = lock(&self.calls);
@@ -143,48 +153,49 @@
         }
     }
 
-    /// Breaks all its connections.
+    /// Shuts down all its connections.
     pub(crate) fn disconnect_all(&self) {
         disconnect(&mut lock(&self.connections));
     }
 
-    /// Hands over its open connections, and forgets them.
+    /// Returns its open connections and removes them from its list.
     pub(crate) fn take_connections(&self) -> Vec<TcpStream> {
         std::mem::take(&mut lock(&self.connections))
     }
 
-    /// Whether a connection has come that has not been handed over or broken.
+    /// Returns whether it has accepted a connection since its list of connections was last emptied.
     pub(crate) fn has_connections(&self) -> bool {
         !lock(&self.connections).is_empty()
     }
 
-    /// Breaks all connections and rejects so many of the next calls.
+    /// Shuts down all connections and rejects the next `count` calls.
     pub(crate) fn reject_next_calls(&self, count: usize) {
-        lock(&self.calls).rejections = count;
+        lock(&self.calls).calls_to_reject = count;
         self.disconnect_all();
     }
 
-    /// Never answers so many of the next calls.
+    /// Never answers the next `count` calls.
     pub(crate) fn ignore_next_calls(&self, count: usize) {
-        lock(&self.calls).ignored_calls = count;
+        lock(&self.calls).calls_to_ignore = count;
     }
 
-    /// Never answers so many of the next calls that wait for changes.
+    /// Never answers the next `count` watches.
     pub(crate) fn ignore_next_watches(&self, count: usize) {
-        lock(&self.calls).ignored_watches = count;
+        lock(&self.calls).watches_to_ignore = count;
     }
 
-    /// Answers the next call that has no scripted answer yet with these bytes.
-    pub(crate) fn script_answer(&self, answer: ScriptedAnswer) {
-        lock(&self.calls).scripted_answers.push_back(answer);
+    /// Sends these bytes in place of the response to the next call for which no other bytes are scripted.
+    pub(crate) fn script_response(&self, response: ScriptedResponse) {
+        lock(&self.calls).scripted_responses.push_back(response);
     }
 
-    /// The calls that the node has abandoned since the mode was set, and the connections that were closed on it.
+    /// Returns the number of calls that the gateway has abandoned, and of connections that discovery has closed in the
+    /// mode `Closing`, since the mode was set.
     pub(crate) fn abandoned_calls(&self) -> usize {
         lock(&self.calls).abandoned_calls
     }
 
-    /// The request lines of all calls so far.
+    /// Returns the HTTP request lines of all calls so far.
     pub(crate) fn request_lines(&self) -> Vec<String> {
         lock(&self.calls).request_lines.clone()
     }
@@ -207,7 +218,7 @@
                     lock(&self.calls).abandoned_calls += 1;
                     return;
                 }
-                Answer::Scripted(scripted) => return self.send_scripted(&output, &scripted),
+                Answer::Scripted(response) => return self.send_scripted(&output, &response),
                 Answer::Rejection => return send(&output, REJECTION),
                 Answer::List => {
                     if !self.wait_for_change(&request_line, &output) {
@@ -220,8 +231,8 @@
         }
     }
 
-    /// Waits until the list has another version than the call knows, and discovery answers; says whether the node
-    /// still waits then.
+    /// Waits until the list has another version than the caller knows and discovery is not silent. Returns false if the
+    /// gateway closes the connection before.
     fn wait_for_change(&self, request_line: &str, connection: &TcpStream) -> bool {
         let known_version = known_version(request_line);
         while known_version == Some(lock(&self.list).version)
@@ -237,21 +248,21 @@
     fn send_list(&self, connection: &TcpStream) {
         let body = self.list_json();
         let length = body.len();
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
-        send(connection, &answer);
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
+        send(connection, &response);
     }
 
-    fn send_scripted(&self, connection: &TcpStream, answer: &ScriptedAnswer) {
-        send(connection, &answer.bytes);
-        if !answer.resets {
+    fn send_scripted(&self, connection: &TcpStream, response: &ScriptedResponse) {
+        send(connection, &response.bytes);
+        if !response.resets {
             let _ = connection.shutdown(Shutdown::Both);
             return;
         }
         sleep(RESET_DELAY);
         SockRef::from(connection)
             .set_linger(Some(Duration::ZERO))
-            .expect("a socket");
-        // With the last handle on the socket gone, the system resets the connection.
+            .expect("expected to set the linger time of the socket");
+        // The system resets the connection when the last handle of the socket is closed.
         lock(&self.connections).clear();
     }
 }
@@ -262,37 +273,40 @@
         self.request_lines.push(request_line.to_string());
         let is_watch = request_line.contains("wait_ms=") && !request_line.contains("wait_ms=0 ");
         let is_ignored = self.take_ignored(is_watch);
-        let is_rejected = take_one(&mut self.rejections);
-        let scripted = self.scripted_answers.pop_front();
+        let is_rejected = take_one(&mut self.calls_to_reject);
+        let scripted = self.scripted_responses.pop_front();
         match scripted {
             _ if is_ignored => Answer::Never,
-            Some(answer) => Answer::Scripted(answer),
+            Some(response) => Answer::Scripted(response),
             None if is_rejected => Answer::Rejection,
             None => Answer::List,
         }
     }
 
+    /// Returns whether the call is one that is never answered, and counts it as such.
     fn take_ignored(&mut self, is_watch: bool) -> bool {
-        (is_watch && take_one(&mut self.ignored_watches)) || take_one(&mut self.ignored_calls)
+        (is_watch && take_one(&mut self.watches_to_ignore)) || take_one(&mut self.calls_to_ignore)
     }
 }
 
-/// Takes one off a count, if it is not zero; says whether it did.
+/// Decrements a count, if it is not zero. Returns whether it did.
 fn take_one(count: &mut usize) -> bool {
-    let is_left = *count > 0;
-    *count -= usize::from(is_left);
-    is_left
+    let is_positive = *count > 0;
+    *count -= usize::from(is_positive);
+    is_positive
 }
 
-/// The version of the list that the caller has.
+/// Returns the version of the list that the caller has, or `None` if the call asks for the whole list.
 fn known_version(request_line: &str) -> Option<u64> {
     let (_, query) = request_line.split_once("after=")?;
     query.split('&').next()?.parse().ok()
 }
 
-/// Looks for a moment whether the other side has closed the connection.
+/// Returns whether the peer has closed the connection. Waits for up to [`CLOSE_CHECK_TIMEOUT`].
 fn is_closed_by_peer(connection: &TcpStream) -> bool {
-    connection.set_read_timeout(Some(CLOSE_POLL)).unwrap();
+    connection
+        .set_read_timeout(Some(CLOSE_CHECK_TIMEOUT))
+        .unwrap();
     let is_closed = matches!(connection.peek(&mut [0]), Ok(0));
     connection.set_read_timeout(None).unwrap();
     is_closed
--- a/edge/tests/node_scenario/stand_ins/loopback.rs
+++ b/edge/tests/gateway_scenario/stand_ins/loopback.rs
@@ -1,6 +1,6 @@
 //! Listeners on loopback addresses.
 
-use crate::node_scenario::wait_until;
+use crate::gateway_scenario::wait_until;
 use socket2::{Domain, Socket, Type};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
@@ -8,75 +8,80 @@
 use std::thread::spawn;
 use std::time::Duration;
 
-/// A connection that has not come up after this shows that the queue of the listener is full.
-const BACKLOG_PROBE: Duration = Duration::from_millis(100);
-/// The state of a connection that was asked for and has not come up, in the system's table.
+/// If a connection is not established within this time, the queue of the listener is considered full.
+const FULL_QUEUE_TIMEOUT: Duration = Duration::from_millis(100);
+/// The state of a connection that is being established, in `/proc/net/tcp`.
 const TCP_SYN_SENT: &str = "02";
-/// The most connections that it takes to fill the queue of a listener without a backlog.
-const MAX_BACKLOG: usize = 8;
+/// The maximum number of connections that are needed to fill the queue of a listener with a backlog of 0.
+const MAX_QUEUED_CONNECTIONS: usize = 8;
 
-/// A loopback address of its own for each scenario: a connection to a port that was given back reaches no other
+/// A loopback address that only one scenario uses, so that a connection to a port that is free again can't reach another
 /// scenario.
 pub(crate) struct LoopbackHost(Ipv4Addr);
 
 impl LoopbackHost {
-    /// The next address that no scenario has.
+    /// Returns the next address that no scenario has.
     pub(crate) fn allocate() -> Self {
         static LAST: AtomicU8 = AtomicU8::new(0);
         let number = LAST.fetch_add(1, Ordering::Relaxed) + 1;
         LoopbackHost(Ipv4Addr::new(127, 1, 0, number))
     }
 
-    /// A name for files of the scenario.
+    /// Returns the address as text, as a unique name for files of the scenario.
     pub(crate) fn name(&self) -> String {
         self.0.to_string()
     }
 
-    /// Listens on a free port.
+    /// Returns a listener on a free port.
     pub(crate) fn listen(&self) -> TcpListener {
-        TcpListener::bind((self.0, 0)).expect("a free port")
+        TcpListener::bind((self.0, 0)).expect("expected a free port")
     }
 
-    /// An address with a port that is free now.
+    /// Returns an address whose port is free at the moment.
     pub(crate) fn free_address(&self) -> String {
         self.listen().local_addr().unwrap().to_string()
     }
 
-    /// Waits until a connection to a port of this host has been asked for and has not come up.
+    /// Waits until a connection to an address of this host is being established.
     pub(crate) fn wait_for_connecting(&self, address: &str) {
-        let address: SocketAddr = address.parse().expect("an address");
-        // The system's table of connections: the address and port of the other side, and the state.
+        let address: SocketAddr = address.parse().expect("expected an address");
+        // An entry of `/proc/net/tcp` holds the remote address and port, and the state.
         let entry = format!(
             "{:08X}:{:04X} {TCP_SYN_SENT} ",
             u32::from(self.0).swap_bytes(),
             address.port()
         );
-        wait_until(|| {
-            let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-            table.contains(&entry).then_some(())
-        });
+        wait_until(
+            &format!("a connection to {address} is being established"),
+            || {
+                let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+                table.contains(&entry).then_some(())
+            },
+        );
     }
 
-    /// Listens on a free port with the smallest queue.
+    /// Returns a listener on a free port, with a backlog of 0.
     fn listen_without_backlog(&self) -> TcpListener {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        let socket =
+            Socket::new(Domain::IPV4, Type::STREAM, None).expect("expected to create a socket");
         let any_port = SocketAddr::from((self.0, 0));
         socket
             .bind(&any_port.into())
             .and_then(|()| socket.listen(0))
-            .expect("a free port");
+            .expect("expected a free port");
         socket.into()
     }
 }
 
-/// A listener whose connections are each served by a thread of its own.
+/// A listener that serves each connection on its own thread.
 pub(crate) struct ListeningServer {
     address: String,
+    /// Whether the listener still accepts connections.
     is_open: Arc<AtomicBool>,
 }
 
 impl ListeningServer {
-    /// Listens on a free port.
+    /// Listens on a free port and calls `serve` with each connection.
     pub(crate) fn start(
         host: &LoopbackHost,
         serve: impl Fn(TcpStream) + Send + Sync + 'static,
@@ -84,7 +89,7 @@
         Self::accept_from(host.listen(), serve)
     }
 
-    /// Accepts the connections of a listener.
+    /// Accepts connections from a listener and calls `serve` with each of them.
     fn accept_from(
         listener: TcpListener,
         serve: impl Fn(TcpStream) + Send + Sync + 'static,
@@ -98,12 +103,12 @@
         server
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub(crate) fn address(&self) -> &str {
         &self.address
     }
 
-    /// Stops accepting. The listener itself is closed when the next connection comes.
+    /// Stops serving new connections. The listener itself is closed when the next connection is accepted.
     pub(crate) fn close(&self) {
         self.is_open.store(false, Ordering::SeqCst);
     }
@@ -120,14 +125,15 @@
             return;
         }
         let serve = serve.clone();
-        spawn(move || serve(connection.expect("a connection")));
+        spawn(move || serve(connection.expect("expected an accepted connection")));
     }
 }
 
-/// A listener whose queue is full: as long as nobody accepts, the system drops further requests for a connection, and
-/// the other side repeats them a second later.
+/// A listener whose queue is full. As long as no connection is accepted, the system drops the SYN packets of further
+/// connections, and the connecting side repeats them after a second.
 pub(crate) struct FullListener {
     listener: TcpListener,
+    /// The client ends of the connections in the queue.
     queued: Vec<TcpStream>,
 }
 
@@ -136,30 +142,33 @@
     pub(crate) fn start(host: &LoopbackHost) -> Self {
         let listener = host.listen_without_backlog();
         let address = listener.local_addr().unwrap();
-        let queued = connect_while_possible(&address, MAX_BACKLOG);
+        let queued = connect_while_possible(&address, MAX_QUEUED_CONNECTIONS);
         FullListener { listener, queued }
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub(crate) fn address(&self) -> String {
         self.listener.local_addr().unwrap().to_string()
     }
 
-    /// Accepts what filled the queue and serves the connections that come from now on.
+    /// Empties the queue, and calls `serve` with each connection that is established from now on.
     pub(crate) fn open(self, serve: impl Fn(TcpStream) + Send + Sync + 'static) -> ListeningServer {
         for _ in &self.queued {
-            self.listener.accept().expect("a connection of the queue");
+            self.listener
+                .accept()
+                .expect("expected a connection in the queue");
         }
         drop(self.queued);
         ListeningServer::accept_from(self.listener, serve)
     }
 }
 
-/// Connections to an address, up to so many; fewer where one does not come up in time.
+/// Establishes up to `max_count` connections to an address and returns them. Stops at the first one that is not
+/// established within [`FULL_QUEUE_TIMEOUT`].
 pub(crate) fn connect_while_possible(address: &SocketAddr, max_count: usize) -> Vec<TcpStream> {
     let mut connections = Vec::new();
     while connections.len() < max_count {
-        match TcpStream::connect_timeout(address, BACKLOG_PROBE) {
+        match TcpStream::connect_timeout(address, FULL_QUEUE_TIMEOUT) {
             Ok(connection) => connections.push(connection),
             Err(_) => break,
         }
--- a/edge/tests/node_scenario/stand_ins/mod.rs
+++ b/edge/tests/gateway_scenario/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for everything that the node under test talks to, on loopback sockets.
+//! Stand-ins for everything that the gateway under test talks to, on loopback sockets.
 
 mod app_servers;
 mod clients;
@@ -10,7 +10,7 @@
 pub(crate) use app_servers::FakeAppServers;
 pub(crate) use clients::{connect_burst, Clients, RequestArguments};
 pub(crate) use counter::{CounterMode, FakeCounter};
-pub(crate) use discovery::{DiscoveryMode, EndpointState, FakeDiscovery, ScriptedAnswer};
+pub(crate) use discovery::{DiscoveryMode, EndpointState, FakeDiscovery, ScriptedResponse};
 pub(crate) use loopback::{ListeningServer, LoopbackHost};
 pub(crate) use resp::Received;
 
@@ -18,20 +18,22 @@
 use std::net::{Shutdown, TcpStream};
 use std::sync::{Mutex, MutexGuard};
 
-/// Shuts all connections down in both directions and forgets them.
+/// Shuts down all connections in both directions and removes them from the list.
 pub(crate) fn disconnect(connections: &mut Vec<TcpStream>) {
     for connection in std::mem::take(connections) {
-        // The other side may have closed it before.
+        // Fails if the peer has closed the connection before.
         let _ = connection.shutdown(Shutdown::Both);
     }
 }
 
-/// Locks the state of a stand-in; panics where a thread of the stand-in has.
+/// Locks the state of a stand-in. Panics if one of its threads has panicked while it held the lock.
 fn lock<T>(state: &Mutex<T>) -> MutexGuard<'_, T> {
-    state.lock().expect("a stand-in has failed")
+    state
+        .lock()
+        .expect("expected no panic in a thread of the stand-in")
 }
 
-/// Writes an answer; the other side may have closed the connection before.
+/// Writes a response. An error is ignored, because the peer may have closed the connection before.
 fn send(mut connection: &TcpStream, bytes: &str) {
     let _ = connection.write_all(bytes.as_bytes());
 }
--- a/edge/tests/node_scenario/stand_ins/resp.rs
+++ b/edge/tests/gateway_scenario/stand_ins/resp.rs
@@ -1,18 +1,18 @@
-//! Reads RESP2 replies, and lines, from the front of a buffered connection.
+//! Reads lines, replies and commands in RESP2 from a buffered connection, and writes commands.
 
 use std::fmt::{self, Display};
 use std::io::{BufRead, ErrorKind};
 
-/// What came on a connection.
+/// What was received on a connection.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Received {
-    /// A line, without its end.
+    /// A line without its line end.
     Line(String),
     /// The value of a bulk string.
     Value(String),
-    /// The other side has closed the connection.
+    /// The peer has closed the connection.
     Closed,
-    /// The other side has reset the connection.
+    /// The peer has reset the connection.
     Reset,
 }
 
@@ -27,18 +27,18 @@
     }
 }
 
-/// Reads the next line or the end of the connection; panics where none comes in time.
+/// Reads the next line or the end of the connection. Panics on any other error, such as the read timeout.
 fn receive_line(input: &mut impl BufRead) -> Received {
     let mut line = String::new();
     match input.read_line(&mut line) {
         Ok(0) => Received::Closed,
         Ok(_) => Received::Line(line.trim_end().to_string()),
         Err(error) if error.kind() == ErrorKind::ConnectionReset => Received::Reset,
-        Err(error) => panic!("{error}"),
+        Err(error) => panic!("expected a line or the end of the connection, found: {error}"),
     }
 }
 
-/// Reads the next line or bulk string or the end of the connection; panics where none comes in time.
+/// Reads the next line, bulk string or end of the connection. Panics on any other error, such as the read timeout.
 pub(crate) fn receive(input: &mut impl BufRead) -> Received {
     match receive_line(input) {
         Received::Line(line) => match read_bulk_body(input, &line) {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Reads a line; none where the connection has ended.
+/// Reads a line. Returns `None` if the connection has ended.
 pub(crate) fn read_line(input: &mut impl BufRead) -> Option<String> {
     match receive_line(input) {
         Received::Line(line) => Some(line),
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reads a command; none where the connection has ended or something else comes.
+/// Reads a command. Returns `None` if the connection has ended or something else was received.
 pub(crate) fn read_command(input: &mut impl BufRead) -> Option<Vec<String>> {
     let head = read_line(input)?;
     let count: usize = head.strip_prefix('*')?.parse().ok()?;
@@ -69,7 +69,8 @@
     read_bulk_body(input, &head)
 }
 
-/// Reads a bulk string whose first line has been read; none where that is no such line.
+/// Reads the rest of a bulk string whose first line is `head`. Returns `None` if that is not the first line of a bulk
+/// string.
 fn read_bulk_body(input: &mut impl BufRead, head: &str) -> Option<String> {
     let length: usize = head.strip_prefix('$')?.parse().ok()?;
     let mut value = vec![0; length + 2];
@@ -78,7 +79,7 @@
     String::from_utf8(value).ok()
 }
 
-/// A command.
+/// Returns a command as RESP2.
 pub(crate) fn command(words: &[&str]) -> String {
     let mut text = format!("*{}\r\n", words.len());
     for word in words {
--- a/edge/tests/scenarios.rs
+++ b/edge/tests/scenarios.rs
@@ -1,102 +1,130 @@
-//! Runs every scenario in `edge/tests/scenarios` against the built edge node, with stand-ins for app servers, counter,
-//! discovery and clients on free loopback ports. A scenario is a text file of steps, one a line. A step that names an
-//! expectation waits for it, unless it says that it looks at what is there already.
+//! Runs every scenario in `edge/tests/scenarios` against the built gateway, with stand-ins for app servers, counter,
+//! discovery and clients on free loopback ports. A scenario is a text file with one step per line; `#` starts a comment.
+//! A step that states an expectation waits up to 20 s for it, unless the description says "already" or "expects".
 //!
-//! The node, its configuration and its process:
+//! By convention, clients are named `client1`, app servers `app1`, and requests `r1`: the `r` is followed by the id of
+//! the request in hex digits without leading zeros. `settings.json` holds the settings that every scenario starts with.
+//! Its `classes` are the routes: 0 is `read` (idempotent), 1 `order` (idempotent by key) and 2 `payment`
+//! (non-idempotent). Its `contracts` are the plans: 0 is `capped` (concurrency limit 2) and 1 `wide` (concurrency limit
+//! 600).
+//!
+//! The gateway, its configuration and its process:
 //!
 //! ```text
-//! limits 64 40                    memory in MB and sockets in the configuration (else 192 and 1024)
-//! descriptor_limit 24             the system gives the node no more descriptors than these
-//! setting rules.ask_within_ns 1e9  a value in the settings that the node gets when it starts or with 'reload'
-//! pin_known_endpoints             the configuration will hold the endpoint list as it is now (else as it is then)
-//! start_node                      starts the node, which knows the app servers so far
-//! node_ready                      in time, the node answers that it serves
-//! synchronize                     the node has met all that happened before
-//! pause_node; resume_node         the node stands still; it goes on, and meets at once all that has happened
-//! reload                          the file holds the settings as they are by now, SIGHUP
-//! reload_malformed                the file can't be read any more, SIGHUP
-//! move_services                   the file names another counter and discovery, SIGHUP, the old ones are cut off
-//! sigterm                         SIGTERM
-//! sigkill [1200]                  SIGKILL, as many milliseconds after SIGTERM as the platform waits at the least
-//!                                 (else 3700)
-//! node_exited                     the node has ended by itself and well
-//! logged TEXT                     the node's log holds this; 'logged_now TEXT': already
-//! wait_drain_grace                waits as long as sends may go on after a drain was told, and the rule's slack
-//! wait 300                        so many milliseconds pass
-//! inject_faults                   the node will start with a library by which its system calls can be made to fail
-//! fail_calls accept ECONNABORTED 3  its next three calls fail so: accept, socket, connect, register, wait, read, write
-//! step_clock -3600                from now on its wall clock is so many seconds off
-//! limit_transfers 5               from now on one read or write moves no more than so many bytes
-//! stall_write 150                 its next write stands still for so many milliseconds before it goes
+//! limits memory_mb=64 sockets=40  sets the limits in the configuration (default: 192 MB and 1024 sockets)
+//! descriptor_limit 24             the system grants the gateway at most 24 descriptors
+//! setting rules.ask_within_ns 1e9 changes a value in the settings that the gateway gets at its start and with 'reload'
+//! pin_known_endpoints             the configuration gets the current endpoint list also if it is written later; by
+//!                                 default it gets the list at that time
+//! start_gateway                   starts the gateway, which knows the app servers entered so far
+//! gateway_ready                   waits until the gateway answers PING with +PONG
+//! synchronize                     sends PING and expects +PONG: the gateway has processed all earlier events
+//! pause_gateway                   suspends the process (SIGSTOP)
+//! resume_gateway                  resumes it (SIGCONT); it handles at once all that has happened meanwhile
+//! reload                          writes the configuration with the current settings and new addresses of the counter
+//!                                 and discovery, and sends SIGHUP
+//! reload_malformed_configuration  writes a configuration that is not valid JSON and sends SIGHUP
+//! move_counter_and_discovery      as 'reload'; the old counter and discovery accept no connections any more, and
+//!                                 their open ones are broken once the gateway has connected to the new ones
+//! sigterm                         sends SIGTERM
+//! sigkill [after_ms=1200]         sends SIGKILL after this delay (default: 3700 ms, the platform's shortest delay
+//!                                 between SIGTERM and SIGKILL)
+//! gateway_exited                  waits until the gateway has exited by itself, and expects success
+//! logged TEXT                     waits until the gateway's log contains TEXT
+//! logged_now TEXT                 the log already contains TEXT
+//! wait_drain_grace                waits for 550 ms: the drain grace and 50 ms of tolerance
+//! wait_ms 300                     waits for 300 ms
+//! inject_faults                   the gateway that is started next loads a library through which its system calls can
+//!                                 be made to fail
+//! fail_calls accept ECONNABORTED 3  the next 3 calls fail with this error; the calls are accept, socket, connect,
+//!                                 register, wait, read and write
+//! wall_clock_offset_seconds -3600 from now on the gateway's wall clock is an hour behind the machine's
+//! limit_transfer_bytes 5          from now on each read and write transfers at most 5 bytes
+//! stall_write_ms 150              the next write is delayed by 150 ms
 //! ```
 //!
 //! App servers:
 //!
 //! ```text
-//! server a b                      app servers that listen, at a new address each time
-//! server_refuses a                a refuses connections from now on
-//! server_with_full_queue a        an app server to which no connection comes up
-//! server_accepts a                connections to a come up from now on, also those that were asked for before
-//! connecting_to a                 a connection of the node to a is coming up
-//! unused_connection_closed a      a connection of the node to a has ended with no command on it
-//! server_receives a r1            request r1 comes to the app server a ('*': to any)
-//! server_receives_now a r1        it has come already
-//! no_server_request               no request has come to an app server that no step has expected
-//! remaining_time_at_most r1 900   the command with which r1 came says that no more than 900 ms are left
-//! server_responds r1 $value [cost=2]  the app server answers r1 with a value ('$x*9': repeated), or a line of one word
-//! server_disconnects r1           the app server ends the connection on which r1 came
-//! server_sends_bytes r1 BYTES     the app server writes these bytes where r1 came
-//! server_connection_closed r1     the node has ended the connection on which r1 came
-//! same_connection r1 r2           they came on the same connection; 'different_connections r1 r2': they did not
+//! start_servers app1 app2         starts app servers, each at a new address, and enters them into discovery's list;
+//!                                 for one that is already started, this changes its address
+//! start_server_with_full_queue app1  starts an app server to which no connection can be established
+//! server_accepts_connections app1 from now on such a server accepts connections, including those in progress
+//! server_refuses_connections app1 from now on the server refuses new connections
+//! gateway_connecting_to app1      waits until the gateway is establishing a connection to the server
+//! gateway_closes_unused_connection app1  waits until a connection to the server has ended without a command
+//! server_receives app1 r1         waits until an app server receives request r1, and expects that it is app1 ('any':
+//!                                 any app server)
+//! server_receives_now app1 r1     app1 has already received r1
+//! no_server_request               expects that no app server has received a request that no step has named
+//! remaining_ms_at_most r1 900     expects that the latest command of r1 states a remaining time of at most 900 ms
+//! server_responds r1 $value [cost=2]  responds to r1 with a value ('$x*9': x repeated 9 times) and optional load figures,
+//!                                 or with a line of one word
+//! server_disconnects r1           the app server closes the connection on which it received r1
+//! server_sends_bytes r1 BYTES     the app server writes BYTES to the connection on which it received r1
+//! gateway_closes_connection r1    waits until the connection on which r1 was received has ended
+//! same_connection r1 r2           expects that r1 and r2 were received on the same connection
+//! different_connections r1 r2     expects that r1 and r2 were received on different connections
 //! ```
 //!
 //! Clients, each of which connects when a step first names it:
 //!
 //! ```text
-//! connect c1                      client c1 connects
-//! connect_burst 300               so many clients can connect at once, and leave again
-//! request c1 r1 read capped 9000 [N]  client c1 sends request r1: route, plan, milliseconds to wait, size of a body
-//! send_bytes c1 *1\r\n$4\r\nPING\r\n  client c1 sends these bytes
-//! send_kib c1 200                 client c1 sends 200 KiB of no command
-//! receive c1 -BUSY*               what c1 gets next: a line, '$' and a value, 'closed', 'reset'; '*' stands for any rest
-//! receive_now c1 LINE             as 'receive', and it is there already
-//! not_reset c1                    the connection of c1 was not reset
-//! shut_down_sending c1            client c1 ends its sending, and goes on receiving
-//! disconnect c1                   client c1 closes its connection
+//! connect client1                 connects client1
+//! connect_burst 300               connects 300 clients at once and then disconnects them
+//! request client1 r1 read capped timeout_ms=9000 [body_bytes=60000]  client1 sends request r1 on the route 'read' with
+//!                                 the plan 'capped', and states how long it waits
+//! send_bytes client1 *1\r\n$4\r\nPING\r\n  client1 sends these bytes
+//! send_kib client1 200            client1 sends 200 KiB that are not a command
+//! receive client1 -BUSY*          waits for the next reply to client1 and expects this one: a line, '$' and a value,
+//!                                 'closed' or 'reset'; '*' at the end stands for any rest
+//! receive_now client1 LINE        as 'receive', but the reply has already arrived
+//! not_reset client1               expects that the connection of client1 was not reset
+//! shut_down_sending client1       client1 shuts down its sending direction; it can still receive
+//! disconnect client1              client1 closes its connection
 //! ```
 //!
 //! The counter and discovery:
 //!
 //! ```text
-//! counter silent|rejects|malformed|answers  how it is from now on: 'malformed' adds and tells no number once
-//! counter disconnects             it breaks its connections
-//! leases_released                 in time, the leases counted in the newest period's name are all taken off again
-//! endpoints changed a! b- c d@9   discovery tells: a drains, b is gone, c is there, d started anew at 9 ms of Unix time
-//!                                 ('now': just now)
-//! discovery silent|closes|answers  from now on it takes calls and says nothing, also to the watch that is out; ends
-//!                                 each connection at once; answers again, also the calls that still wait
-//! discovery disconnects           it breaks its connections
-//! discovery rejects 4             it breaks its connections, and rejects the next four calls (503)
-//! discovery ignores 1             it takes the next call and never answers it; 'ignores_watches': the next that waits
-//! discovery sends BYTES           its next answer is these bytes, and it ends the connection (several: one each)
-//! discovery sends_and_resets BYTES  the same, and it resets the connection
-//! abandoned_discovery_calls 3     since it fell silent or closes, the node has given up so many calls or connections
-//! delta_requests 6                six calls have come to discovery, none of them for the whole list
+//! counter answers                 from now on the counter adds and replies with the total (the mode at the start)
+//! counter silent                  from now on it neither adds nor replies; calls wait until the mode changes
+//! counter rejects                 from now on it rejects calls
+//! counter malformed_once          it adds the amount of the next call and replies without a number, then 'answers'
+//! counter disconnects             it closes its connections
+//! leases_released                 waits until the total of the name that was added last is zero
+//! update_endpoints app1=draining app2=removed app3=active,started=9ms  changes entries of discovery's list; a server
+//!                                 started at this Unix time ('now': the present; default: 0)
+//! discovery answers               from now on discovery answers all calls, also those that still wait (the mode at the
+//!                                 start)
+//! discovery silent                from now on it answers no calls, not even the watch that already waits
+//! discovery closes_every_connection  closes its connections, and from now on each new one at once
+//! discovery disconnects           closes its connections
+//! discovery rejects_calls 4       closes its connections and rejects the next 4 calls with status 503
+//! discovery ignores_calls 1       never answers the next call
+//! discovery ignores_watches 1     never answers the next watch, which is a call that waits for changes
+//! discovery sends_bytes BYTES     sends BYTES in place of the next response and closes the connection; several such
+//!                                 steps apply to one call each
+//! discovery sends_bytes_and_resets BYTES  the same, but resets the connection
+//! abandoned_discovery_calls 3     waits until the gateway has abandoned 3 calls, or discovery has closed 3 connections,
+//!                                 since the mode was set
+//! only_delta_requests 6           waits until discovery has received 6 calls, and expects that none of them asked for
+//!                                 the whole list
 //! ```
 //!
-//! `repeat 20 STEPS` runs the steps, separated by `;`, so many times, with `%` the number of the time. In BYTES, `\r`
-//! and `\n` stand for the ends of lines. `KEEP_LOGS` in the environment keeps the nodes' logs in the folder for
-//! temporary files.
+//! `repeat 20 STEPS` runs the steps, separated by `;`, 20 times. `{n}` in them stands for the number of the round, from
+//! 0. In BYTES, `\r` and `\n` stand for CR and LF. If the environment variable `KEEP_LOGS` is set, the gateways' logs are
+//! kept in the directory for temporary files.
 
 #[path = "../../fault-injection/src/injector.rs"]
 mod fault_injection;
-mod node_scenario;
+mod gateway_scenario;
 #[path = "../../tests/scenario_runner/mod.rs"]
 mod scenario_runner;
 #[path = "../../tests/step_arguments/mod.rs"]
 mod step_arguments;
 
 #[test]
-fn node_does_what_every_scenario_expects() {
-    scenario_runner::run_all::<node_scenario::NodeScenario>();
+fn gateway_meets_every_expectation_of_the_scenarios() {
+    scenario_runner::run_all::<gateway_scenario::GatewayScenario>();
 }
