--- a/edge/tests/gateway_scenario/gateway.rs
+++ b/edge/tests/gateway_scenario/gateway.rs
@@ -173,8 +173,8 @@
         self.signal("-STOP");
         let stat_file = format!("/proc/{}/stat", self.process_id());
         wait_until("the process is suspended", || {
-            let stat = fs::read_to_string(&stat_file).unwrap();
-            let state = stat.rsplit(')').next().unwrap().trim_start();
+            let stat = fs::read_to_string(&stat_file).expect("expected the process in /proc");
+            let state = stat.rsplit(')').next().unwrap_or("").trim_start();
             state.starts_with('T').then_some(())
         });
     }
@@ -202,7 +202,8 @@
         fs::read_to_string(&self.log_file).expect("expected a readable log file")
     }
 
-    /// Sends a ping and panics if the answer is not `+PONG`. Events from before reach the gateway no later than the ping.
+    /// Sends a ping and panics if the answer is not `+PONG`. Events from before reach the gateway no later than
+    /// the ping.
     pub(crate) fn expect_pong(&self) {
         let answer = self.ping();
         assert_eq!(answer, PONG, "expected the answer to PING");
@@ -217,8 +218,12 @@
     fn ping(&self) -> String {
         let mut connection = TcpStream::connect(self.address())
             .expect("expected the gateway to accept a connection");
-        connection.set_read_timeout(Some(TIMEOUT)).unwrap();
-        connection.write_all(PING).unwrap();
+        connection
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("expected to set the read timeout");
+        connection
+            .write_all(PING)
+            .expect("expected the gateway to keep the connection open");
         let mut answer = String::new();
         let count = BufReader::new(connection).read_line(&mut answer);
         let count = count.expect("expected an answer to PING");
--- a/edge/tests/gateway_scenario/notation/gateway.rs
+++ b/edge/tests/gateway_scenario/notation/gateway.rs
@@ -6,8 +6,8 @@
 use crate::step_arguments::{invalid, Arguments, StepError};
 use std::time::Duration;
 
-/// The shortest time after SIGTERM at which the platform sends SIGKILL, with the client timeouts of `settings.json`: 3 s,
-/// the longest client timeout that the platform takes into account, and 0.7 s.
+/// The shortest time after SIGTERM at which the platform sends SIGKILL, with the client timeouts of `settings.json`:
+/// 3 s, the longest client timeout that the platform takes into account, and 0.7 s.
 const MIN_KILL_DELAY: Duration = Duration::from_millis(3700);
 
 /// A step of the gateway.
--- a/edge/tests/gateway_scenario/notation/server.rs
+++ b/edge/tests/gateway_scenario/notation/server.rs
@@ -21,7 +21,7 @@
     ExpectConnecting { server: String },
     /// Waits until the gateway has closed a connection to a server on which it has sent no command.
     ExpectUnusedConnectionClosed { server: String },
-    /// Waits until a request is received, and expects that it was received by this server; `None` stands for any server.
+    /// Waits until a request is received, and expects that this server received it. `None` stands for any server.
     ExpectRequest {
         server: Option<String>,
         request: String,
--- a/edge/tests/gateway_scenario/notation/service.rs
+++ b/edge/tests/gateway_scenario/notation/service.rs
@@ -13,7 +13,8 @@
     SetMode(CounterMode),
     /// The counter closes its connections.
     Disconnect,
-    /// Waits until the total of the name that was added last is zero: all its leases are released.
+    /// Waits until the total of the name that was added last, which is that of the newest period, is zero: all its
+    /// leases are released.
     ExpectLeasesReleased,
 }
 
@@ -52,8 +53,8 @@
     /// Waits until the gateway has abandoned this many calls, or discovery has closed this many connections, since the
     /// mode was set.
     ExpectAbandonedCalls { count: usize },
-    /// Waits until discovery has received this many calls since the start of the scenario, and expects that none of them
-    /// asked for the whole list.
+    /// Waits until discovery has received this many calls since the start of the scenario, and expects that none of
+    /// them asked for the whole list.
     ExpectOnlyDeltaRequests { count: usize },
 }
 
@@ -107,8 +108,8 @@
         Ok(step)
     }
 
-    /// Parses the arguments of the step `verb`. Returns `None` if it is not a step of discovery whose name stands without
-    /// the word `discovery`.
+    /// Parses the arguments of the step `verb`, which does not start with the word `discovery`. Returns `None` if it is
+    /// not a step of discovery.
     pub(super) fn parse_unprefixed(
         verb: &str,
         arguments: &mut Arguments,
@@ -138,8 +139,8 @@
     Ok(changes)
 }
 
-/// Parses `NAME=STATE` or `NAME=STATE,started=TIME`, where the time is `now` or Unix time such as `9ms`. Without a time,
-/// the process started at Unix time 0.
+/// Parses `NAME=STATE` or `NAME=STATE,started=TIME`, where the time is `now` or a Unix time such as `9ms`. Without a
+/// time, the process started at Unix time 0.
 fn parse_change(word: &str) -> Result<EndpointChange, StepError> {
     let invalid_change = || invalid("change of an endpoint", word);
     let (server, change) = word.split_once('=').ok_or_else(invalid_change)?;
--- a/edge/tests/gateway_scenario/stand_ins/app_servers.rs
+++ b/edge/tests/gateway_scenario/stand_ins/app_servers.rs
@@ -254,7 +254,11 @@
         move |stream: TcpStream| {
             let connection = {
                 let mut connections = lock(&connections);
-                connections.push(stream.try_clone().unwrap());
+                connections.push(
+                    stream
+                        .try_clone()
+                        .expect("expected to duplicate the socket"),
+                );
                 connections.len() - 1
             };
             let mut input = BufReader::new(stream);
--- a/edge/tests/gateway_scenario/stand_ins/clients.rs
+++ b/edge/tests/gateway_scenario/stand_ins/clients.rs
@@ -124,7 +124,9 @@
 
 fn set_receive_timeout(input: &BufReader<TcpStream>, timeout: Duration) {
     let connection = input.get_ref();
-    connection.set_read_timeout(Some(timeout)).unwrap();
+    connection
+        .set_read_timeout(Some(timeout))
+        .expect("expected to set the read timeout");
 }
 
 /// Establishes this many connections and then closes them. Panics if one can't be established in time.
--- a/edge/tests/gateway_scenario/stand_ins/counter.rs
+++ b/edge/tests/gateway_scenario/stand_ins/counter.rs
@@ -74,10 +74,14 @@
 }
 
 fn serve(state: &Mutex<CounterState>, connection: TcpStream) {
-    let output = connection.try_clone().unwrap();
-    lock(state)
-        .connections
-        .push(connection.try_clone().unwrap());
+    let output = connection
+        .try_clone()
+        .expect("expected to duplicate the socket");
+    lock(state).connections.push(
+        connection
+            .try_clone()
+            .expect("expected to duplicate the socket"),
+    );
     let mut input = BufReader::new(connection);
     while let Some(call) = resp::read_line(&mut input) {
         while lock(state).mode == CounterMode::Silent {
--- a/edge/tests/gateway_scenario/stand_ins/discovery.rs
+++ b/edge/tests/gateway_scenario/stand_ins/discovery.rs
@@ -140,8 +140,8 @@
         )
     }
 
-    /// Sets how it answers calls from now on, and resets the number of abandoned calls. In the mode `Closing`, also shuts
-    /// down the open connections.
+    /// Sets how it answers calls from now on, and resets the number of abandoned calls. In the mode `Closing`, also
+    /// shuts down the open connections.
     pub(crate) fn set_mode(&self, mode: DiscoveryMode) {
         {
             let mut calls = lock(&self.calls);
@@ -201,8 +201,14 @@
     }
 
     fn serve(&self, connection: TcpStream) {
-        lock(&self.connections).push(connection.try_clone().unwrap());
-        let output = connection.try_clone().unwrap();
+        lock(&self.connections).push(
+            connection
+                .try_clone()
+                .expect("expected to duplicate the socket"),
+        );
+        let output = connection
+            .try_clone()
+            .expect("expected to duplicate the socket");
         if lock(&self.calls).mode == DiscoveryMode::Closing {
             lock(&self.calls).abandoned_calls += 1;
             let _ = output.shutdown(Shutdown::Both);
@@ -306,8 +312,10 @@
 fn is_closed_by_peer(connection: &TcpStream) -> bool {
     connection
         .set_read_timeout(Some(CLOSE_CHECK_TIMEOUT))
-        .unwrap();
+        .expect("expected to set the read timeout");
     let is_closed = matches!(connection.peek(&mut [0]), Ok(0));
-    connection.set_read_timeout(None).unwrap();
+    connection
+        .set_read_timeout(None)
+        .expect("expected to set the read timeout");
     is_closed
 }
--- a/edge/tests/gateway_scenario/stand_ins/loopback.rs
+++ b/edge/tests/gateway_scenario/stand_ins/loopback.rs
@@ -15,8 +15,8 @@
 /// The maximum number of connections that are needed to fill the queue of a listener with a backlog of 0.
 const MAX_QUEUED_CONNECTIONS: usize = 8;
 
-/// A loopback address that only one scenario uses, so that a connection to a port that is free again can't reach another
-/// scenario.
+/// A loopback address that only one scenario uses, so that a connection to a port that is free again can't reach
+/// another scenario.
 pub(crate) struct LoopbackHost(Ipv4Addr);
 
 impl LoopbackHost {
@@ -39,7 +39,10 @@
 
     /// Returns an address whose port is free at the moment.
     pub(crate) fn free_address(&self) -> String {
-        self.listen().local_addr().unwrap().to_string()
+        self.listen()
+            .local_addr()
+            .expect("expected a bound address")
+            .to_string()
     }
 
     /// Waits until a connection to an address of this host is being established.
@@ -54,7 +57,8 @@
         wait_until(
             &format!("a connection to {address} is being established"),
             || {
-                let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+                let table = std::fs::read_to_string("/proc/net/tcp")
+                    .expect("expected a readable /proc/net/tcp");
                 table.contains(&entry).then_some(())
             },
         );
@@ -95,7 +99,10 @@
         serve: impl Fn(TcpStream) + Send + Sync + 'static,
     ) -> Self {
         let server = ListeningServer {
-            address: listener.local_addr().unwrap().to_string(),
+            address: listener
+                .local_addr()
+                .expect("expected a bound address")
+                .to_string(),
             is_open: Arc::new(AtomicBool::new(true)),
         };
         let is_open = server.is_open.clone();
@@ -141,14 +148,17 @@
     /// Listens on a free port and fills the queue.
     pub(crate) fn start(host: &LoopbackHost) -> Self {
         let listener = host.listen_without_backlog();
-        let address = listener.local_addr().unwrap();
+        let address = listener.local_addr().expect("expected a bound address");
         let queued = connect_while_possible(&address, MAX_QUEUED_CONNECTIONS);
         FullListener { listener, queued }
     }
 
     /// Returns the address on which it listens.
     pub(crate) fn address(&self) -> String {
-        self.listener.local_addr().unwrap().to_string()
+        self.listener
+            .local_addr()
+            .expect("expected a bound address")
+            .to_string()
     }
 
     /// Empties the queue, and calls `serve` with each connection that is established from now on.
--- a/edge/tests/scenarios.rs
+++ b/edge/tests/scenarios.rs
@@ -1,5 +1,6 @@
 //! Runs every scenario in `edge/tests/scenarios` against the built gateway, with stand-ins for app servers, counter,
-//! discovery and clients on free loopback ports. A scenario is a text file with one step per line; `#` starts a comment.
+//! discovery and clients on free loopback ports. A scenario is a text file with one step per line. `#` starts a
+//! comment.
 //! A step that states an expectation waits up to 20 s for it, unless the description says "already" or "expects".
 //!
 //! By convention, clients are named `client1`, app servers `app1`, and requests `r1`: the `r` is followed by the id of
@@ -58,8 +59,8 @@
 //! server_receives_now app1 r1     app1 has already received r1
 //! no_server_request               expects that no app server has received a request that no step has named
 //! remaining_ms_at_most r1 900     expects that the latest command of r1 states a remaining time of at most 900 ms
-//! server_responds r1 $value [cost=2]  responds to r1 with a value ('$x*9': x repeated 9 times) and optional load figures,
-//!                                 or with a line of one word
+//! server_responds r1 $value [cost=2]  responds to r1 with a value ('$x*9': x repeated 9 times) and optional load
+//!                                 figures, or with a line of one word
 //! server_disconnects r1           the app server closes the connection on which it received r1
 //! server_sends_bytes r1 BYTES     the app server writes BYTES to the connection on which it received r1
 //! gateway_closes_connection r1    waits until the connection on which r1 was received has ended
@@ -92,7 +93,8 @@
 //! counter rejects                 from now on it rejects calls
 //! counter malformed_once          it adds the amount of the next call and replies without a number, then 'answers'
 //! counter disconnects             it closes its connections
-//! leases_released                 waits until the total of the name that was added last is zero
+//! leases_released                 waits until the counter's total for the newest period, whose name was added last, is
+//!                                 zero: all its leases are released
 //! update_endpoints app1=draining app2=removed app3=active,started=9ms  changes entries of discovery's list; a server
 //!                                 started at this Unix time ('now': the present; default: 0)
 //! discovery answers               from now on discovery answers all calls, also those that still wait (the mode at the
@@ -106,15 +108,15 @@
 //! discovery sends_bytes BYTES     sends BYTES in place of the next response and closes the connection; several such
 //!                                 steps apply to one call each
 //! discovery sends_bytes_and_resets BYTES  the same, but resets the connection
-//! abandoned_discovery_calls 3     waits until the gateway has abandoned 3 calls, or discovery has closed 3 connections,
-//!                                 since the mode was set
+//! abandoned_discovery_calls 3     waits until the gateway has abandoned 3 calls, or discovery has closed 3
+//!                                 connections, since the mode was set
 //! only_delta_requests 6           waits until discovery has received 6 calls, and expects that none of them asked for
 //!                                 the whole list
 //! ```
 //!
 //! `repeat 20 STEPS` runs the steps, separated by `;`, 20 times. `{n}` in them stands for the number of the round, from
-//! 0. In BYTES, `\r` and `\n` stand for CR and LF. If the environment variable `KEEP_LOGS` is set, the gateways' logs are
-//! kept in the directory for temporary files.
+//! 0. In BYTES, `\r` and `\n` stand for CR and LF. If the environment variable `KEEP_LOGS` is set, the gateways' logs
+//! are kept in the directory for temporary files.
 
 #[path = "../../fault-injection/src/injector.rs"]
 mod fault_injection;
