--- a/lab/src/clock.rs
+++ b/lab/src/clock.rs
@@ -1,11 +1,11 @@
-//! The only module of the laboratory that reads the system's clocks.
+//! The clock of real-time runs. No other module of the laboratory reads the system's clocks.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A clock that counts from the first moment of a run.
+/// A monotonic clock that counts from its start.
 pub struct Clock {
     started: Instant,
-    /// The wall clock at that moment, since the start of Unix time.
+    /// The wall-clock time at `started`, since the Unix epoch.
     started_unix: Duration,
 }
 
@@ -21,12 +21,13 @@
         }
     }
 
-    /// How long ago it was started.
+    /// Returns the time since the start of this clock.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The Unix time in milliseconds of a moment of this clock; later steps of the wall clock don't change it.
+    /// Converts a time of this clock into Unix time in milliseconds. The wall clock was read once, when this clock was
+    /// started; later steps of the wall clock have no effect.
     pub fn unix_ms(&self, moment: Duration) -> u64 {
         (self.started_unix + moment).as_millis() as u64
     }
--- a/lab/src/rule_checker.rs
+++ b/lab/src/rule_checker.rs
@@ -1,8 +1,8 @@
-//! The rule checker: judges the five rules from what the emulated platform observed of the gateways.
+//! The rule checker: checks the five rules of [`Rule`] against what the emulated platform observed of the gateways.
 //!
-//! It shares no code with the program and knows nothing of how that decides. This holds also where both need
-//! the same thing, such as the token bucket of a ceiling: a fault of the program's must not hide itself from
-//! its checker. A violation names rule, time, request and gateway.
+//! It shares no code with the gateway and does not know how the gateway decides, even where both need the same
+//! logic, such as the token bucket of a ceiling. Otherwise a defect in shared code would also hide itself from the
+//! checker. Each violation states the rule, the time and, where they apply, the request and the gateway.
 
 use crate::events::{
     AttemptEnd, AttemptId, ClientOutcome, ClientRequestId, Rule, RuleViolation, ServerId,
@@ -11,19 +11,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The timeout that a gateway advertises to a server may exceed what the client has left by so much: the
-/// command's way from the gateway takes time.
+/// How far the timeout that a gateway advertises to a server may exceed the client's remaining time, because the
+/// command takes time to reach the server.
 const ADVERTISED_TIMEOUT_SLACK: Duration = Duration::from_millis(150);
-/// An attempt may arrive so long after its client has closed its connection.
-const CLIENT_GONE_SLACK: Duration = Duration::from_millis(100);
-/// So many violations are kept; the rest are counted.
-const MAX_VIOLATIONS: usize = 200;
+/// How long after a client has closed its connection an attempt for its request may still arrive at a server.
+const CLIENT_DISCONNECT_SLACK: Duration = Duration::from_millis(100);
+/// How many violations are stored. Further ones are only counted.
+const MAX_STORED_VIOLATIONS: usize = 200;
 
-/// An attempt as its server saw it.
+/// An attempt as its server observed it.
 struct ObservedAttempt {
     id: AttemptId,
     server: ServerId,
     arrived_at: Duration,
+    /// How the attempt ended; `None` while it is in flight.
     end: Option<AttemptEnd>,
 }
 
@@ -32,7 +33,7 @@
         self.end.is_none()
     }
 
-    /// Whether its effect may have happened: all but a rejected one.
+    /// Returns whether the server may have run the attempt. Only a rejected attempt has certainly not run.
     fn may_have_run(&self) -> bool {
         self.end != Some(AttemptEnd::Rejected)
     }
@@ -40,70 +41,78 @@
 
 /// A request that a gateway has accepted.
 pub(crate) struct AcceptedRequest {
-    /// The request.
+    /// The request's id.
     pub(crate) id: ClientRequestId,
-    /// The gateway that accepted it.
+    /// The index of the gateway that accepted it.
     pub(crate) gateway: usize,
-    /// Index of its route.
+    /// The index of its route in the experiment.
     pub(crate) route: usize,
-    /// Index of its account.
+    /// The index of the account that sent it.
     pub(crate) account: u32,
-    /// Units that it asks for.
+    /// The units that it states.
     pub(crate) units: f64,
     /// When the gateway accepted it.
     pub(crate) accepted_at: Duration,
-    /// When its client timeout ends.
+    /// When the client timeout ends.
     pub(crate) deadline: Duration,
 }
 
-/// What is known of an accepted request.
+/// What has been observed of an accepted request.
 struct ObservedRequest {
     request: AcceptedRequest,
-    /// When its client closed its connection.
-    client_gone_at: Option<Duration>,
+    /// When the client closed its connection, if it did.
+    client_disconnected_at: Option<Duration>,
     attempts: Vec<ObservedAttempt>,
+    /// When the final answer arrived. Requests without one count as answered once the client timeout is over.
     answered_at: Option<Duration>,
-    /// The client has gone or the gateway was killed: no answer is owed any more.
-    excused: bool,
+    /// Whether the request needs no final answer any more: the client closed its connection, the gateway was killed
+    /// or did not accept the request after all, or the client timeout is over.
+    needs_no_answer: bool,
 }
 
-/// The token bucket of a customer's hard ceiling.
+/// The token bucket that tracks a customer's hard ceiling.
 struct CeilingBucket {
     units_left: f64,
-    filled_at: Duration,
+    /// When `units_left` was last updated.
+    refilled_at: Duration,
 }
 
-/// Where a server stands.
+/// The cell and the zone of a server.
 #[derive(Clone, Copy, Default)]
 struct ServerLocation {
     cell: u64,
     zone: usize,
 }
 
-/// A violation found while a record was borrowed.
+/// The rule and the description of a violation. It is recorded after the borrow of the request's entry has ended.
 type Finding = (Rule, String);
 
-/// Observes a run and collects the rules that it breaks.
+/// Observes a run and collects the violations of the rules.
 pub(crate) struct RuleChecker {
     experiment: Experiment,
-    /// How much later than a rule's figure is still in time, for what is on its way.
+    /// How far a limit in time may be exceeded, because events take time to reach the observer.
     slack: Duration,
     requests: BTreeMap<ClientRequestId, ObservedRequest>,
-    /// Requests without an answer, by gateway.
+    /// The requests that need a final answer and have none yet, by the gateway's index.
     unanswered: Vec<BTreeSet<ClientRequestId>>,
-    /// Since when a gateway knows that a server drains or is removed.
+    /// When a gateway was first notified that a server is draining or removed, by gateway and server.
     draining_since: BTreeMap<(usize, ServerId), Duration>,
     locations: BTreeMap<ServerId, ServerLocation>,
+    /// By the account's index.
     ceilings: BTreeMap<u32, CeilingBucket>,
+    /// The index of each account's plan, by the account's index.
     plans: BTreeMap<u32, usize>,
-    /// Attempts that were in flight when another one came, and by when they have to end.
-    overlaps: BTreeMap<(ClientRequestId, AttemptId), Duration>,
+    /// By when an attempt has to end that was still in flight when a later attempt for its request arrived.
+    overlap_deadlines: BTreeMap<(ClientRequestId, AttemptId), Duration>,
+    /// The first [`MAX_STORED_VIOLATIONS`] violations.
     violations: Vec<RuleViolation>,
+    /// The number of all violations.
     violation_count: u64,
 }
 
 impl RuleChecker {
-    /// `slack`: how much later than a rule's figure is still in time, for what is on its way.
+    /// Creates a checker for a run of `experiment`. `slack` is how far a limit in time may be exceeded, because events
+    /// take time to reach the observer.
     pub(crate) fn new(experiment: &Experiment, slack: Duration) -> RuleChecker {
         RuleChecker {
             experiment: experiment.clone(),
@@ -114,18 +123,18 @@
             locations: BTreeMap::new(),
             ceilings: BTreeMap::new(),
             plans: BTreeMap::new(),
-            overlaps: BTreeMap::new(),
+            overlap_deadlines: BTreeMap::new(),
             violations: Vec::new(),
             violation_count: 0,
         }
     }
 
-    /// How many rules were broken, those that were not kept included.
+    /// Returns the number of violations, including those that were not stored.
     pub(crate) fn violation_count(&self) -> u64 {
         self.violation_count
     }
 
-    /// The first violations, in the order in which they were found.
+    /// Removes and returns the stored violations, in the order in which they were found.
     pub(crate) fn take_violations(&mut self) -> Vec<RuleViolation> {
         std::mem::take(&mut self.violations)
     }
@@ -139,7 +148,7 @@
         description: String,
     ) {
         self.violation_count += 1;
-        if self.violations.len() < MAX_VIOLATIONS {
+        if self.violations.len() < MAX_STORED_VIOLATIONS {
             self.violations.push(RuleViolation {
                 rule,
                 at_seconds: now.as_secs_f64(),
@@ -150,17 +159,17 @@
         }
     }
 
-    /// There is a new server.
+    /// Registers a new server and its location.
     pub(crate) fn add_server(&mut self, server: ServerId, cell: u64, zone: usize) {
         self.locations.insert(server, ServerLocation { cell, zone });
     }
 
-    /// There is a new account, under this plan.
+    /// Registers a new account and the index of its plan.
     pub(crate) fn add_account(&mut self, account: u32, plan: usize) {
         self.plans.insert(account, plan);
     }
 
-    /// A gateway was notified of a server's state, at the moment when that was written to it.
+    /// Records that a server's state was written to a gateway; `ready` is false for a draining or removed server.
     pub(crate) fn on_gateway_notified(
         &mut self,
         now: Duration,
@@ -175,13 +184,14 @@
         }
     }
 
-    /// A gateway that starts knows nothing of what its earlier process was notified of.
+    /// Forgets the notifications of a gateway that starts: its new process knows nothing of them.
     pub(crate) fn on_gateway_started(&mut self, gateway: usize) {
         self.draining_since
             .retain(|(notified, _), _| *notified != gateway);
     }
 
-    /// A gateway is killed after it was told to stop: all that it accepted before has its answer by now.
+    /// Handles the kill of a gateway that was told to stop before. Every request that it had accepted more than the
+    /// slack before the kill must have its final answer.
     pub(crate) fn on_gateway_stopped(&mut self, now: Duration, gateway: usize) {
         let overdue: Vec<(ClientRequestId, Duration)> = self.unanswered[gateway]
             .iter()
@@ -190,53 +200,55 @@
             .collect();
         for (id, accepted_at) in overdue {
             let waited = now - accepted_at;
-            let description = format!("unanswered at the kill, {waited:?} after it was accepted");
+            let description = format!(
+                "not answered when the stopping gateway was killed, {waited:?} after it was accepted"
+            );
             self.record_violation(Rule::OneAnswer, now, Some(id), Some(gateway), description);
         }
         self.on_gateway_killed(gateway);
     }
 
-    /// A gateway was killed: nothing is owed for what it held.
+    /// Handles the kill of a gateway: its unanswered requests need no answer any more.
     pub(crate) fn on_gateway_killed(&mut self, gateway: usize) {
         for id in std::mem::take(&mut self.unanswered[gateway]) {
             if let Some(observed) = self.requests.get_mut(&id) {
-                observed.excused = true;
+                observed.needs_no_answer = true;
             }
         }
     }
 
-    /// A gateway has accepted a request: from now on it owes an answer.
+    /// Records that a gateway has accepted a request, which from now on needs a final answer from it.
     pub(crate) fn on_request_accepted(&mut self, request: AcceptedRequest) {
         let id = request.id;
         self.unanswered[request.gateway].insert(id);
         let observed = ObservedRequest {
             request,
-            client_gone_at: None,
+            client_disconnected_at: None,
             attempts: Vec::new(),
             answered_at: None,
-            excused: false,
+            needs_no_answer: false,
         };
         self.requests.insert(id, observed);
     }
 
-    /// No process took the request after all.
+    /// Records that no gateway accepted the request, or that its gateway was killed: it needs no answer.
     pub(crate) fn on_request_not_accepted(&mut self, id: ClientRequestId) {
         if let Some(observed) = self.requests.get_mut(&id) {
-            observed.excused = true;
+            observed.needs_no_answer = true;
             self.unanswered[observed.request.gateway].remove(&id);
         }
     }
 
-    /// The client has closed its connection.
-    pub(crate) fn on_client_gone(&mut self, now: Duration, id: ClientRequestId) {
+    /// Records that the client has closed its connection, after which the request needs no answer.
+    pub(crate) fn on_client_disconnect(&mut self, now: Duration, id: ClientRequestId) {
         if let Some(observed) = self.requests.get_mut(&id) {
-            observed.excused = true;
-            observed.client_gone_at = Some(now);
+            observed.needs_no_answer = true;
+            observed.client_disconnected_at = Some(now);
             self.unanswered[observed.request.gateway].remove(&id);
         }
     }
 
-    /// An attempt says how long the gateway waits: no longer than the client does.
+    /// Checks the timeout that a gateway has advertised to a server: it must not exceed the client's remaining time.
     pub(crate) fn on_advertised_timeout(
         &mut self,
         now: Duration,
@@ -249,12 +261,14 @@
         };
         let left = observed.request.deadline.saturating_sub(now);
         if timeout > left + ADVERTISED_TIMEOUT_SLACK + self.slack {
-            let description = format!("a server was told that {timeout:?} are left, of {left:?}");
+            let description = format!(
+                "advertised a timeout of {timeout:?} to a server, but the client waits only {left:?} more"
+            );
             self.record_violation(Rule::OneAnswer, now, Some(id), Some(gateway), description);
         }
     }
 
-    /// An attempt has reached a server whole.
+    /// Checks and records an attempt that a server has received completely.
     pub(crate) fn on_attempt_arrival(
         &mut self,
         now: Duration,
@@ -269,7 +283,7 @@
         };
         let first = observed.attempts.is_empty();
         let mut findings = self.find_late_attempt(now, observed);
-        findings.extend(self.find_unsafe_repeat(now, observed, server));
+        findings.extend(self.find_unsafe_retry(now, observed, server));
         self.record_attempt(now, attempt, id, server);
         for (rule, description) in findings {
             self.record_violation(rule, now, Some(id), Some(gateway), description);
@@ -290,7 +304,8 @@
             return;
         };
         for earlier in observed.attempts.iter().filter(|it| it.is_in_flight()) {
-            self.overlaps.insert((id, earlier.id), now + self.slack);
+            self.overlap_deadlines
+                .insert((id, earlier.id), now + self.slack);
         }
         observed.attempts.push(ObservedAttempt {
             id: attempt,
@@ -300,7 +315,8 @@
         });
     }
 
-    /// Rule `Drains`: no attempt later than the grace period after the gateway knew.
+    /// Rule `Drains`: no attempt arrives later than the drain grace after the gateway was notified that the server is
+    /// draining or removed.
     fn check_draining(
         &mut self,
         now: Duration,
@@ -315,35 +331,39 @@
         let grace = Duration::from_secs_f64(self.experiment.fleet.drain_grace);
         if elapsed > grace + self.slack {
             let description = format!(
-                "sent to server {} {elapsed:?} after being notified that it leaves",
+                "attempt at server {} {elapsed:?} after the gateway was notified that the server is draining \
+                 or removed, expected at most {grace:?}",
                 server.0
             );
             self.record_violation(Rule::Drains, now, Some(id), Some(gateway), description);
         }
     }
 
-    /// Rule `OneAnswer`: no attempt after the final answer or after the client has gone.
+    /// Rule `OneAnswer`: no attempt arrives after the final answer, or after the client has closed its connection.
     fn find_late_attempt(&self, now: Duration, observed: &ObservedRequest) -> Vec<Finding> {
         let mut findings = Vec::new();
         if let Some(answered_at) = observed.answered_at {
             if now > answered_at + self.slack {
                 let late = now - answered_at;
-                let description = format!("an attempt {late:?} after the final answer");
+                let description = format!("an attempt arrived {late:?} after the final answer");
                 findings.push((Rule::OneAnswer, description));
             }
         }
-        if let Some(gone_at) = observed.client_gone_at {
-            if now > gone_at + CLIENT_GONE_SLACK + self.slack {
-                let late = now - gone_at;
-                let description = format!("an attempt {late:?} after its client had gone");
+        if let Some(disconnected_at) = observed.client_disconnected_at {
+            if now > disconnected_at + CLIENT_DISCONNECT_SLACK + self.slack {
+                let late = now - disconnected_at;
+                let description = format!(
+                    "an attempt arrived {late:?} after the client had closed its connection"
+                );
                 findings.push((Rule::OneAnswer, description));
             }
         }
         findings
     }
 
-    /// Rule `NoEffectTwice`: after an attempt that may have run another one needs a route that bears it.
-    fn find_unsafe_repeat(
+    /// Rule `NoEffectTwice`: after an attempt that may have run, another one is allowed only if the route is idempotent
+    /// or the second server deduplicates it.
+    fn find_unsafe_retry(
         &self,
         now: Duration,
         observed: &ObservedRequest,
@@ -360,7 +380,7 @@
             return None;
         }
         let description = format!(
-            "sent again after an attempt at server {} that may have run",
+            "another attempt after an attempt at server {} that may have run",
             earlier.server.0
         );
         Some((Rule::NoEffectTwice, description))
@@ -370,7 +390,8 @@
         self.locations.get(&server).copied().unwrap_or_default()
     }
 
-    /// Whether a server drops the repeat of an earlier attempt: in time, and in the same scope.
+    /// Returns whether `server` recognizes an attempt as a repeat of `earlier`: it must arrive within the deduplication
+    /// window, and both servers must be in the same deduplication scope.
     fn is_deduplicated(
         &self,
         now: Duration,
@@ -381,17 +402,18 @@
         let window = Duration::from_secs_f64(route.deduplication_window);
         let in_window = earlier.arrived_at + window + self.slack >= now;
         let earlier_location = self.location(earlier.server);
-        let present_location = self.location(server);
+        let current_location = self.location(server);
         let in_scope = match route.deduplication_scope {
             DeduplicationScope::All => true,
-            DeduplicationScope::Cell => earlier_location.cell == present_location.cell,
-            DeduplicationScope::Zone => earlier_location.zone == present_location.zone,
+            DeduplicationScope::Cell => earlier_location.cell == current_location.cell,
+            DeduplicationScope::Zone => earlier_location.zone == current_location.zone,
         };
         in_window && in_scope
     }
 
-    /// Rule `Ceilings`: each first attempt takes its units from the ceiling of its customer. The slack is a
-    /// share of the ceiling or one of the largest requests, whichever is more.
+    /// Rule `Ceilings`: the first attempt of each request takes the request's units from the token bucket of its
+    /// customer's ceiling. The plan's slack raises the rate and the burst by a share; the burst is raised by at least
+    /// the units of one largest request.
     fn check_ceiling(&mut self, now: Duration, id: ClientRequestId, gateway: usize) {
         let Some(observed) = self.requests.get(&id) else {
             return;
@@ -407,18 +429,19 @@
         }
         let tolerance = 1.0 + plan.ceiling_slack;
         let largest_request = f64::from(self.experiment.load.max_units);
-        let depth = (plan.ceiling_burst * tolerance).max(plan.ceiling_burst + largest_request);
+        let max_units_held =
+            (plan.ceiling_burst * tolerance).max(plan.ceiling_burst + largest_request);
         let rate = plan.ceiling_rate * tolerance;
         let bucket = self.ceilings.entry(account).or_insert(CeilingBucket {
-            units_left: depth,
-            filled_at: now,
+            units_left: max_units_held,
+            refilled_at: now,
         });
-        let elapsed = now.saturating_sub(bucket.filled_at).as_secs_f64();
-        bucket.units_left = (bucket.units_left + elapsed * rate).min(depth) - units;
-        bucket.filled_at = now;
+        let elapsed = now.saturating_sub(bucket.refilled_at).as_secs_f64();
+        bucket.units_left = (bucket.units_left + elapsed * rate).min(max_units_held) - units;
+        bucket.refilled_at = now;
         if bucket.units_left < 0.0 {
             let description = format!(
-                "account {account} of plan {} is {:.1} units past its ceiling",
+                "account {account} of plan {} exceeded its hard ceiling by {:.1} units",
                 plan.name, -bucket.units_left
             );
             bucket.units_left = 0.0;
@@ -426,7 +449,7 @@
         }
     }
 
-    /// An attempt is no longer in flight.
+    /// Records that an attempt is no longer in flight, and checks how long it overlapped with a later one.
     pub(crate) fn on_attempt_end(
         &mut self,
         now: Duration,
@@ -441,7 +464,7 @@
         if let Some(ended) = observed.attempts.iter_mut().find(|it| it.id == attempt) {
             ended.end.get_or_insert(end);
         }
-        if let Some(latest) = self.overlaps.remove(&(id, attempt)) {
+        if let Some(latest) = self.overlap_deadlines.remove(&(id, attempt)) {
             if now > latest {
                 self.record_overlap(now, id, Some(gateway));
             }
@@ -449,11 +472,14 @@
     }
 
     fn record_overlap(&mut self, now: Duration, id: ClientRequestId, gateway: Option<usize>) {
-        let description = "two attempts in flight at once".to_string();
+        let description = format!(
+            "two attempts in flight at once for more than {:?}",
+            self.slack
+        );
         self.record_violation(Rule::NoEffectTwice, now, Some(id), gateway, description);
     }
 
-    /// A client has an answer, or the end of its connection.
+    /// Checks the outcome of a request that its client received: a final answer or the end of the connection.
     pub(crate) fn on_final_answer(
         &mut self,
         now: Duration,
@@ -467,14 +493,14 @@
         self.unanswered[gateway].remove(&id);
         let mut findings: Vec<Finding> = Vec::new();
         if observed.answered_at.replace(now).is_some() {
-            findings.push((Rule::OneAnswer, "a second final answer".into()));
-        } else if observed.excused {
+            findings.push((Rule::OneAnswer, "a second final answer arrived".into()));
+        } else if observed.needs_no_answer {
             return;
         }
         let deadline = observed.request.deadline;
         if now > deadline + self.slack {
             let late = now - deadline;
-            let description = format!("answered {late:?} after the client timeout");
+            let description = format!("the final answer arrived {late:?} after the client timeout");
             findings.push((Rule::OneAnswer, description));
         }
         let route = &self.experiment.routes[observed.request.route];
@@ -484,35 +510,35 @@
         }
     }
 
-    /// The client timeout of a request is over, slack and all.
+    /// Checks that a request has its final answer. Called when the client timeout and the slack are over.
     pub(crate) fn on_deadline(&mut self, now: Duration, id: ClientRequestId) {
         let Some(observed) = self.requests.get_mut(&id) else {
             return;
         };
         let gateway = observed.request.gateway;
-        let owed = observed.answered_at.is_none() && !observed.excused;
-        // From here on only attempts that are still in flight can matter.
-        observed.excused = true;
+        let is_overdue = observed.answered_at.is_none() && !observed.needs_no_answer;
+        // The request counts as answered from here on: a later attempt or final answer is a violation.
+        observed.needs_no_answer = true;
         observed.answered_at.get_or_insert(now);
-        if owed {
+        if is_overdue {
             self.unanswered[gateway].remove(&id);
             let description = "no final answer by the client timeout".to_string();
             self.record_violation(Rule::OneAnswer, now, Some(id), Some(gateway), description);
         }
     }
 
-    /// A server that was warming up was overloaded by gateways that knew of its start.
+    /// Records that a server was overloaded while it warmed up, mostly by gateways that knew of its start.
     pub(crate) fn on_server_overload(&mut self, now: Duration, server: ServerId) {
         let description = format!(
-            "server {}, still warming up, was overloaded by all gateways together",
+            "server {} was overloaded while warming up, mostly by gateways that knew of its start",
             server.0
         );
         self.record_violation(Rule::ColdServers, now, None, None, description);
     }
 
-    /// The run is over: attempts that overlap still are judged.
+    /// Checks the attempts that still overlap with later ones at the end of the run.
     pub(crate) fn finish(&mut self, now: Duration) {
-        for ((id, _), latest) in std::mem::take(&mut self.overlaps) {
+        for ((id, _), latest) in std::mem::take(&mut self.overlap_deadlines) {
             if now > latest {
                 let observed = self.requests.get(&id);
                 let gateway = observed.map(|observed| observed.request.gateway);
@@ -521,8 +547,8 @@
         }
     }
 
-    /// Requests whose client timeout ended before this moment are forgotten, so that a long run does not fill
-    /// the memory.
+    /// Removes requests, oldest first, up to the first one whose client timeout ends at `moment` or later. This bounds
+    /// the memory that a long run needs.
     pub(crate) fn forget_before(&mut self, moment: Duration) {
         while let Some(entry) = self.requests.first_entry() {
             if entry.get().request.deadline >= moment {
@@ -533,7 +559,7 @@
     }
 }
 
-/// What is wrong with an answer itself.
+/// Returns the violation, if any, that the content of an answer is by itself.
 fn find_wrong_answer(
     observed: &ObservedRequest,
     route: &RouteConfig,
@@ -542,23 +568,23 @@
     match outcome {
         ClientOutcome::Served { correct: false } => Some((
             Rule::OneAnswer,
-            "served with what no server made for it".into(),
+            "served with a value that no server returned for this request".into(),
         )),
         ClientOutcome::Disconnected => Some((
             Rule::OneAnswer,
-            "the connection ended with no answer".into(),
+            "the connection was closed before a complete answer".into(),
         )),
-        ClientOutcome::Rejected if !is_safe_to_resend(observed, route) => Some((
+        ClientOutcome::Rejected if !is_safe_to_retry(observed, route) => Some((
             Rule::NoEffectTwice,
-            "rejected as safe to send again though an attempt may have run".into(),
+            "rejected as safe to retry although an attempt may have run".into(),
         )),
         _ => None,
     }
 }
 
-/// Whether the client may send its request again: what it sends is a new request, with the same idempotency
-/// key.
-fn is_safe_to_resend(observed: &ObservedRequest, route: &RouteConfig) -> bool {
+/// Returns whether the client may retry. Its retry is a new request with the same idempotency key, which may reach
+/// any server, so a keyed request is only safe if all servers share one deduplication scope.
+fn is_safe_to_retry(observed: &ObservedRequest, route: &RouteConfig) -> bool {
     let may_have_run = observed.attempts.iter().any(ObservedAttempt::may_have_run);
     match route.idempotency {
         Idempotency::Idempotent => true,
--- a/lab/src/rule_checker/tests.rs
+++ b/lab/src/rule_checker/tests.rs
@@ -2,10 +2,11 @@
 
 const SLACK: Duration = Duration::from_millis(50);
 
-/// Routes: 0 idempotent, 1 keyed within a cell for two seconds, 2 non-idempotent. One plan with a ceiling of 10
-/// units a second and 10 at once, to which the largest request of 4 units is added.
+/// Three routes with the indices [`IDEMPOTENT`], [`KEYED`] (deduplicated within a cell for two seconds) and
+/// [`NON_IDEMPOTENT`], and one plan with a ceiling of 10 units per second and a burst of 10 units, to which the checker
+/// adds the 4 units of the largest request.
 const EXPERIMENT: &str = r#"
-title = "t"
+title = "rule checker"
 seconds = 20.0
 [fleet]
 gateways = 2
@@ -41,11 +42,15 @@
 ceiling_burst = 10.0
 "#;
 
+const IDEMPOTENT: usize = 0;
+const KEYED: usize = 1;
+const NON_IDEMPOTENT: usize = 2;
+
 fn milliseconds(span: u64) -> Duration {
     Duration::from_millis(span)
 }
 
-/// A checker that knows servers 0 and 1 in one cell and server 2 in another, and account 0.
+/// Returns a checker that knows servers 0 and 1 in one cell, server 2 in another cell, and account 0.
 fn checker() -> RuleChecker {
     let experiment = Experiment::parse("test", EXPERIMENT).expect("an experiment");
     let mut checker = RuleChecker::new(&experiment, SLACK);
@@ -56,7 +61,7 @@
     checker
 }
 
-/// Gateway 0 accepts a request at this time.
+/// Gateway 0 accepts a request of 4 units with a client timeout of 3 s; times are in milliseconds.
 fn accept(checker: &mut RuleChecker, id: u32, route: usize, accepted_at: u64) -> ClientRequestId {
     let id = ClientRequestId(id);
     checker.on_request_accepted(AcceptedRequest {
@@ -95,6 +100,7 @@
 fn a_request_needs_one_final_answer_in_time() {
     let wrong_value = ClientOutcome::Served { correct: false };
     let disconnected = ClientOutcome::Disconnected;
+    // The answers with their times in milliseconds, and the number of violations.
     let cases: [(&[(ClientOutcome, u64)], usize); 7] = [
         (&[(SERVED, 2900)], 0),
         (&[(ClientOutcome::Failed, 3050)], 0),
@@ -106,7 +112,7 @@
     ];
     for (answers, expected) in cases {
         let mut checker = checker();
-        let id = accept(&mut checker, 0, 0, 0);
+        let id = accept(&mut checker, 0, IDEMPOTENT, 0);
         for (outcome, now) in answers {
             answer(&mut checker, id, *outcome, *now);
         }
@@ -120,55 +126,56 @@
 }
 
 #[test]
-fn a_killed_gateway_and_a_client_that_has_gone_are_owed_nothing() {
+fn no_answer_is_needed_after_a_gateway_kill_or_a_client_disconnect() {
     let mut checker = checker();
-    let held_by_killed = accept(&mut checker, 0, 0, 0);
-    let client_gone = accept(&mut checker, 1, 0, 0);
-    checker.on_client_gone(milliseconds(10), client_gone);
+    let accepted_by_killed = accept(&mut checker, 0, IDEMPOTENT, 0);
+    let disconnected = accept(&mut checker, 1, IDEMPOTENT, 0);
+    checker.on_client_disconnect(milliseconds(10), disconnected);
     checker.on_gateway_killed(0);
-    for id in [held_by_killed, client_gone] {
+    for id in [accepted_by_killed, disconnected] {
         checker.on_deadline(milliseconds(3050), id);
     }
     assert_eq!(broken_rules(&mut checker), []);
 }
 
 #[test]
-fn a_gateway_that_was_told_to_stop_has_answered_all_by_its_kill() {
+fn a_stopping_gateway_has_answered_all_requests_before_it_is_killed() {
     let mut checker = checker();
-    accept(&mut checker, 0, 0, 0);
-    let answered = accept(&mut checker, 1, 0, 0);
+    accept(&mut checker, 0, IDEMPOTENT, 0);
+    let answered = accept(&mut checker, 1, IDEMPOTENT, 0);
     answer(&mut checker, answered, SERVED, 100);
     checker.on_gateway_stopped(milliseconds(2000), 0);
     assert_eq!(broken_rules(&mut checker), [Rule::OneAnswer]);
 }
 
 #[test]
-fn nothing_is_sent_after_the_answer_or_once_the_client_has_gone() {
+fn no_attempt_arrives_after_the_final_answer_or_the_client_disconnect() {
     for (attempt_at, expected) in [(140, 0), (260, 1)] {
         let mut checker = checker();
-        let answered = accept(&mut checker, 0, 0, 0);
+        let answered = accept(&mut checker, 0, IDEMPOTENT, 0);
         answer(&mut checker, answered, SERVED, 100);
         attempt(&mut checker, answered, 0, 0, attempt_at);
-        let client_gone = accept(&mut checker, 1, 0, 0);
-        checker.on_client_gone(milliseconds(100), client_gone);
-        attempt(&mut checker, client_gone, 1, 0, attempt_at);
+        let disconnected = accept(&mut checker, 1, IDEMPOTENT, 0);
+        checker.on_client_disconnect(milliseconds(100), disconnected);
+        attempt(&mut checker, disconnected, 1, 0, attempt_at);
         let expected_rules = vec![Rule::OneAnswer; 2 * expected];
         assert_eq!(broken_rules(&mut checker), expected_rules);
     }
 }
 
 #[test]
-fn a_second_attempt_needs_a_route_that_bears_it() {
+fn a_second_attempt_needs_an_idempotent_route_or_deduplication() {
     use AttemptEnd::{Abandoned, Answered, Rejected};
-    // Route, how the first attempt at server 0 ended, the second one's server and time, whether that is wrong.
+    // The route, how the first attempt at server 0 ended, the server and the arrival time (ms) of the second attempt,
+    // and whether the second attempt is a violation.
     let cases = [
-        (0, Abandoned, 2, 3500, false),
-        (1, Abandoned, 1, 1900, false),
-        (1, Abandoned, 1, 2100, true),
-        (1, Abandoned, 2, 200, true),
-        (2, Rejected, 1, 200, false),
-        (2, Abandoned, 1, 200, true),
-        (2, Answered, 1, 200, true),
+        (IDEMPOTENT, Abandoned, 2, 3500, false),
+        (KEYED, Abandoned, 1, 1900, false),
+        (KEYED, Abandoned, 1, 2100, true),
+        (KEYED, Abandoned, 2, 200, true),
+        (NON_IDEMPOTENT, Rejected, 1, 200, false),
+        (NON_IDEMPOTENT, Abandoned, 1, 200, true),
+        (NON_IDEMPOTENT, Answered, 1, 200, true),
     ];
     for (route, first_end, server, now, wrong) in cases {
         let mut checker = checker();
@@ -189,7 +196,7 @@
 fn two_attempts_are_not_in_flight_for_longer_than_the_slack() {
     for (first_ends_at, expected) in [(140, 0), (160, 1)] {
         let mut checker = checker();
-        let id = accept(&mut checker, 0, 0, 0);
+        let id = accept(&mut checker, 0, IDEMPOTENT, 0);
         attempt(&mut checker, id, 0, 0, 0);
         attempt(&mut checker, id, 1, 1, 100);
         end(&mut checker, id, 0, AttemptEnd::Abandoned, first_ends_at);
@@ -200,13 +207,13 @@
 }
 
 #[test]
-fn a_rejection_says_that_the_request_may_be_sent_again() {
-    // Route, how its attempt ended, whether rejecting it is wrong.
+fn a_request_is_rejected_only_where_a_retry_is_safe() {
+    // The route, how the attempt ended, and whether rejecting the request afterwards is a violation.
     let cases = [
-        (0, AttemptEnd::Abandoned, false),
-        (1, AttemptEnd::Abandoned, true),
-        (2, AttemptEnd::Abandoned, true),
-        (2, AttemptEnd::Rejected, false),
+        (IDEMPOTENT, AttemptEnd::Abandoned, false),
+        (KEYED, AttemptEnd::Abandoned, true),
+        (NON_IDEMPOTENT, AttemptEnd::Abandoned, true),
+        (NON_IDEMPOTENT, AttemptEnd::Rejected, false),
     ];
     for (route, attempt_end, wrong) in cases {
         let mut checker = checker();
@@ -224,8 +231,9 @@
 }
 
 #[test]
-fn a_gateway_sends_nothing_to_a_server_that_it_knows_to_leave() {
-    // Whether the gateway was notified, and started anew since, when it sends, whether that is wrong.
+fn a_gateway_sends_no_attempt_to_a_server_after_the_drain_grace() {
+    // Whether the gateway was notified of the drain, whether it was restarted afterwards, when the attempt arrives (ms),
+    // and whether the attempt is a violation.
     let cases = [
         (true, false, 1540, false),
         (true, false, 1560, true),
@@ -240,7 +248,7 @@
         if restarted {
             checker.on_gateway_started(0);
         }
-        let id = accept(&mut checker, 0, 0, now);
+        let id = accept(&mut checker, 0, IDEMPOTENT, now);
         attempt(&mut checker, id, 0, 0, now);
         let expected = vec![Rule::Drains; usize::from(wrong)];
         assert_eq!(broken_rules(&mut checker), expected, "{notified} {now}");
@@ -248,19 +256,19 @@
 }
 
 #[test]
-fn first_attempts_keep_under_the_ceiling_of_their_customer() {
+fn first_attempts_stay_within_the_ceiling_of_their_customer() {
     let mut checker = checker();
     // The bucket holds 14 units: three requests of 4 fit, a fourth does not.
     for number in 0..3 {
-        let id = accept(&mut checker, number, 0, 0);
+        let id = accept(&mut checker, number, IDEMPOTENT, 0);
         attempt(&mut checker, id, number, 0, 0);
     }
     assert_eq!(broken_rules(&mut checker), []);
-    let fourth = accept(&mut checker, 3, 0, 0);
+    let fourth = accept(&mut checker, 3, IDEMPOTENT, 0);
     attempt(&mut checker, fourth, 3, 0, 0);
     assert_eq!(broken_rules(&mut checker), [Rule::Ceilings]);
-    // 400 ms later 4 units have come back. A second attempt of a request takes none.
-    let fifth = accept(&mut checker, 4, 0, 400);
+    // 400 ms later the bucket holds 4 units again. The second attempt of a request takes no units.
+    let fifth = accept(&mut checker, 4, IDEMPOTENT, 400);
     attempt(&mut checker, fifth, 4, 0, 400);
     end(&mut checker, fifth, 4, AttemptEnd::Rejected, 401);
     attempt(&mut checker, fifth, 5, 1, 402);
@@ -271,7 +279,7 @@
 fn an_advertised_timeout_is_no_longer_than_the_client_waits() {
     for (timeout, expected) in [(2200, 0), (2201, 1)] {
         let mut checker = checker();
-        let id = accept(&mut checker, 0, 0, 0);
+        let id = accept(&mut checker, 0, IDEMPOTENT, 0);
         checker.on_advertised_timeout(milliseconds(1000), id, 0, milliseconds(timeout));
         let expected_rules = vec![Rule::OneAnswer; expected];
         assert_eq!(broken_rules(&mut checker), expected_rules);
--- a/lab/src/world/requests.rs
+++ b/lab/src/world/requests.rs
@@ -263,7 +263,7 @@
         actions: &mut Vec<Action>,
     ) {
         if let Some(operation) = self.close_request(id) {
-            self.rule_checker.on_client_gone(now, id);
+            self.rule_checker.on_client_disconnect(now, id);
             self.metrics.second_at(now).unanswered += 1;
             actions.push(Action::CloseClient(id));
             self.schedule_retry(now, operation, None);
