--- a/lab/src/world/action.rs
+++ b/lab/src/world/action.rs
@@ -1,61 +1,61 @@
-//! What the world leaves for an engine to carry out.
+//! The actions that the world returns for an engine to carry out.
 
 use super::counter::CounterResponse;
 use super::server::LoadReport;
 use crate::events::{AttemptId, ClientRequestId, CounterCallId, ServerId};
 
-/// What an engine has to carry out.
+/// An action for an engine to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Action {
-    /// A client sends this request to its gateway.
+    /// Send this client request to its gateway.
     SendRequest(ClientRequestId),
-    /// A client gives up waiting and closes its connection.
+    /// Close the connection of the client that waits for this request.
     CloseClient(ClientRequestId),
-    /// A server answers an attempt, or ends its connection.
+    /// Send a server's response to this attempt.
     SendResponse(AttemptId, ServerResponse),
-    /// The counter answers a call.
+    /// Send the counter's response to this call.
     SendCounterResponse(CounterCallId, CounterResponse),
-    /// Discovery notifies a gateway of the changes of the endpoint list up to and without this one.
+    /// Send a gateway the first `change_count` changes of the endpoint list, without those that it knows already.
     NotifyGateway {
-        /// The gateway.
+        /// The gateway's index.
         gateway: usize,
-        /// How many of the changes it knows from now on.
+        /// The number of changes that the gateway knows afterwards.
         change_count: usize,
     },
-    /// A new server listens.
+    /// Start listening for a new server.
     AddServer(ServerId),
-    /// A server refuses connections and resets the open ones.
+    /// Reset a server's connections and refuse new ones.
     StopServer(ServerId),
-    /// A server that was down listens again.
+    /// Listen again for a server that was stopped.
     RestartServer(ServerId),
-    /// A gateway's process is killed.
+    /// Kill the process of the gateway with this index.
     KillGateway(usize),
-    /// A gateway is told to stop.
+    /// Tell the gateway with this index to shut down.
     StopGateway(usize),
-    /// A gateway's process is started.
+    /// Start the process of the gateway with this index.
     StartGateway(usize),
-    /// A gateway is told that discovery and counter have new addresses.
+    /// Tell the gateway with this index new addresses of discovery and of the counter.
     MovePlatform(usize),
-    /// All connections of the counter are reset.
+    /// Reset all connections to the counter.
     ResetCounterConnections,
-    /// So many clients connect that send bytes that cannot be parsed.
+    /// Connect this number of clients that send malformed bytes.
     AddMisbehavingClients(usize),
 }
 
-/// What a server answers.
+/// A server's response to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ServerResponse {
-    /// The attempt was executed.
+    /// The server executed the attempt.
     Success {
-        /// The units that it truly took, where servers report them.
+        /// The units that it actually took, if servers report them.
         units: Option<f64>,
-        /// The server's load, where servers report it.
+        /// The server's load, if servers report it.
         load: Option<LoadReport>,
     },
-    /// Rejected unexecuted: the server is full or leaving.
+    /// The server rejected the attempt without executing it, because it is full or draining.
     Busy,
-    /// An error.
+    /// The server reported an error.
     Failed,
-    /// Bytes that cannot be parsed; which kind of them.
+    /// Bytes that cannot be parsed. The number selects which; the engines define the bytes.
     Malformed(u32),
 }
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -1,11 +1,11 @@
-//! The world in which gateways serve: servers, the counter, the endpoint list, clients, the network between them
-//! and the faults of a run.
+//! The emulated platform around the gateways: servers, the counter, the endpoint list, clients, the network between
+//! them, and the faults of a run.
 //!
-//! It does no I/O and has no clock: an engine tells it what has come and what time it is, asks it when something
-//! is due, and carries out the [`Action`]s that it leaves. Both engines play this one world. Each part owns its
-//! state in a type of its own; [`World`] joins them, and has its methods beside the part that they concern:
-//! requests of clients in `requests`, attempts at servers in `attempts`, calls on the counter and
-//! notifications of gateways in `platform`, faults in `faults`.
+//! The world does no I/O and reads no clock. An engine passes it events with the current time, asks it when the next
+//! scheduled event is due, and carries out the [`Action`]s that it returns. The simulated engine and the loopback
+//! engine run the same world. Each part keeps its state in its own type. [`World`] combines the parts; its methods are
+//! in `requests` (client requests), `attempts` (attempts at servers), `platform` (counter calls, notifications and
+//! gateway processes) and `faults`.
 
 mod action;
 mod attempts;
@@ -49,35 +49,35 @@
 use std::time::Duration;
 use world_event::WorldEvent;
 
-/// The rule checker forgets a request so long after its client timeout.
-const CHECKER_MEMORY: Duration = Duration::from_secs(30);
-/// A run goes on for so long after the last answer is due.
+/// How long the rule checker keeps a request after its client timeout.
+const CHECKER_RETENTION: Duration = Duration::from_secs(30);
+/// How long a run continues after the last answer is due.
 const END_MARGIN: Duration = Duration::from_millis(200);
 
-/// Who adds the time that responses take on their way.
+/// Which side adds the network delay of responses.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum ResponseDelay {
-    /// The engine plays the network.
+    /// The engine delays requests and responses itself.
     AddedByEngine,
-    /// The engine's messages arrive at once: the world answers later by the way there and back.
+    /// The engine's messages arrive without delay, so the world delays each response by the round trip.
     AddedByWorld,
 }
 
 /// The emulated platform of one run.
 pub(crate) struct World {
-    /// What is played.
+    /// The experiment that is run.
     pub(crate) experiment: Experiment,
-    /// Judges the rules.
+    /// Checks the rules.
     pub(crate) rule_checker: RuleChecker,
-    /// Counts and measures.
+    /// Collects the counts and latencies of the run.
     pub(crate) metrics: MetricsRecorder,
     event_queue: EventQueue<WorldEvent>,
     clients: Clients,
-    /// Requests by their id.
+    /// Requests, indexed by their id.
     requests: Vec<ClientRequest>,
-    /// Attempts by their id.
+    /// Attempts, indexed by their id.
     attempts: Vec<Attempt>,
-    /// Servers by their id.
+    /// Servers, indexed by their id.
     servers: Vec<Server>,
     deduplication: DeduplicationTable,
     endpoint_list: EndpointList,
@@ -86,20 +86,22 @@
     network: Network,
     replay: Replay,
     faults: FaultState,
-    /// Chance in what the world does; clients have generators of their own, so that two variants meet the same
-    /// arrivals.
+    /// The random generator of everything but the clients' demand. Clients have their own generators, so that all
+    /// variants of an experiment get the same arrivals.
     rng: WyRand,
     response_delay: ResponseDelay,
+    /// How long clients send requests.
     length: Duration,
-    /// What the rules allow for what is on its way.
+    /// How far the rules' limits in time may be exceeded, because events take time to reach the observer.
     slack: Duration,
-    /// The next second whose end is recorded.
+    /// The end of the first second whose server load is not recorded yet, in seconds since the start of the run.
     next_second: u64,
 }
 
 impl World {
-    /// The world of an experiment as a seed has it. `slack` is what the rules allow for what is on its way;
-    /// recorded requests, if there are any, are played in place of drawn ones.
+    /// Creates the world of an experiment with the random draws of `seed`. `slack` is how far the rules' limits in time
+    /// may be exceeded, because events take time to reach the observer. If `recorded` is not empty, its requests are
+    /// replayed in place of drawn arrivals.
     pub(crate) fn new(
         experiment: &Experiment,
         seed: u64,
@@ -138,21 +140,21 @@
         world
     }
 
-    /// The servers at the start: machine types in their shares, spread over the zones alike.
+    /// Adds the servers of the start, with machine types in proportion to their shares, to the zones in turn.
     fn add_first_servers(&mut self) {
         let fleet = &self.experiment.fleet;
         let server_count = fleet.servers;
         let zone_count = fleet.zones;
-        let shares: Vec<f64> = fleet.machine_types.iter().map(|kind| kind.share).collect();
-        let all_shares: f64 = shares.iter().sum();
+        let shares: Vec<f64> = fleet.machine_types.iter().map(|it| it.share).collect();
+        let share_sum: f64 = shares.iter().sum();
         for index in 0..server_count {
-            let position = (index as f64 + 0.5) / server_count as f64 * all_shares;
+            let position = (index as f64 + 0.5) / server_count as f64 * share_sum;
             let mut sum = 0.0;
-            let kind = shares.iter().position(|share| {
+            let machine_type = shares.iter().position(|share| {
                 sum += share;
                 position < sum
             });
-            let server = self.add_server(index % zone_count, kind.unwrap_or(0));
+            let server = self.add_server(index % zone_count, machine_type.unwrap_or(0));
             self.endpoint_list.append(EndpointChange {
                 server,
                 state: ListingState::Active,
@@ -161,21 +163,21 @@
         }
     }
 
-    /// Adds a server that is not listed yet.
-    fn add_server(&mut self, zone: usize, kind: usize) -> ServerId {
+    /// Adds a server to the world, but not to the endpoint list. `machine_type` is an index.
+    fn add_server(&mut self, zone: usize, machine_type: usize) -> ServerId {
         let fleet = &self.experiment.fleet;
-        let kind = &fleet.machine_types[kind];
+        let machine_type = &fleet.machine_types[machine_type];
         let index = self.servers.len();
         let cell = index as u64 % fleet.cells;
         let spec = ServerSpec {
             name: format!("box-{index:04}"),
             zone,
             cell,
-            machine_type: kind.name.clone(),
-            cores: kind.cores,
-            speed: kind.speed,
+            machine_type: machine_type.name.clone(),
+            cores: machine_type.cores,
+            speed: machine_type.speed,
             max_queue: fleet.queue_capacity,
-            initial_power: fleet.slow_start_capacity,
+            initial_capacity_share: fleet.slow_start_capacity,
             warm_up_seconds: fleet.slow_start,
             overload_factor: fleet.overload_factor,
             overload_window: seconds(fleet.overload_for),
@@ -187,29 +189,29 @@
         id
     }
 
-    /// The run begins: the gateways' first list is what stands now.
+    /// Schedules the faults and the first arrivals. Gateways start with the complete current endpoint list.
     pub(crate) fn begin_run(&mut self) {
         self.endpoint_list.mark_all_notified();
         self.schedule_faults();
         self.schedule_arrivals();
     }
 
-    /// When something is due next.
+    /// Returns when the next scheduled event is due.
     pub(crate) fn next_due(&self) -> Option<Duration> {
         self.event_queue.next_due()
     }
 
-    /// When all is over, the last answers included.
+    /// Returns the end of the run, which leaves time for the last answers.
     pub(crate) fn end_time(&self) -> Duration {
         self.length + seconds(self.experiment.max_client_timeout()) + self.slack + END_MARGIN
     }
 
-    /// For how long clients send requests.
+    /// Returns how long clients send requests.
     pub(crate) fn length(&self) -> Duration {
         self.length
     }
 
-    /// Does what is due by now.
+    /// Handles all scheduled events that are due by `now`, in order.
     pub(crate) fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
         while let Some((due, event)) = self.event_queue.pop_due(now) {
             self.record_ended_seconds(due);
@@ -240,7 +242,7 @@
         }
     }
 
-    /// For each second that has ended the load of the servers is recorded, and what is long over is forgotten.
+    /// Records the server load of each second that has ended, and drops expired idempotency keys and old requests.
     fn record_ended_seconds(&mut self, now: Duration) {
         while now.as_secs() >= self.next_second {
             if self.next_second <= self.length.as_secs() {
@@ -255,7 +257,7 @@
             self.deduplication.forget_expired(now, longest_window);
             let ended = Duration::from_secs(self.next_second);
             self.rule_checker
-                .forget_before(ended.saturating_sub(CHECKER_MEMORY));
+                .forget_before(ended.saturating_sub(CHECKER_RETENTION));
             self.next_second += 1;
         }
     }
@@ -269,7 +271,7 @@
         }
     }
 
-    /// What the run has brought, as both engines report it.
+    /// Returns the results of the run, without the fields that only one engine measures.
     pub(crate) fn results(
         &mut self,
         engine: &str,
@@ -298,39 +300,39 @@
         }
     }
 
-    // ---- reading the world ----
+    // ---- look-ups ----
 
-    /// A request by its id.
+    /// Returns a request by its id.
     pub(crate) fn request(&self, request: ClientRequestId) -> &ClientRequest {
         &self.requests[request.0 as usize]
     }
 
-    /// Whether there is a request of this id.
+    /// Returns whether a request with this id exists.
     pub(crate) fn knows_request(&self, request: ClientRequestId) -> bool {
         (request.0 as usize) < self.requests.len()
     }
 
-    /// An operation by its id.
+    /// Returns an operation by its id.
     pub(crate) fn operation(&self, operation: OperationId) -> &Operation {
         &self.clients.operations[operation.0 as usize]
     }
 
-    /// The operation that a request is for.
+    /// Returns the operation that a request is sent for.
     fn operation_of(&self, request: ClientRequestId) -> &Operation {
         self.operation(self.request(request).operation)
     }
 
-    /// An account by its index.
+    /// Returns an account by its index.
     pub(crate) fn account(&self, account: u32) -> &Account {
         &self.clients.accounts[account as usize]
     }
 
-    /// An attempt by its id.
+    /// Returns an attempt by its id.
     pub(crate) fn attempt(&self, attempt: AttemptId) -> &Attempt {
         &self.attempts[attempt.0 as usize]
     }
 
-    /// A server by its id.
+    /// Returns a server by its id.
     pub(crate) fn server(&self, server: ServerId) -> &Server {
         &self.servers[server.0 as usize]
     }
@@ -339,7 +341,7 @@
         &mut self.servers[server.0 as usize]
     }
 
-    /// All servers that there have been, with their ids, in the order of these.
+    /// Iterates over all servers, including removed ones, in the order of their ids.
     pub(crate) fn servers(&self) -> impl Iterator<Item = (ServerId, &Server)> {
         (0..).map(ServerId).zip(&self.servers)
     }
--- a/lab/src/world/server.rs
+++ b/lab/src/world/server.rs
@@ -55,7 +55,7 @@
     /// Attempts that may wait.
     pub(super) max_queue: usize,
     /// Share of its power with which it starts.
-    pub(super) initial_power: f64,
+    pub(super) initial_capacity_share: f64,
     /// Seconds until it has all of its power.
     pub(super) warm_up_seconds: f64,
     /// Sent this many times what it can do while it warms up, it is overloaded.
@@ -211,7 +211,7 @@
             return 1.0;
         };
         let age = now.saturating_sub(started_at).as_secs_f64();
-        let initial = self.spec.initial_power;
+        let initial = self.spec.initial_capacity_share;
         let span = self.spec.warm_up_seconds.max(1e-9);
         (initial + (1.0 - initial) * age / span).min(1.0)
     }
--- a/lab/src/world/server/tests.rs
+++ b/lab/src/world/server/tests.rs
@@ -9,7 +9,7 @@
         cores: 1,
         speed: 2.0,
         max_queue,
-        initial_power: 0.5,
+        initial_capacity_share: 0.5,
         warm_up_seconds: 10.0,
         overload_factor: 3.0,
         overload_window: Duration::from_secs(1),
--- a/lab/src/world/span.rs
+++ b/lab/src/world/span.rs
@@ -1,18 +1,18 @@
-//! Spans of time as experiments give them, and values that hold for a while.
+//! Conversion of the durations in experiments, and values that expire.
 
 use std::time::Duration;
 
-/// A value that holds for a while; 0 afterwards.
+/// A value that expires: it counts as 0 from `until` on.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TimedValue {
-    /// Until when it holds.
+    /// When the value expires.
     pub(super) until: Duration,
-    /// The value.
+    /// The value before it expires.
     pub(super) value: f64,
 }
 
 impl TimedValue {
-    /// The value at a time.
+    /// Returns the value at the time `now`.
     pub(super) fn at(self, now: Duration) -> f64 {
         if now < self.until {
             self.value
@@ -22,12 +22,12 @@
     }
 }
 
-/// A span of seconds; spans that make no sense are cut to what does.
+/// Converts seconds into a duration. The number is limited to the range from 0 to 10^9 (about thirty years).
 pub(super) fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, 1e9))
 }
 
-/// A span of milliseconds.
+/// Converts milliseconds into a duration, limited like [`seconds`].
 pub(super) fn milliseconds(milliseconds: f64) -> Duration {
     seconds(milliseconds / 1e3)
 }
