--- a/lab/src/world/counter.rs
+++ b/lab/src/world/counter.rs
@@ -1,5 +1,5 @@
-//! The shared counter: shards by name, a queue in each, and what may be wrong with it. Two may exist at once,
-//! each with counts of its own.
+//! The emulated shared counter: shards by name, each with its queue, and faults. There are two counters with separate
+//! counts, so that faults can move gateways to another one.
 
 use crate::events::CounterCallId;
 use crate::experiment::CounterConfig;
@@ -7,58 +7,59 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A counter keeps a name for no longer than this.
+/// The longest time for which a counter keeps a name after the first call with it.
 const MAX_TIME_TO_LIVE: Duration = Duration::from_secs(60);
-/// After so many calls on a shard its expired names are dropped: not at each call, as that would be slow.
+/// Expired names of a shard are removed once per this number of calls. Removing them at each call would be slow.
 const CALLS_BETWEEN_SWEEPS: u64 = 20_000;
-/// The counter that all gateways use unless a fault assigns them another one.
+/// The index of the counter that all gateways use unless a fault assigns them the other one.
 const PRIMARY: usize = 0;
-/// The counter that a fault assigns.
+/// The index of the counter that a fault assigns to gateways.
 const SECONDARY: usize = 1;
 
-/// How a counter behaves.
+/// How a counter responds to calls.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) enum CounterMode {
-    /// As it should.
+    /// It applies and answers calls.
     Answering,
-    /// Answers nothing.
+    /// It neither applies nor answers calls.
     Silent,
-    /// Turns every call away.
+    /// It rejects every call.
     Busy,
-    /// Closes the connection of every call.
+    /// It closes the connection of every call.
     Resetting,
-    /// Takes this many times as long.
+    /// It takes this many times as long for each call.
     Slow(f64),
 }
 
-/// What the counter answers, or does.
+/// The response to a call on the counter.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum CounterResponse {
-    /// The name's total after the call.
+    /// The call was applied. Holds the name's total after it.
     Total(f64),
-    /// Turned away, not applied.
+    /// The call was rejected and not applied.
     Busy,
-    /// Closes the connection on which the call came.
+    /// The call was not applied, and its connection is closed.
     Reset,
 }
 
-/// A call on the counter.
+/// A call that adds an amount to a name.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CounterCall {
+    /// The index of the counter that the gateway used.
     counter: usize,
     name: u64,
     amount: f64,
     time_to_live: Duration,
 }
 
-/// When a call is done, or how it is answered at once.
+/// What happens to a new call.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) enum CallOutcome {
-    /// It is applied and answered then.
+    /// It is applied and answered at this time.
     DoneAt(Duration),
-    /// It is answered now and not applied.
+    /// It is answered at once and not applied.
     Immediate(CounterResponse),
-    /// It is never answered.
+    /// It is neither applied nor answered.
     NoAnswer,
 }
 
@@ -70,13 +71,14 @@
 
 #[derive(Default)]
 struct Shard {
-    /// When all that waits is done.
+    /// When all calls that wait in the queue will be finished.
     free_at: Duration,
     counts: FxHashMap<u64, Count>,
+    /// The number of calls applied so far.
     call_count: u64,
 }
 
-/// One counter.
+/// The state of one counter.
 struct Counter {
     mode: CounterMode,
     shards: Vec<Shard>,
@@ -95,8 +97,13 @@
         &mut self.shards[shard]
     }
 
-    /// A call has come: it waits for its turn in its shard.
-    fn enqueue(&mut self, now: Duration, call: &CounterCall, terms: &CounterConfig) -> CallOutcome {
+    /// Adds a call to the queue of its shard, unless the mode or a full queue prevents it.
+    fn enqueue(
+        &mut self,
+        now: Duration,
+        call: &CounterCall,
+        config: &CounterConfig,
+    ) -> CallOutcome {
         let slowdown = match self.mode {
             CounterMode::Silent => return CallOutcome::NoAnswer,
             CounterMode::Busy => return CallOutcome::Immediate(CounterResponse::Busy),
@@ -104,18 +111,18 @@
             CounterMode::Slow(factor) => factor,
             CounterMode::Answering => 1.0,
         };
-        let seconds_per_call = terms.shards as f64 / terms.capacity * slowdown;
+        let seconds_per_call = config.shards as f64 / config.capacity * slowdown;
         let shard = self.shard(call.name);
         let waiting_calls = shard.free_at.saturating_sub(now).as_secs_f64() / seconds_per_call;
-        if waiting_calls >= terms.queue_capacity as f64 {
+        if waiting_calls >= config.queue_capacity as f64 {
             return CallOutcome::Immediate(CounterResponse::Busy);
         }
         shard.free_at = shard.free_at.max(now) + Duration::from_secs_f64(seconds_per_call);
-        let latency = super::span::milliseconds(terms.latency_ms);
+        let latency = super::span::milliseconds(config.latency_ms);
         CallOutcome::DoneAt(shard.free_at + latency.mul_f64(slowdown))
     }
 
-    /// A call has its turn: it is applied, also where nobody waits for the total any more.
+    /// Applies a call and returns the name's total. A call is applied even if its gateway no longer waits for it.
     fn apply(&mut self, now: Duration, call: &CounterCall) -> f64 {
         let shard = self.shard(call.name);
         shard.call_count += 1;
@@ -141,29 +148,30 @@
     }
 }
 
-/// The counters, the calls that wait in them, and which gateway uses which.
+/// The two counters, their pending calls, and the assignment of gateways to counters.
 pub(super) struct CounterService {
-    terms: CounterConfig,
+    config: CounterConfig,
     counters: [Counter; 2],
-    /// The counter of each gateway.
+    /// The index of the counter that each gateway uses, by the gateway's index.
     assigned: Vec<usize>,
-    waiting: BTreeMap<CounterCallId, CounterCall>,
+    /// The calls that are not finished yet.
+    pending_calls: BTreeMap<CounterCallId, CounterCall>,
     last_id: u32,
 }
 
 impl CounterService {
-    /// Empty counters; all gateways use the first.
-    pub(super) fn new(terms: &CounterConfig, gateway_count: usize) -> CounterService {
+    /// Creates two empty counters. All gateways use the primary one.
+    pub(super) fn new(config: &CounterConfig, gateway_count: usize) -> CounterService {
         CounterService {
-            terms: terms.clone(),
-            counters: [Counter::new(terms.shards), Counter::new(terms.shards)],
+            config: config.clone(),
+            counters: [Counter::new(config.shards), Counter::new(config.shards)],
             assigned: vec![PRIMARY; gateway_count],
-            waiting: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
             last_id: 0,
         }
     }
 
-    /// A gateway's call has come.
+    /// Handles a gateway's call, and returns its id and what happens to it.
     pub(super) fn on_call(
         &mut self,
         now: Duration,
@@ -180,20 +188,21 @@
             amount,
             time_to_live: time_to_live.min(MAX_TIME_TO_LIVE),
         };
-        let outcome = self.counters[call.counter].enqueue(now, &call, &self.terms);
+        let outcome = self.counters[call.counter].enqueue(now, &call, &self.config);
         if let CallOutcome::DoneAt(_) = outcome {
-            self.waiting.insert(id, call);
+            self.pending_calls.insert(id, call);
         }
         (id, outcome)
     }
 
-    /// A call has had its turn: its answer, unless the counter has fallen silent meanwhile.
+    /// Applies a call that is due, and returns the response. Returns `None`, without applying it, if the counter has
+    /// become silent since the call arrived.
     pub(super) fn finish_call(
         &mut self,
         now: Duration,
         id: CounterCallId,
     ) -> Option<CounterResponse> {
-        let call = self.waiting.remove(&id)?;
+        let call = self.pending_calls.remove(&id)?;
         let counter = &mut self.counters[call.counter];
         if counter.mode == CounterMode::Silent {
             return None;
@@ -201,27 +210,27 @@
         Some(CounterResponse::Total(counter.apply(now, &call)))
     }
 
-    /// The first counter behaves so from now on.
+    /// Changes the mode of the primary counter.
     pub(super) fn set_primary_mode(&mut self, mode: CounterMode) {
         self.counters[PRIMARY].mode = mode;
     }
 
-    /// The first counter loses all counts.
+    /// Removes all counts of the primary counter.
     pub(super) fn clear_primary(&mut self) {
         self.counters[PRIMARY].clear();
     }
 
-    /// A second counter starts empty.
+    /// Replaces the secondary counter by an empty one.
     pub(super) fn start_secondary(&mut self) {
-        self.counters[SECONDARY] = Counter::new(self.terms.shards);
+        self.counters[SECONDARY] = Counter::new(self.config.shards);
     }
 
-    /// A gateway uses the second counter from now on.
+    /// Makes a gateway use the secondary counter.
     pub(super) fn assign_secondary(&mut self, gateway: usize) {
         self.assigned[gateway] = SECONDARY;
     }
 
-    /// All gateways use the first counter again; returns those that did not.
+    /// Makes all gateways use the primary counter, and returns those that did not use it before.
     pub(super) fn assign_primary_to_all(&mut self) -> Vec<usize> {
         let mut moved = Vec::new();
         for (gateway, counter) in self.assigned.iter_mut().enumerate() {
--- a/lab/src/world/counter/tests.rs
+++ b/lab/src/world/counter/tests.rs
@@ -5,14 +5,14 @@
 }
 
 fn service(gateway_count: usize) -> CounterService {
-    let terms = CounterConfig {
+    let config = CounterConfig {
         shards: 1,
         capacity: 10.0,
         latency_ms: 1.0,
         queue_capacity: 2,
         ..CounterConfig::default()
     };
-    CounterService::new(&terms, gateway_count)
+    CounterService::new(&config, gateway_count)
 }
 
 fn call(service: &mut CounterService, gateway: usize, now: u64) -> (CounterCallId, CallOutcome) {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn calls_take_turns_and_names_expire() {
+fn calls_are_queued_and_names_expire() {
     let mut service = service(1);
     let (first, first_outcome) = call(&mut service, 0, 0);
     let (second, second_outcome) = call(&mut service, 0, 0);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_silent_counter_answers_neither_new_calls_nor_those_that_wait() {
+fn a_silent_counter_answers_neither_new_nor_pending_calls() {
     let mut service = service(1);
     let (waiting, _) = call(&mut service, 0, 0);
     service.set_primary_mode(CounterMode::Silent);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_second_counter_has_counts_of_its_own_until_all_use_the_first_again() {
+fn the_secondary_counter_has_separate_counts() {
     let mut service = service(2);
     service.start_secondary();
     service.assign_secondary(1);
--- a/lab/src/world/endpoint_list.rs
+++ b/lab/src/world/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery keeps it: its changes in order, and how far each gateway was notified of them.
+//! The endpoint list of the emulated discovery service: all changes in order, and which of them each gateway knows.
 
 use super::server::ListingState;
 use super::span::{seconds, TimedValue};
@@ -13,74 +13,75 @@
 /// One change of the endpoint list.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointChange {
-    /// The server that it concerns.
+    /// The server that has changed.
     pub(crate) server: ServerId,
-    /// What the list says of it from now on.
+    /// The server's state in the list after the change.
     pub(crate) state: ListingState,
-    /// When the server's process started; none: long before the run.
+    /// When the server's process last started; `None` means long before the run.
     pub(crate) started_at: Option<Duration>,
 }
 
-/// How far a gateway was notified.
+/// The changes that a gateway was notified of. Gateways are notified of the changes in order.
 #[derive(Clone, Default)]
 struct NotificationState {
-    /// The latest time at which a change was or will be notified: changes come in order.
+    /// The latest time for which a notification has been scheduled. Later changes are not notified earlier.
     latest_due: Duration,
-    /// How many changes it knows.
+    /// The number of changes that the gateway knows.
     change_count: usize,
 }
 
-/// What becomes of a notification that is due.
+/// The result of a notification that is due.
 pub(super) enum Notification {
-    /// Discovery is silent: it is tried again then.
+    /// Discovery is silent. The notification is due again at this time.
     Postponed(Duration),
-    /// A later change took this one along.
+    /// The gateway was already notified, together with a later change.
     AlreadyKnown,
-    /// The gateway knows so many changes from now on.
+    /// The gateway has now been notified of this change and all earlier ones.
     Notified {
-        /// How many changes.
+        /// The number of changes that the gateway knows now.
         change_count: usize,
     },
 }
 
-/// The endpoint list, its faults, and what each gateway knows of it.
+/// The endpoint list, its faults, and the changes that each gateway knows.
 pub(super) struct EndpointList {
     changes: Vec<EndpointChange>,
+    /// By the gateway's index.
     gateways: Vec<NotificationState>,
-    /// A change reaches a gateway after between none and so many seconds.
+    /// The largest random delay of a notification without a fault, in seconds.
     max_delay_seconds: f64,
-    /// Discovery notifies nobody until then.
-    silent_until: Duration,
-    /// Seconds that notifications are later by, for a while.
+    /// Discovery sends no notifications before this time.
+    suspended_until: Duration,
+    /// The additional delay of notifications because of a fault, in seconds.
     extra_delay: TimedValue,
 }
 
 impl EndpointList {
-    /// An empty list that no gateway knows.
+    /// Creates an empty list. `max_delay_seconds` is the largest delay of a notification without a fault.
     pub(super) fn new(gateway_count: usize, max_delay_seconds: f64) -> EndpointList {
         EndpointList {
             changes: Vec::new(),
             gateways: vec![NotificationState::default(); gateway_count],
             max_delay_seconds,
-            silent_until: Duration::ZERO,
+            suspended_until: Duration::ZERO,
             extra_delay: TimedValue::default(),
         }
     }
 
-    /// Appends a change that nobody is notified of, and returns its number.
+    /// Appends a change and returns its number, counted from 0. No notifications are scheduled yet.
     pub(super) fn append(&mut self, change: EndpointChange) -> usize {
         self.changes.push(change);
         self.changes.len() - 1
     }
 
-    /// Every gateway knows the list as it stands.
+    /// Marks all changes as known to all gateways.
     pub(super) fn mark_all_notified(&mut self) {
         for gateway in &mut self.gateways {
             gateway.change_count = self.changes.len();
         }
     }
 
-    /// Schedules the notifications of a change, to each gateway after a delay of its own.
+    /// Schedules the notification of each gateway of a change, with an individual random delay.
     pub(super) fn schedule_notifications(
         &mut self,
         now: Duration,
@@ -97,15 +98,15 @@
         }
     }
 
-    /// A notification is due.
+    /// Handles a notification that is due.
     pub(super) fn on_notification_due(
         &mut self,
         now: Duration,
         gateway: usize,
         change: usize,
     ) -> Notification {
-        if now < self.silent_until {
-            return Notification::Postponed(self.silent_until);
+        if now < self.suspended_until {
+            return Notification::Postponed(self.suspended_until);
         }
         let known = &mut self.gateways[gateway];
         if known.change_count > change {
@@ -117,12 +118,12 @@
         }
     }
 
-    /// Discovery notifies nobody until then.
-    pub(super) fn silence_until(&mut self, until: Duration) {
-        self.silent_until = until;
+    /// Sends no notifications before `until`. Those that are due earlier are postponed.
+    pub(super) fn suspend_until(&mut self, until: Duration) {
+        self.suspended_until = until;
     }
 
-    /// Notifications are later by so many seconds until then.
+    /// Delays the notifications of changes that are made before `until` by `extra_seconds`.
     pub(super) fn delay_until(&mut self, until: Duration, extra_seconds: f64) {
         self.extra_delay = TimedValue {
             until,
@@ -130,17 +131,18 @@
         };
     }
 
-    /// How many of the changes a gateway was notified of.
+    /// Returns the number of changes that a gateway was notified of.
     pub(super) fn notified_change_count(&self, gateway: usize) -> usize {
         self.gateways[gateway].change_count
     }
 
-    /// Changes by their numbers.
+    /// Returns the changes with these numbers.
     pub(super) fn changes(&self, numbers: Range<usize>) -> &[EndpointChange] {
         &self.changes[numbers]
     }
 
-    /// The list after so many changes: the latest line of each server that is not removed, by server.
+    /// Returns the list after its first `change_count` changes: the latest change of each server that is not removed, in
+    /// the order of the server ids.
     pub(super) fn list_after(&self, change_count: usize) -> Vec<EndpointChange> {
         let mut latest: BTreeMap<ServerId, &EndpointChange> = BTreeMap::new();
         for change in &self.changes[..change_count] {
--- a/lab/src/world/endpoint_list/tests.rs
+++ b/lab/src/world/endpoint_list/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_list_holds_the_latest_line_of_each_server_that_is_not_removed() {
+fn the_list_contains_the_latest_change_of_each_server_that_is_not_removed() {
     let mut list = EndpointList::new(1, 0.0);
     list.append(change(1, ListingState::Active));
     list.append(change(0, ListingState::Active));
@@ -27,12 +27,12 @@
 }
 
 #[test]
-fn a_silent_discovery_notifies_later_and_a_later_change_takes_earlier_ones_along() {
+fn notifications_are_postponed_while_discovery_is_silent_and_include_earlier_changes() {
     let mut list = EndpointList::new(1, 0.0);
     list.append(change(0, ListingState::Draining));
     list.append(change(0, ListingState::Removed));
     let until = Duration::from_secs(5);
-    list.silence_until(until);
+    list.suspend_until(until);
     let early = list.on_notification_due(Duration::from_secs(1), 0, 0);
     assert!(matches!(early, Notification::Postponed(due) if due == until));
     let second = list.on_notification_due(until, 0, 1);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn notifications_of_one_gateway_keep_the_order_of_the_changes() {
+fn a_gateway_is_notified_of_changes_in_order() {
     let mut list = EndpointList::new(1, 0.0);
     let mut queue = EventQueue::default();
     let mut rng = WyRand::new_seed(1);
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -130,7 +130,7 @@
                 }
             }
             Kind::ListLate => self.endpoint_list.delay_until(until, fault.factor),
-            Kind::ListSilent => self.endpoint_list.silence_until(until),
+            Kind::ListSilent => self.endpoint_list.suspend_until(until),
             Kind::ListWrong => self.delist_servers(fault_step, &fault),
             // These are known from the start of the run.
             Kind::Surge | Kind::DeadlineSurge | Kind::PlanBurst | Kind::Scan => (),
--- a/lab/src/world/gateways.rs
+++ b/lab/src/world/gateways.rs
@@ -1,41 +1,41 @@
-//! The life cycle of the gateways' processes, as the platform sees it.
+//! The life cycle of the gateway processes, as the platform sees it.
 
 use std::time::Duration;
 
-/// For so long after a gateway was told to stop, clients still open connections to it: the front takes this
-/// time to learn of it.
-const STOP_NOTICE: Duration = Duration::from_millis(300);
+/// How long clients still open connections to a gateway that was told to stop. The load balancer in front of the
+/// gateways detects the stop only after this time.
+const STOP_DETECTION_DELAY: Duration = Duration::from_millis(300);
 
-/// Where a gateway's process stands.
+/// The state of a gateway's process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum GatewayState {
-    /// Started and not ready yet.
+    /// The process was started and is not ready yet.
     Starting,
-    /// Serves.
+    /// The process serves requests.
     Ready,
-    /// Told to stop.
+    /// The process was told to stop and still runs.
     Stopping,
-    /// No process.
+    /// No process runs.
     Down,
 }
 
 struct Gateway {
     state: GatewayState,
-    /// Since when it is in this state.
+    /// When the process entered this state.
     since: Duration,
-    /// While it is down: it was killed, and has not ended by itself.
+    /// Whether the platform killed the process; otherwise it ended by itself. Only meaningful while it is down.
     killed: bool,
-    /// Connections of clients that no request is open on; none in simulated time.
+    /// The number of client connections without an open request. It is always 0 in simulated time.
     idle_connections: usize,
 }
 
-/// All gateways by their index.
+/// The state of all gateways, by their index.
 pub(super) struct Gateways {
     gateways: Vec<Gateway>,
 }
 
 impl Gateways {
-    /// So many gateways, all starting.
+    /// Creates `count` gateways that are all starting.
     pub(super) fn new(count: usize) -> Gateways {
         let starting = |_| Gateway {
             state: GatewayState::Starting,
@@ -48,65 +48,66 @@
         }
     }
 
-    /// How many there are.
+    /// Returns the number of gateways.
     pub(super) fn count(&self) -> usize {
         self.gateways.len()
     }
 
-    /// The state of one.
+    /// Returns the state of a gateway.
     pub(super) fn state(&self, gateway: usize) -> GatewayState {
         self.gateways[gateway].state
     }
 
-    /// Changes the state of one.
+    /// Changes the state of a gateway.
     pub(super) fn set_state(&mut self, now: Duration, gateway: usize, state: GatewayState) {
         let changed = &mut self.gateways[gateway];
         changed.state = state;
         changed.since = now;
     }
 
-    /// The process of one has ended; `killed`: not by itself.
+    /// Records that a gateway's process has ended. `killed` is false if it ended by itself.
     pub(super) fn set_down(&mut self, now: Duration, gateway: usize, killed: bool) {
         self.set_state(now, gateway, GatewayState::Down);
         self.gateways[gateway].killed = killed;
     }
 
-    /// Whether one is down because it was killed.
+    /// Returns whether a gateway is down because the platform killed it.
     pub(super) fn was_killed(&self, gateway: usize) -> bool {
         let gateway = &self.gateways[gateway];
         gateway.state == GatewayState::Down && gateway.killed
     }
 
-    /// Whether one has been ready for so long; one that was when the run began counts in any case.
+    /// Returns whether a gateway has been ready for at least `span`, or since the start of the run.
     pub(super) fn is_ready_for(&self, now: Duration, gateway: usize, span: Duration) -> bool {
         let gateway = &self.gateways[gateway];
         let long_enough = gateway.since.is_zero() || now >= gateway.since + span;
         gateway.state == GatewayState::Ready && long_enough
     }
 
-    /// Whether clients still open connections to one.
+    /// Returns whether clients still open connections to a gateway, which ends a while after it was told to stop.
     pub(super) fn accepts_connections(&self, now: Duration, gateway: usize) -> bool {
         let gateway = &self.gateways[gateway];
-        gateway.state != GatewayState::Stopping || now < gateway.since + STOP_NOTICE
+        gateway.state != GatewayState::Stopping || now < gateway.since + STOP_DETECTION_DELAY
     }
 
-    /// Connections of clients to one that no request is open on.
+    /// Sets the number of client connections to a gateway without an open request.
     pub(super) fn set_idle_connections(&mut self, gateway: usize, count: usize) {
         self.gateways[gateway].idle_connections = count;
     }
 
-    /// Whether the front routes clients to one; `failure_notice` is how long it takes to learn that one is down.
+    /// Returns whether the load balancer routes requests to a gateway. It detects that a gateway is down after
+    /// `failure_detection_delay`.
     pub(super) fn is_routed_to(
         &self,
         now: Duration,
         gateway: usize,
-        failure_notice: Duration,
+        failure_detection_delay: Duration,
     ) -> bool {
         let routed = &self.gateways[gateway];
         match routed.state {
             GatewayState::Ready => true,
-            GatewayState::Down => now < routed.since + failure_notice,
-            // New connections keep coming for a while, and open ones are used until they end.
+            GatewayState::Down => now < routed.since + failure_detection_delay,
+            // New connections are opened for a while, and idle ones are used until they are closed.
             GatewayState::Stopping => {
                 self.accepts_connections(now, gateway) || routed.idle_connections > 0
             }
--- a/lab/src/world/platform.rs
+++ b/lab/src/world/platform.rs
@@ -1,5 +1,5 @@
-//! What the world's network, counter, endpoint list and gateways do together: calls and notifications on their way,
-//! and processes that start and end.
+//! The parts of the world around requests: the network, counter calls, notifications of endpoint changes, and the
+//! starts and ends of gateway processes.
 
 use super::counter::CallOutcome;
 use super::endpoint_list::{EndpointChange, Notification};
@@ -14,12 +14,12 @@
 impl World {
     // ---- the network ----
 
-    /// One way between two ends in the same zone.
+    /// Returns the one-way network delay within a zone.
     pub(crate) fn in_zone_delay(&self) -> Duration {
         self.network.in_zone_delay()
     }
 
-    /// What a response is later by for its way, where the engine does not add that itself.
+    /// Returns the network delay that the world adds to a response: the round trip, or zero where the engine adds it.
     pub(super) fn round_trip_delay(&self, one_way: Duration) -> Duration {
         match self.response_delay {
             ResponseDelay::AddedByEngine => Duration::ZERO,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A datagram from one gateway to another: after how long it arrives, if it does.
+    /// Handles a datagram from one gateway to another. Returns the delay after which it arrives, or `None` if it is lost.
     pub(crate) fn on_datagram(
         &mut self,
         now: Duration,
@@ -42,7 +42,7 @@
 
     // ---- the counter ----
 
-    /// A gateway's call on the counter has come.
+    /// Handles a gateway's call on the counter, and returns the call's id.
     pub(crate) fn on_counter_call(
         &mut self,
         now: Duration,
@@ -70,7 +70,7 @@
         id
     }
 
-    /// The counter is done with a call.
+    /// Handles the end of a call on the counter.
     pub(super) fn on_counter_call_done(
         &mut self,
         now: Duration,
@@ -84,7 +84,7 @@
 
     // ---- the endpoint list ----
 
-    /// The list gives a server's state; each gateway is notified in its own time.
+    /// Appends a server's new state to the endpoint list, and schedules the notification of each gateway.
     pub(super) fn change_endpoint(&mut self, now: Duration, server: ServerId, state: ListingState) {
         let started_at = self.server(server).started_at;
         let change = self.endpoint_list.append(EndpointChange {
@@ -101,7 +101,7 @@
         );
     }
 
-    /// Discovery is to notify a gateway of a change.
+    /// Notifies a gateway of a change, unless discovery is silent, the gateway knows it already or is down.
     pub(super) fn on_notification_due(
         &mut self,
         now: Duration,
@@ -126,22 +126,22 @@
         }
     }
 
-    /// How many changes of the list a gateway was notified of.
+    /// Returns the number of changes of the endpoint list that a gateway was notified of.
     pub(crate) fn notified_change_count(&self, gateway: usize) -> usize {
         self.endpoint_list.notified_change_count(gateway)
     }
 
-    /// Changes of the list by their numbers.
+    /// Returns the changes of the endpoint list with these numbers.
     pub(crate) fn endpoint_changes(&self, numbers: Range<usize>) -> Vec<EndpointChange> {
         self.endpoint_list.changes(numbers).to_vec()
     }
 
-    /// The list after so many changes: each server's latest line, but for those that were removed.
+    /// Returns the endpoint list after its first `change_count` changes, without removed servers.
     pub(crate) fn endpoint_list_after(&self, change_count: usize) -> Vec<EndpointChange> {
         self.endpoint_list.list_after(change_count)
     }
 
-    /// Changes were written to a gateway.
+    /// Records that changes of the endpoint list were written to a gateway.
     pub(crate) fn on_gateway_notified(
         &mut self,
         now: Duration,
@@ -157,44 +157,45 @@
 
     // ---- gateways ----
 
-    /// The state of a gateway.
+    /// Returns the state of a gateway.
     pub(crate) fn gateway_state(&self, gateway: usize) -> GatewayState {
         self.gateways.state(gateway)
     }
 
-    /// Whether a gateway has been ready for so long; one that was when the run began counts in any case.
+    /// Returns whether a gateway has been ready for at least `span`, or since the start of the run.
     pub(crate) fn is_ready_for(&self, now: Duration, gateway: usize, span: Duration) -> bool {
         self.gateways.is_ready_for(now, gateway, span)
     }
 
-    /// Whether clients still open connections to a gateway.
+    /// Returns whether clients still open connections to a gateway, which ends a while after it was told to stop.
     pub(crate) fn accepts_connections(&self, now: Duration, gateway: usize) -> bool {
         self.gateways.accepts_connections(now, gateway)
     }
 
-    /// So many connections of clients to a gateway have no request open on them.
+    /// Sets the number of client connections to a gateway without an open request.
     pub(crate) fn set_idle_connections(&mut self, gateway: usize, count: usize) {
         self.gateways.set_idle_connections(gateway, count);
     }
 
-    /// A gateway serves from now on.
+    /// Records that a gateway is ready to serve requests.
     pub(crate) fn on_gateway_ready(&mut self, now: Duration, gateway: usize) {
         self.gateways.set_state(now, gateway, GatewayState::Ready);
     }
 
-    /// A gateway's process has ended by itself: what it had accepted and not answered is lost.
+    /// Records that a gateway's process has ended by itself. The rule checker still expects answers to the requests that
+    /// it had accepted.
     pub(crate) fn on_gateway_exit(&mut self, now: Duration, gateway: usize) {
         if self.gateways.state(gateway) != GatewayState::Down {
             self.gateways.set_down(now, gateway, false);
         }
     }
 
-    /// Whether a gateway's process was killed, which excuses what it had not answered.
+    /// Returns whether the platform killed a gateway's process. Its unanswered requests then need no answer.
     pub(crate) fn was_killed(&self, gateway: usize) -> bool {
         self.gateways.was_killed(gateway)
     }
 
-    /// A gateway is killed.
+    /// Kills a gateway. One that was told to stop must have answered its requests.
     pub(super) fn on_gateway_kill(
         &mut self,
         now: Duration,
@@ -211,7 +212,7 @@
         actions.push(Action::KillGateway(gateway));
     }
 
-    /// A gateway is started.
+    /// Starts a gateway's process.
     pub(super) fn on_gateway_start(
         &mut self,
         now: Duration,
--- a/lab/src/world/requests.rs
+++ b/lab/src/world/requests.rs
@@ -176,11 +176,12 @@
 
     /// The gateway that a request of an account goes to; none where the front leads it to one that is down.
     fn route_request(&mut self, now: Duration, account: usize) -> Option<usize> {
-        let failure_notice = seconds(self.experiment.load.front_detection_delay);
+        let failure_detection_delay = seconds(self.experiment.load.front_detection_delay);
         let order = self.clients.draw_gateway_order(account, now);
-        let gateway = order
-            .into_iter()
-            .find(|gateway| self.gateways.is_routed_to(now, *gateway, failure_notice))?;
+        let gateway = order.into_iter().find(|gateway| {
+            self.gateways
+                .is_routed_to(now, *gateway, failure_detection_delay)
+        })?;
         (self.gateways.state(gateway) != GatewayState::Down).then_some(gateway)
     }
 
