--- a/lab/src/rule_checker/tests.rs
+++ b/lab/src/rule_checker/tests.rs
@@ -232,8 +232,8 @@
 
 #[test]
 fn a_gateway_sends_no_attempt_to_a_server_after_the_drain_grace() {
-    // Whether the gateway was notified of the drain, whether it was restarted afterwards, when the attempt arrives (ms),
-    // and whether the attempt is a violation.
+    // Whether the gateway was notified of the drain, whether it was restarted afterwards, when the attempt arrives
+    // (ms), and whether the attempt is a violation.
     let cases = [
         (true, false, 1540, false),
         (true, false, 1560, true),
--- a/lab/src/world/attempts.rs
+++ b/lab/src/world/attempts.rs
@@ -113,7 +113,7 @@
             let latency = now.saturating_sub(scheduled_at);
             self.metrics.record_first_attempt(now, latency);
             let within_quota = self.charge_quota(now, operation);
-            self.clients.operations[operation].within_quota = within_quota;
+            self.clients.operations[operation].forwarded_within_quota = within_quota;
         }
     }
 
@@ -135,8 +135,8 @@
         fits
     }
 
-    /// Returns whether the server processes an attempt. It ignores it if it is silent, is separated from the gateway by a
-    /// partition or leaves the route unanswered.
+    /// Returns whether the server processes an attempt. It ignores it if it is silent, is separated from the gateway by
+    /// a partition or leaves the route unanswered.
     fn is_processed(&self, now: Duration, arrival: AttemptArrival) -> bool {
         let server = self.server(arrival.server);
         let route = self.operation_of(arrival.request).route;
--- a/lab/src/world/clients.rs
+++ b/lab/src/world/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: accounts under plans, spread unevenly over the gateways, what they want and when. Arrivals wait for
-//! nobody's answer.
+//! The emulated clients: accounts with plans, spread unevenly over the gateways, and the operations that they request.
+//! The load is open-loop: operations arrive whether or not earlier ones have been answered.
 
 use super::token_bucket::TokenBucket;
 use crate::experiment::{Experiment, PlanConfig};
@@ -7,40 +7,42 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Requests a second of the usual account under a plan without a rate.
-const REQUESTS_WITHOUT_RATE: f64 = 2.0;
-/// Account names have 33 bits on the wire: so many of 64 are dropped.
+/// The mean request rate of an account whose plan has no rate, in requests per second.
+const UNLIMITED_PLAN_REQUESTS_PER_SECOND: f64 = 2.0;
+/// The number of bits of a 64-bit random number that are dropped for an account name, which has 33 bits on the wire.
 const UNUSED_NAME_BITS: u32 = 31;
 
-/// A customer's account.
+/// The account of a customer.
 pub(crate) struct Account {
     /// Its name on the wire.
     pub(crate) name: u64,
-    /// Index of its plan.
+    /// The index of its plan in the experiment.
     pub(crate) plan: usize,
-    /// The first of its gateways.
+    /// The index of the first gateway that receives its requests.
     pub(crate) first_gateway: usize,
-    /// How many gateways it comes through, from the first on.
+    /// The number of consecutive gateways that receive its requests, starting from `first_gateway`.
     pub(crate) gateway_count: usize,
-    /// By how many gateways its busiest one has moved on.
+    /// The offset of the gateway that receives most of its requests, counted from `first_gateway` modulo
+    /// `gateway_count`. Faults increase it.
     pub(super) busiest_offset: usize,
-    /// Whether its clients wait for as long as a rejection says.
+    /// Whether its clients wait for the retry-after time of a rejection.
     pub(super) honors_retry_after: bool,
-    /// The true meter of what has reached servers for it, which no gateway sees.
+    /// The platform's own meter of the quota, from which requests take units once they reach a server. No gateway sees
+    /// it.
     pub(super) quota: TokenBucket,
-    /// Attempts in flight for it.
+    /// The number of its attempts in flight.
     pub(super) in_flight: f64,
-    /// Requests a second, before any fault.
+    /// Requests per second, without faults.
     request_rate: f64,
-    /// What it may want, whether or not that is forwarded.
-    entitlement: TokenBucket,
+    /// A second meter of the quota, from which all requested operations take units, whether or not they are forwarded.
+    requested_quota: TokenBucket,
 }
 
 impl Account {
     fn new(experiment: &Experiment, plan: usize, request_rate: f64, rng: &mut WyRand) -> Account {
-        let terms = &experiment.plans[plan];
+        let plan_config = &experiment.plans[plan];
         let gateways = experiment.fleet.gateways;
-        // The order of the draws is part of what a seed means.
+        // The results of a seed depend on the order of the draws.
         let name = rng.generate::<u64>() >> UNUSED_NAME_BITS;
         let first_gateway = rng.generate_range(0..gateways);
         let busiest_offset = rng.generate_range(0..16usize);
@@ -52,19 +54,20 @@
             gateway_count: experiment.load.gateways_per_account.min(gateways),
             busiest_offset,
             honors_retry_after,
-            quota: TokenBucket::full(terms.rate, terms.burst),
+            quota: TokenBucket::full(plan_config.rate, plan_config.burst),
             in_flight: 0.0,
             request_rate,
-            entitlement: TokenBucket::full(terms.rate, terms.burst),
+            requested_quota: TokenBucket::full(plan_config.rate, plan_config.burst),
         }
     }
 
-    /// Whether so many units would fit its quota, and its concurrency limit, if it has one, leaves an attempt.
+    /// Returns whether `units` are left of its quota and another attempt is within its concurrency limit (0: no limit).
     pub(super) fn has_room(&mut self, now: Duration, units: f64, limit: f64) -> bool {
         self.quota.holds(now, units) && (limit <= 0.0 || self.in_flight < limit)
     }
 
-    /// Whether so many units would fit its quota, and half of its burst and concurrency limit is unused.
+    /// Returns whether `units` are left of its quota, and at least half of its burst and more than half of its
+    /// concurrency limit (0: no limit) are unused.
     pub(super) fn has_half_room(&mut self, now: Duration, units: f64, limit: f64) -> bool {
         let half_burst = self.quota.depth() / 2.0;
         self.quota.holds(now, units.max(half_burst))
@@ -72,46 +75,46 @@
     }
 }
 
-/// What a client wants done, however many requests it sends for it.
+/// An operation that a client wants done. The client may send several requests for it.
 pub(crate) struct Operation {
-    /// Index of its account.
+    /// The index of its account.
     pub(crate) account: u32,
-    /// Index of its route.
+    /// The index of its route in the experiment.
     pub(crate) route: usize,
-    /// Units that its requests ask for.
+    /// The units that its requests state.
     pub(crate) units: f64,
-    /// Units that it truly takes.
+    /// The units that it actually takes.
     pub(super) true_units: f64,
-    /// Seconds of a core of speed 1.
+    /// The work at a server, in seconds on a core of speed 1.
     pub(super) work: f64,
     /// Its idempotency key.
     pub(crate) key: u64,
-    /// Retries that its client has made or scheduled.
+    /// The number of retries that its client has sent or scheduled.
     pub(crate) retries: u32,
-    /// It fitted its account's quota when it was first wanted.
-    pub(super) entitled: bool,
-    /// Its latest request to be forwarded was within the quota.
-    pub(super) within_quota: bool,
-    /// It was answered with a value.
+    /// Whether it was within its account's quota when it was first requested.
+    pub(super) requested_within_quota: bool,
+    /// Whether its latest forwarded request was within the quota.
+    pub(super) forwarded_within_quota: bool,
+    /// Whether it was answered with a value.
     pub(super) done: bool,
 }
 
-/// More requests of all plans, or of one, for a while.
+/// A period in which all plans, or one of them, send more requests.
 pub(super) struct Surge {
-    /// Index of the plan; none: all of them.
+    /// The index of the plan; `None` means all plans.
     pub(super) plan: Option<usize>,
-    /// From when to when.
+    /// The start and the end of the period.
     pub(super) span: Range<Duration>,
-    /// So many times the requests.
+    /// The factor on the request rate.
     pub(super) factor: f64,
-    /// The factor grows from 1 over the span, and does not hold from its start.
+    /// Whether the factor grows linearly from 1 over the period; otherwise it applies from the start.
     pub(super) grows: bool,
 }
 
 impl Surge {
     fn factor_at(&self, plan: usize, now: Duration) -> f64 {
-        let concerned = self.plan.is_none_or(|surging| surging == plan);
-        if !concerned || !self.span.contains(&now) {
+        let is_affected = self.plan.is_none_or(|affected| affected == plan);
+        if !is_affected || !self.span.contains(&now) {
             return 1.0;
         }
         if !self.grows {
@@ -123,43 +126,46 @@
     }
 }
 
-/// A time in which accounts arrive that were never seen before.
+/// A period in which requests arrive from accounts that were never seen before.
 pub(super) struct AccountScan {
-    /// From when to when.
+    /// The start and the end of the period.
     pub(super) span: Range<Duration>,
-    /// Share of the requests that come from them.
+    /// The share of the requests that come from new accounts.
     pub(super) share: f64,
 }
 
-/// All accounts, their operations, and what faults make of their behaviour.
+/// All accounts and operations, and the faults that change the clients' behaviour.
 pub(super) struct Clients {
-    /// Accounts by their index.
+    /// Accounts, by their index.
     pub(super) accounts: Vec<Account>,
-    /// Operations by their id.
+    /// Operations, by their id.
     pub(super) operations: Vec<Operation>,
-    /// Part of its time that a client waits at least; 1: all clients wait for all of it.
-    pub(super) patience: f64,
-    /// Share of the clients that ignore for how long a rejection asks them to wait.
-    pub(super) ignoring_share: f64,
+    /// The factor of a fault on the smallest share of the client timeout that clients wait; 1 without a fault.
+    pub(super) patience_factor: f64,
+    /// The share of retries for which clients ignore the retry-after time because of a fault.
+    pub(super) ignored_retry_after_share: f64,
     surges: Vec<Surge>,
     scans: Vec<AccountScan>,
-    /// Requests a second, summed up over the accounts in their order.
+    /// The running sums of the accounts' request rates, in requests per second.
     cumulative_rates: Vec<f64>,
-    /// Shares of the routes, summed up in their order.
+    /// The running sums of the routes' shares.
     cumulative_route_shares: Vec<f64>,
-    /// The product of all surges: arrivals are drawn for it, and thinned out.
+    /// The product of all surge factors above 1. Arrivals are drawn for this highest rate and then thinned to the
+    /// current one.
     peak_factor: f64,
+    /// Draws arrivals, the choice of gateways and new accounts.
     arrival_rng: WyRand,
+    /// Draws the properties of operations.
     work_rng: WyRand,
-    /// Seconds after which the busiest gateway of an account moves on; 0: never.
-    shift_seconds: f64,
+    /// The interval at which the busiest gateway of every account moves on by one, in seconds; 0 means never.
+    shift_interval_seconds: f64,
     gateway_count: usize,
     max_units: u32,
-    /// True units differ from those that requests ask for.
+    /// Whether the units that an operation takes differ from those that its requests state.
     settles_units: bool,
 }
 
-/// Running sums.
+/// Returns the running sums.
 fn cumulative(shares: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut sum = 0.0;
     let mut sums = Vec::new();
@@ -170,7 +176,7 @@
     sums
 }
 
-/// Draws an index by cumulative weights.
+/// Draws an index with probabilities given by cumulative weights.
 fn draw_index(cumulative_weights: &[f64], rng: &mut WyRand) -> usize {
     let total = cumulative_weights.last().copied().unwrap_or(0.0);
     let drawn = rng.generate::<f64>() * total;
@@ -179,41 +185,47 @@
         .min(cumulative_weights.len().saturating_sub(1))
 }
 
-/// Mean units of a request: they are drawn from 1 to the largest.
+/// Returns the mean units of a request. Units are drawn uniformly from 1 to `max_units`.
 fn mean_units(max_units: u32) -> f64 {
     f64::from(1 + max_units) / 2.0
 }
 
-/// Requests a second of each account under a plan.
+/// Draws the request rate of each account under a plan, in requests per second. The rates add up to the plan's share of
+/// the load.
 fn draw_account_rates(experiment: &Experiment, plan: &PlanConfig, rng: &mut WyRand) -> Vec<f64> {
     let load = &experiment.load;
-    let all_shares: f64 = experiment.plans.iter().map(|each| each.share).sum();
-    let plan_rate = load.request_rate * plan.share / all_shares.max(1e-9);
-    let usual_rate = if plan.rate > 0.0 {
+    let share_sum: f64 = experiment.plans.iter().map(|each| each.share).sum();
+    let plan_rate = load.request_rate * plan.share / share_sum.max(1e-9);
+    let typical_rate = if plan.rate > 0.0 {
         plan.rate * load.typical_utilization / mean_units(load.max_units)
     } else {
-        REQUESTS_WITHOUT_RATE
+        UNLIMITED_PLAN_REQUESTS_PER_SECOND
     };
-    let least = if plan_rate > 0.0 { 1.0 } else { 0.0 };
-    let count = (plan_rate / usual_rate).ceil().max(least) as usize;
-    let drawn: Vec<f64> = (0..count)
+    let min_count = if plan_rate > 0.0 { 1.0 } else { 0.0 };
+    let count = (plan_rate / typical_rate).ceil().max(min_count) as usize;
+    // Relative rates, uniform from 0.3 to 1.7.
+    let relative_rates: Vec<f64> = (0..count)
         .map(|_| 0.3 + 1.4 * rng.generate::<f64>())
         .collect();
-    let sum: f64 = drawn.iter().sum();
+    let sum: f64 = relative_rates.iter().sum();
     let scale = plan_rate / sum;
-    drawn.into_iter().map(|share| share * scale).collect()
+    relative_rates
+        .into_iter()
+        .map(|relative| relative * scale)
+        .collect()
 }
 
+/// Draws the accounts of all plans. A share of those with a rate is greedy and exceeds its quota.
 fn draw_accounts(experiment: &Experiment, rng: &mut WyRand) -> Vec<Account> {
     let load = &experiment.load;
     let mut accounts = Vec::new();
     for (index, plan) in experiment.plans.iter().enumerate() {
-        for usual_rate in draw_account_rates(experiment, plan, rng) {
+        for drawn_rate in draw_account_rates(experiment, plan, rng) {
             let greedy = plan.rate > 0.0 && rng.generate::<f64>() < load.greedy_share;
             let rate = if greedy {
                 plan.rate * load.greedy_factor / mean_units(load.max_units)
             } else {
-                usual_rate
+                drawn_rate
             };
             accounts.push(Account::new(experiment, index, rate, rng));
         }
@@ -222,7 +234,7 @@
 }
 
 impl Clients {
-    /// The accounts of an experiment, as a seed draws them.
+    /// Creates the clients of an experiment with the random draws of `seed`.
     pub(super) fn new(experiment: &Experiment, seed: u64) -> Clients {
         let mut account_rng = WyRand::new_seed(seed ^ 0x61);
         let accounts = draw_accounts(experiment, &mut account_rng);
@@ -231,22 +243,22 @@
             cumulative_rates: cumulative(accounts.iter().map(|account| account.request_rate)),
             accounts,
             operations: Vec::new(),
-            patience: 1.0,
-            ignoring_share: 0.0,
+            patience_factor: 1.0,
+            ignored_retry_after_share: 0.0,
             surges: Vec::new(),
             scans: Vec::new(),
             cumulative_route_shares: cumulative(experiment.routes.iter().map(|it| it.share)),
             peak_factor: 1.0,
             arrival_rng: WyRand::new_seed(seed ^ 0xa1),
             work_rng: WyRand::new_seed(seed ^ 0x3b),
-            shift_seconds: load.shift_interval,
+            shift_interval_seconds: load.shift_interval,
             gateway_count: experiment.fleet.gateways,
             max_units: load.max_units,
             settles_units: load.settles_units,
         }
     }
 
-    /// Adds an account that was never seen before; returns its index.
+    /// Adds an account during the run, which has no request rate of its own, and returns its index.
     pub(super) fn add_new_account(&mut self, experiment: &Experiment, plan: usize) -> usize {
         let mut rng = WyRand::new_seed(self.arrival_rng.generate());
         let account = Account::new(experiment, plan, 0.0, &mut rng);
@@ -254,31 +266,33 @@
         self.accounts.len() - 1
     }
 
-    /// A surge that will be; known from the start, so that arrivals are drawn for the highest load there is.
-    pub(super) fn expect_surge(&mut self, surge: Surge) {
+    /// Adds a surge. All surges must be added before the first arrival is drawn, because arrivals are drawn for the
+    /// highest possible rate.
+    pub(super) fn add_surge(&mut self, surge: Surge) {
         self.peak_factor *= surge.factor.max(1.0);
         self.surges.push(surge);
     }
 
-    /// A time in which new accounts arrive.
-    pub(super) fn expect_scan(&mut self, scan: AccountScan) {
+    /// Adds a period in which requests arrive from new accounts.
+    pub(super) fn add_scan(&mut self, scan: AccountScan) {
         self.scans.push(scan);
     }
 
-    /// Share of the requests that come from new accounts, if there are any now.
+    /// Returns the share of the requests that come from new accounts, or `None` outside of such periods.
     pub(super) fn scan_share(&self, now: Duration) -> Option<f64> {
         let scan = self.scans.iter().find(|scan| scan.span.contains(&now))?;
         Some(scan.share)
     }
 
-    /// When the next operation may arrive; whether one does is for [`Clients::draw_arrival`].
+    /// Draws when the next operation may arrive. [`Clients::draw_arrival`] then decides whether it does. Returns `None`
+    /// if no account has a request rate.
     pub(super) fn draw_next_arrival(&mut self, now: Duration) -> Option<Duration> {
         let rate = self.cumulative_rates.last().copied().unwrap_or(0.0) * self.peak_factor;
         let drawn = 1.0 - self.arrival_rng.generate::<f64>();
         (rate > 0.0).then(|| now + Duration::from_secs_f64(-drawn.ln() / rate))
     }
 
-    /// The account whose operation arrives now, if one does.
+    /// Draws the account whose operation arrives now, or `None` if this arrival is thinned out.
     pub(super) fn draw_arrival(&mut self, now: Duration) -> Option<usize> {
         let account = draw_index(&self.cumulative_rates, &mut self.arrival_rng);
         let plan = self.accounts[account].plan;
@@ -287,7 +301,7 @@
         (self.arrival_rng.generate::<f64>() * self.peak_factor < factor).then_some(account)
     }
 
-    /// A new operation of an account, of a drawn route and size; returns its index.
+    /// Adds a new operation of an account with a drawn route and drawn units, and returns its index.
     pub(super) fn draw_operation(
         &mut self,
         now: Duration,
@@ -299,7 +313,7 @@
         self.add_operation(now, account, route, units, experiment)
     }
 
-    /// A new operation of an account; returns its index.
+    /// Adds a new operation of an account that states `units`, and returns its index.
     pub(super) fn add_operation(
         &mut self,
         now: Duration,
@@ -311,6 +325,8 @@
         let drawn_size = self.work_rng.generate::<f64>();
         let drawn_error = self.work_rng.generate::<f64>();
         let route_work = experiment.routes[route].work_ms / 1e3;
+        // The work varies uniformly from 0.4 to 1.6 of what the route and the stated units take on average. The units
+        // taken vary uniformly from 0.6 to 1.4 of the stated ones, before they are rounded and limited.
         let work = route_work * (0.4 + 1.2 * drawn_size) * units / mean_units(self.max_units);
         let true_units = if self.settles_units {
             (units * (0.6 + 0.8 * drawn_error)).round().max(1.0)
@@ -318,7 +334,7 @@
             units
         };
         let true_units = true_units.min(f64::from(self.max_units));
-        let entitled = self.accounts[account].entitlement.take(now, true_units);
+        let requested_within_quota = self.accounts[account].requested_quota.take(now, true_units);
         self.operations.push(Operation {
             account: account as u32,
             route,
@@ -327,19 +343,19 @@
             work,
             key: self.work_rng.generate(),
             retries: 0,
-            entitled,
-            within_quota: false,
+            requested_within_quota,
+            forwarded_within_quota: false,
             done: false,
         });
         self.operations.len() - 1
     }
 
-    /// The gateways of an account in the order in which it would use them for its next request: half of its
-    /// requests go to the busiest, half of the rest to the next, and so on.
+    /// Draws the order in which an account prefers its gateways for its next request. Half of its requests prefer its
+    /// busiest gateway, half of the others the next one, and so on; the last one gets the rest.
     pub(super) fn draw_gateway_order(&mut self, account: usize, now: Duration) -> Vec<usize> {
         let account = &self.accounts[account];
-        let shifts = if self.shift_seconds > 0.0 {
-            (now.as_secs_f64() / self.shift_seconds) as usize
+        let shifts = if self.shift_interval_seconds > 0.0 {
+            (now.as_secs_f64() / self.shift_interval_seconds) as usize
         } else {
             0
         };
--- a/lab/src/world/endpoint_list.rs
+++ b/lab/src/world/endpoint_list.rs
@@ -141,8 +141,8 @@
         &self.changes[numbers]
     }
 
-    /// Returns the list after its first `change_count` changes: the latest change of each server that is not removed, in
-    /// the order of the server ids.
+    /// Returns the list after its first `change_count` changes: the latest change of each server that is not removed,
+    /// in the order of the server ids.
     pub(super) fn list_after(&self, change_count: usize) -> Vec<EndpointChange> {
         let mut latest: BTreeMap<ServerId, &EndpointChange> = BTreeMap::new();
         for change in &self.changes[..change_count] {
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a run: what each kind does to the world when it begins, at its further steps and when it ends.
+//! The faults of a run: what each kind changes in the world when it begins, at its later steps and when it ends.
 
 use super::clients::{AccountScan, Surge};
 use super::counter::CounterMode;
@@ -13,32 +13,32 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A draining server finishes what it has for so long before its process ends.
-const DRAIN_TIME: Duration = Duration::from_secs(2);
-/// The longest client timeout that the platform waits for before it kills a gateway that was told to stop, in
-/// seconds.
+/// How long a draining server finishes its attempts before its process ends.
+const DRAIN_DURATION: Duration = Duration::from_secs(2);
+/// The limit on the client timeout that the platform waits for, in seconds, before it kills a gateway that was told to
+/// stop.
 const MAX_STOP_WAIT_SECONDS: f64 = 3.0;
-/// The platform waits so much longer than the client timeout, in seconds.
+/// How much longer than the client timeout the platform waits for a gateway to stop, in seconds.
 const STOP_MARGIN_SECONDS: f64 = 0.7;
-/// A gateway's process is started again so long after it was killed.
+/// The time between the kill and the start of a restarted gateway.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
-/// The least patience that a fault leaves to clients, as a share of their timeout.
-const MIN_PATIENCE: f64 = 0.05;
-/// The busiest gateway of an account that shifts moves on by 1 to this many gateways.
-const MAX_SHIFT: u32 = 7;
+/// The smallest factor of a fault on the clients' patience.
+const MIN_PATIENCE_FACTOR: f64 = 0.05;
+/// The largest number of gateways by which a fault moves an account's busiest gateway on; the smallest is 1.
+const MAX_GATEWAY_SHIFT: u32 = 7;
 
-/// What faults have changed and have to change back.
+/// The state of faults that have begun, needed for their later steps and their end.
 #[derive(Default)]
 pub(super) struct FaultState {
-    /// Share of the responses that cannot be parsed.
+    /// The share of responses that are malformed.
     pub(super) malformed_share: TimedValue,
-    /// The servers that a fault affects, by the fault's index.
+    /// The servers that each fault affects, by the fault's index in the experiment.
     affected_servers: BTreeMap<usize, Vec<ServerId>>,
-    /// The gateways that a fault affects, by the fault's index.
+    /// The gateways that each fault affects, by the fault's index in the experiment.
     affected_gateways: BTreeMap<usize, Vec<usize>>,
 }
 
-/// One step of a fault.
+/// A step of a fault that is due.
 #[derive(Clone, Copy)]
 struct FaultStep {
     now: Duration,
@@ -49,7 +49,8 @@
 }
 
 impl World {
-    /// Schedules all faults of the experiment, and prepares what has to be known before the run.
+    /// Schedules all faults of the experiment. Surges and periods with new accounts are added to the clients at once,
+    /// because arrivals are drawn for the highest rate of the whole run.
     pub(super) fn schedule_faults(&mut self) {
         for (index, fault) in self.experiment.faults.clone().iter().enumerate() {
             let start = seconds(fault.starts_at);
@@ -57,14 +58,14 @@
             match fault.kind {
                 Kind::Surge | Kind::DeadlineSurge | Kind::PlanBurst => {
                     let plan = fault.plan.as_ref();
-                    self.clients.expect_surge(Surge {
+                    self.clients.add_surge(Surge {
                         plan: plan.and_then(|name| self.experiment.plan_index(name)),
                         span: start..end,
                         factor: fault.factor,
                         grows: fault.kind == Kind::DeadlineSurge,
                     });
                 }
-                Kind::Scan => self.clients.expect_scan(AccountScan {
+                Kind::Scan => self.clients.add_scan(AccountScan {
                     span: start..end,
                     share: fault.share,
                 }),
@@ -82,16 +83,21 @@
             .schedule(due, WorldEvent::FaultStep { fault, step });
     }
 
-    /// Schedules the further steps of a fault, spread over its time.
-    fn schedule_further_steps(&mut self, fault_step: FaultStep, lasts: f64, step_count: usize) {
-        let interval = seconds(lasts / step_count.max(1) as f64);
+    /// Schedules the steps of a fault after its first one, spread evenly over its duration.
+    fn schedule_later_steps(
+        &mut self,
+        fault_step: FaultStep,
+        duration_seconds: f64,
+        step_count: usize,
+    ) {
+        let interval = seconds(duration_seconds / step_count.max(1) as f64);
         for step in 1..step_count {
             let due = fault_step.now + interval * step as u32;
             self.schedule_fault_step(due, fault_step.fault, step);
         }
     }
 
-    /// A fault begins, or takes a further step.
+    /// Begins a fault (step 0) or carries out a later step.
     pub(super) fn on_fault_step(
         &mut self,
         now: Duration,
@@ -117,8 +123,8 @@
             Kind::CounterEmpty => self.counters.clear_primary(),
             Kind::CounterSplit => self.assign_second_counter(fault.share, actions),
             Kind::CounterSwap => self.assign_second_counter(1.0, actions),
-            Kind::ServersSlow => self.impair_servers(fault_step, &fault, slow_down),
-            Kind::ServersFailing => self.impair_servers(fault_step, &fault, fail_some),
+            Kind::ServersSlow => self.degrade_servers(fault_step, &fault, slow_down),
+            Kind::ServersFailing => self.degrade_servers(fault_step, &fault, set_failure_share),
             Kind::RouteUnanswered => self.leave_route_unanswered(fault_step, &fault),
             Kind::ServersSilent => self.take_servers_down(&fault, Health::Silent, until, actions),
             Kind::ServersCrash => self.take_servers_down(&fault, Health::Down, until, actions),
@@ -132,11 +138,13 @@
             Kind::ListLate => self.endpoint_list.delay_until(until, fault.factor),
             Kind::ListSilent => self.endpoint_list.suspend_until(until),
             Kind::ListWrong => self.delist_servers(fault_step, &fault),
-            // These are known from the start of the run.
+            // These were added to the clients before the start of the run.
             Kind::Surge | Kind::DeadlineSurge | Kind::PlanBurst | Kind::Scan => (),
             Kind::Shift => self.shift_accounts(fault.share),
-            Kind::Impatient => self.clients.patience = fault.factor.clamp(MIN_PATIENCE, 1.0),
-            Kind::Heedless => self.clients.ignoring_share = fault.share,
+            Kind::Impatient => {
+                self.clients.patience_factor = fault.factor.clamp(MIN_PATIENCE_FACTOR, 1.0)
+            }
+            Kind::Heedless => self.clients.ignored_retry_after_share = fault.share,
             Kind::MisbehavingClients => {
                 actions.push(Action::AddMisbehavingClients(fault.factor as usize))
             }
@@ -149,7 +157,7 @@
         }
     }
 
-    /// A fault ends; those that are not named here end by themselves.
+    /// Ends a fault. Faults without an entry here end by themselves or last until the end of the run.
     pub(super) fn on_fault_end(&mut self, now: Duration, index: usize, actions: &mut Vec<Action>) {
         let fault = self.experiment.faults[index].clone();
         match fault.kind {
@@ -163,18 +171,18 @@
                 let moved = self.counters.assign_primary_to_all();
                 actions.extend(moved.into_iter().map(Action::MovePlatform));
             }
-            Kind::ServersSlow => self.relieve_servers(index, |server| {
+            Kind::ServersSlow => self.restore_servers(index, |server| {
                 server.slowdown /= fault.factor.max(1e-9);
             }),
-            Kind::ServersFailing => self.relieve_servers(index, |server| {
+            Kind::ServersFailing => self.restore_servers(index, |server| {
                 server.failure_share = 0.0;
             }),
-            Kind::RouteUnanswered => self.relieve_servers(index, |server| {
+            Kind::RouteUnanswered => self.restore_servers(index, |server| {
                 server.unanswered_routes.pop();
             }),
             Kind::ListWrong => self.relist_servers(now, index),
-            Kind::Impatient => self.clients.patience = 1.0,
-            Kind::Heedless => self.clients.ignoring_share = 0.0,
+            Kind::Impatient => self.clients.patience_factor = 1.0,
+            Kind::Heedless => self.clients.ignored_retry_after_share = 0.0,
             _ => (),
         }
     }
@@ -186,7 +194,7 @@
         actions.push(Action::ResetCounterConnections);
     }
 
-    /// A share of the gateways uses a second counter, which starts empty.
+    /// Makes a share of the gateways use the secondary counter, which starts empty.
     fn assign_second_counter(&mut self, share: f64, actions: &mut Vec<Action>) {
         self.counters.start_secondary();
         for gateway in self.draw_gateways(share) {
@@ -197,7 +205,7 @@
 
     // ---- servers ----
 
-    /// A share of the servers in service, by chance.
+    /// Draws a share of the servers that are listed as active and are up.
     fn draw_servers(&mut self, share: f64) -> Vec<ServerId> {
         let in_service =
             |server: &Server| server.listing == ListingState::Active && server.health == Health::Up;
@@ -209,23 +217,23 @@
         drawn
     }
 
-    /// Impairs a share of the servers until the fault ends.
-    fn impair_servers(
+    /// Degrades a share of the servers until the fault ends.
+    fn degrade_servers(
         &mut self,
         fault_step: FaultStep,
         fault: &Fault,
-        impair: fn(&mut Server, f64),
+        degrade: fn(&mut Server, f64),
     ) {
         let servers = self.draw_servers(fault.share);
         for server in &servers {
-            impair(self.server_mut(*server), fault.factor);
+            degrade(self.server_mut(*server), fault.factor);
         }
         self.faults
             .affected_servers
             .insert(fault_step.fault, servers);
     }
 
-    /// A share of the servers leaves one route unanswered until the fault ends.
+    /// Makes a share of the servers leave one route unanswered until the fault ends.
     fn leave_route_unanswered(&mut self, fault_step: FaultStep, fault: &Fault) {
         let servers = self.draw_servers(fault.share);
         let name = fault.route.as_ref();
@@ -238,15 +246,15 @@
             .insert(fault_step.fault, servers);
     }
 
-    /// Ends what a fault did to its servers.
-    fn relieve_servers(&mut self, fault: usize, relieve: impl Fn(&mut Server)) {
+    /// Restores the servers that a fault affects.
+    fn restore_servers(&mut self, fault: usize, restore: impl Fn(&mut Server)) {
         let servers = self.faults.affected_servers.remove(&fault);
         for server in servers.unwrap_or_default() {
-            relieve(self.server_mut(server));
+            restore(self.server_mut(server));
         }
     }
 
-    /// A share of the servers is silent or down until then.
+    /// Makes a share of the servers silent or takes them down until `until`.
     fn take_servers_down(
         &mut self,
         fault: &Fault,
@@ -260,7 +268,7 @@
         }
     }
 
-    /// A whole zone's servers are silent until then.
+    /// Makes all servers of a zone silent until `until`.
     fn silence_zone(&mut self, zone: usize, until: Duration, actions: &mut Vec<Action>) {
         let affected = |server: &Server| {
             server.zone == zone
@@ -280,7 +288,7 @@
             .schedule(due, WorldEvent::ServerReturns(server));
     }
 
-    /// A server's process ends, or is not heard any more.
+    /// Makes a server silent or takes it down, as `health` says. Overloaded servers stay as they are.
     fn take_server_down(&mut self, server: ServerId, health: Health, actions: &mut Vec<Action>) {
         if self.server(server).health == Health::Overloaded {
             return;
@@ -291,7 +299,7 @@
         }
     }
 
-    /// A server that was away is back under its old name, and warms up.
+    /// Restarts a server that was silent or down under its old name. It begins a slow start.
     pub(super) fn on_server_returns(
         &mut self,
         now: Duration,
@@ -299,14 +307,14 @@
         actions: &mut Vec<Action>,
     ) {
         let server = self.server_mut(id);
-        let is_away = matches!(server.health, Health::Silent | Health::Down);
-        if !is_away || server.listing != ListingState::Active {
+        let is_unavailable = matches!(server.health, Health::Silent | Health::Down);
+        if !is_unavailable || server.listing != ListingState::Active {
             return;
         }
         let was_silent = server.health == Health::Silent;
         server.start(now);
         if was_silent {
-            // What a silent machine still held open is reset when it is back.
+            // Connections that a silent server still held open are reset when it returns.
             server.incarnation += 1;
             actions.push(Action::StopServer(id));
         }
@@ -314,11 +322,11 @@
         self.change_endpoint(now, id, ListingState::Active);
     }
 
-    /// Servers are replaced one after another, each by a new one that warms up.
+    /// Replaces one server per step by a new one of the same zone and machine type, which begins a slow start.
     fn replace_server(&mut self, fault_step: FaultStep, fault: &Fault, actions: &mut Vec<Action>) {
         if fault_step.step == 0 {
             let servers = self.draw_servers(fault.share);
-            self.schedule_further_steps(fault_step, fault.duration, servers.len());
+            self.schedule_later_steps(fault_step, fault.duration, servers.len());
             self.faults
                 .affected_servers
                 .insert(fault_step.fault, servers);
@@ -329,21 +337,23 @@
         let old = *old;
         let zone = self.server(old).zone;
         let machine_type = self.server(old).machine_type.as_str();
-        let mut kinds = self.experiment.fleet.machine_types.iter();
-        let kind = kinds
-            .position(|kind| kind.name == machine_type)
+        let mut machine_types = self.experiment.fleet.machine_types.iter();
+        let machine_type_index = machine_types
+            .position(|it| it.name == machine_type)
             .unwrap_or(0);
         self.server_mut(old).listing = ListingState::Draining;
         self.change_endpoint(fault_step.now, old, ListingState::Draining);
-        let replacement = self.add_server(zone, kind);
+        let replacement = self.add_server(zone, machine_type_index);
         self.server_mut(replacement).start(fault_step.now);
         actions.push(Action::AddServer(replacement));
         self.change_endpoint(fault_step.now, replacement, ListingState::Active);
-        self.event_queue
-            .schedule(fault_step.now + DRAIN_TIME, WorldEvent::ServerRetires(old));
+        self.event_queue.schedule(
+            fault_step.now + DRAIN_DURATION,
+            WorldEvent::ServerRetires(old),
+        );
     }
 
-    /// A draining server has finished what it had: its process ends and the endpoint list drops it.
+    /// Ends the process of a drained server and removes it from the endpoint list.
     pub(super) fn on_server_retires(
         &mut self,
         now: Duration,
@@ -357,7 +367,7 @@
 
     // ---- the endpoint list ----
 
-    /// The list drops a share of the servers, though they are in service.
+    /// Removes a share of the servers from the endpoint list, although they are up.
     fn delist_servers(&mut self, fault_step: FaultStep, fault: &Fault) {
         let servers = self.draw_servers(fault.share);
         for server in &servers {
@@ -368,7 +378,7 @@
             .insert(fault_step.fault, servers);
     }
 
-    /// The list gives the servers that it had dropped as they are.
+    /// Lists the servers again that a fault removed from the endpoint list, with their current state.
     fn relist_servers(&mut self, now: Duration, fault: usize) {
         let servers = self.faults.affected_servers.remove(&fault);
         for server in servers.unwrap_or_default() {
@@ -379,11 +389,11 @@
 
     // ---- clients ----
 
-    /// A share of the accounts comes through another busiest gateway.
+    /// Moves the busiest gateway of each account on by a random number of gateways, with probability `share`.
     fn shift_accounts(&mut self, share: f64) {
         for account in &mut self.clients.accounts {
             if self.rng.generate::<f64>() < share {
-                let shift = 1 + self.rng.generate::<u32>() % MAX_SHIFT;
+                let shift = 1 + self.rng.generate::<u32>() % MAX_GATEWAY_SHIFT;
                 account.busiest_offset += shift as usize;
             }
         }
@@ -391,7 +401,7 @@
 
     // ---- gateways ----
 
-    /// A share of the gateways, by chance.
+    /// Draws a share of the gateways.
     fn draw_gateways(&mut self, share: f64) -> Vec<usize> {
         let mut drawn: Vec<usize> = (0..self.gateways.count()).collect();
         let count = (drawn.len() as f64 * share).round() as usize;
@@ -400,6 +410,7 @@
         drawn
     }
 
+    /// Kills a share of the gateways and starts them again at `until`.
     fn kill_gateways(
         &mut self,
         fault_step: FaultStep,
@@ -414,17 +425,19 @@
         }
     }
 
-    /// Discovery and counter of a share of the gateways get new addresses.
+    /// Gives discovery and the counter new addresses for a share of the gateways.
     fn move_gateways(&mut self, share: f64, actions: &mut Vec<Action>) {
         let moved = self.draw_gateways(share);
         actions.extend(moved.into_iter().map(Action::MovePlatform));
     }
 
-    /// Gateways are told to stop one after another, and killed when all that they had must be answered.
+    /// Tells one gateway per step to stop, if it is ready. The gateway is killed after the longest client timeout (at
+    /// most [`MAX_STOP_WAIT_SECONDS`]) and a margin, and is then started again. It must have answered its requests by
+    /// the kill.
     fn restart_gateway(&mut self, fault_step: FaultStep, fault: &Fault, actions: &mut Vec<Action>) {
         if fault_step.step == 0 {
             let gateways = self.draw_gateways(fault.share);
-            self.schedule_further_steps(fault_step, fault.duration, gateways.len());
+            self.schedule_later_steps(fault_step, fault.duration, gateways.len());
             self.faults
                 .affected_gateways
                 .insert(fault_step.fault, gateways);
@@ -453,12 +466,12 @@
     }
 }
 
-/// A server takes so many times as long.
+/// Multiplies a server's execution times by a factor.
 fn slow_down(server: &mut Server, factor: f64) {
     server.slowdown *= factor;
 }
 
-/// A share of a server's responses are errors.
-fn fail_some(server: &mut Server, share: f64) {
+/// Makes a share of a server's responses errors.
+fn set_failure_share(server: &mut Server, share: f64) {
     server.failure_share = share.min(1.0);
 }
--- a/lab/src/world/platform.rs
+++ b/lab/src/world/platform.rs
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Handles a datagram from one gateway to another. Returns the delay after which it arrives, or `None` if it is lost.
+    /// Handles a datagram from one gateway to another. Returns the delay after which it arrives, or `None` if it is
+    /// lost.
     pub(crate) fn on_datagram(
         &mut self,
         now: Duration,
@@ -182,8 +183,8 @@
         self.gateways.set_state(now, gateway, GatewayState::Ready);
     }
 
-    /// Records that a gateway's process has ended by itself. The rule checker still expects answers to the requests that
-    /// it had accepted.
+    /// Records that a gateway's process has ended by itself. The rule checker still expects answers to the requests
+    /// that it had accepted.
     pub(crate) fn on_gateway_exit(&mut self, now: Duration, gateway: usize) {
         if self.gateways.state(gateway) != GatewayState::Down {
             self.gateways.set_down(now, gateway, false);
--- a/lab/src/world/requests.rs
+++ b/lab/src/world/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: how they arrive, which gateway they go to, how they end and when they are sent again.
+//! Client requests: how they arrive, which gateway receives them, how they end and when they are retried.
 
 use super::gateways::GatewayState;
 use super::span::seconds;
@@ -11,31 +11,31 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One request as a client sends it.
+/// A request that a client sends.
 pub(crate) struct ClientRequest {
-    /// What the client wants by it.
+    /// The operation that it is sent for.
     pub(crate) operation: OperationId,
-    /// The gateway that the front routed it to.
+    /// The index of the gateway that the load balancer routed it to.
     pub(crate) gateway: usize,
-    /// When it was meant to be sent: latency counts from here.
+    /// When it was scheduled to be sent. Latencies are measured from this time.
     pub(crate) scheduled_at: Duration,
-    /// When its client timeout ends.
+    /// When the client timeout ends.
     pub(crate) deadline: Duration,
-    /// The client has its answer, or waits no longer.
+    /// Whether the client has its answer or no longer waits for it.
     pub(crate) closed: bool,
-    /// At least one attempt for it has reached a server.
+    /// Whether at least one attempt for it has reached a server.
     pub(super) forwarded: bool,
 }
 
-/// RecordedRequest requests that are played in place of drawn arrivals.
+/// Recorded requests that are replayed in place of drawn arrivals.
 pub(super) struct Replay {
     requests: Vec<RecordedRequest>,
-    /// Index of the account of each recorded one.
+    /// The index of the account that replays each recorded account, by the recorded account's name.
     accounts: BTreeMap<u64, usize>,
 }
 
 impl Replay {
-    /// The requests of a recording; none: arrivals are drawn.
+    /// Creates a replay of the requests of a recording. If it is empty, arrivals are drawn.
     pub(super) fn new(requests: Vec<RecordedRequest>) -> Replay {
         Replay {
             requests,
@@ -45,7 +45,7 @@
 }
 
 impl World {
-    /// Schedules the first arrival, or all that were recorded.
+    /// Schedules the first drawn arrival, or all recorded ones.
     pub(super) fn schedule_arrivals(&mut self) {
         if self.replay.requests.is_empty() {
             self.schedule_next_arrival(Duration::ZERO);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The next operation arrives, if one does.
+    /// Handles a drawn arrival, unless it is thinned out, and schedules the next one.
     pub(super) fn on_arrival(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if let Some(known_account) = self.clients.draw_arrival(now) {
             let account = self.draw_new_account(now, known_account);
@@ -74,7 +74,8 @@
         self.schedule_next_arrival(now);
     }
 
-    /// While new accounts arrive, one of the same plan in place of the one that was drawn, by chance.
+    /// Returns the drawn account or, during a period with new accounts and with their share as the probability, a new
+    /// account of the same plan.
     fn draw_new_account(&mut self, now: Duration, known_account: usize) -> usize {
         let Some(share) = self.clients.scan_share(now) else {
             return known_account;
@@ -92,7 +93,7 @@
         account
     }
 
-    /// A recorded request arrives, if the experiment knows its route and plan.
+    /// Handles the arrival of a recorded request. It is ignored if the experiment does not have its route or plan.
     pub(super) fn on_replayed_arrival(
         &mut self,
         now: Duration,
@@ -115,6 +116,7 @@
         self.begin_operation(now, operation, actions);
     }
 
+    /// Returns the account that replays the recorded account of this name. It is added at its first request.
     fn replayed_account(&mut self, name: u64, plan: usize) -> usize {
         if let Some(account) = self.replay.accounts.get(&name) {
             return *account;
@@ -125,7 +127,7 @@
         account
     }
 
-    /// What an answer to an operation is worth: its billed value times the plan's price.
+    /// Returns the value of an answer to an operation: the route's billed value times the plan's price times the units.
     fn operation_value(&self, operation: usize) -> f64 {
         let operation = &self.clients.operations[operation];
         let plan = self.clients.accounts[operation.account as usize].plan;
@@ -133,25 +135,26 @@
         self.experiment.routes[operation.route].billed_value * price * operation.units
     }
 
-    /// A client wants something new: inside the quota it counts as requested value.
+    /// Sends the first request for an operation. If the operation is within the quota, it counts as requested value.
     fn begin_operation(&mut self, now: Duration, operation: usize, actions: &mut Vec<Action>) {
-        if self.clients.operations[operation].entitled {
+        if self.clients.operations[operation].requested_within_quota {
             self.metrics.second_at(now).requested_value += self.operation_value(operation);
         }
         self.send_request(now, OperationId(operation as u32), actions);
     }
 
-    /// A client sends a request for an operation, to the gateway that the front routes it to.
+    /// Sends a request for an operation to the gateway that the load balancer routes it to. Sends none if the operation
+    /// is done or the clients' time is over.
     pub(super) fn send_request(
         &mut self,
         now: Duration,
         operation: OperationId,
         actions: &mut Vec<Action>,
     ) {
-        let wanted = self.operation(operation);
-        let account = wanted.account as usize;
-        let route = wanted.route;
-        if wanted.done || now >= self.length {
+        let state = self.operation(operation);
+        let account = state.account as usize;
+        let route = state.route;
+        if state.done || now >= self.length {
             return;
         }
         self.metrics.second_at(now).requests += 1;
@@ -174,7 +177,8 @@
         actions.push(Action::SendRequest(id));
     }
 
-    /// The gateway that a request of an account goes to; none where the front leads it to one that is down.
+    /// Returns the gateway that a request of an account is routed to. Returns `None` if that gateway is down and the
+    /// load balancer has not detected it yet, or if there is no gateway to route to.
     fn route_request(&mut self, now: Duration, account: usize) -> Option<usize> {
         let failure_detection_delay = seconds(self.experiment.load.front_detection_delay);
         let order = self.clients.draw_gateway_order(account, now);
@@ -185,12 +189,13 @@
         (self.gateways.state(gateway) != GatewayState::Down).then_some(gateway)
     }
 
-    /// When the client of a new request gives up, if it does, and when its timeout is over.
+    /// Draws how long the client of a new request waits, and schedules when it gives up and when its timeout is over.
     fn schedule_request_end(&mut self, now: Duration, id: ClientRequestId, timeout: Duration) {
-        let least_patience = self.experiment.load.patience * self.clients.patience;
-        let patience = least_patience + (1.0 - least_patience) * self.rng.generate::<f64>();
-        if patience < 1.0 {
-            let gives_up_at = now + timeout.mul_f64(patience);
+        // Shares of the client timeout.
+        let min_wait = self.experiment.load.patience * self.clients.patience_factor;
+        let wait = min_wait + (1.0 - min_wait) * self.rng.generate::<f64>();
+        if wait < 1.0 {
+            let gives_up_at = now + timeout.mul_f64(wait);
             self.event_queue
                 .schedule(gives_up_at, WorldEvent::ClientGivesUp(id));
         }
@@ -199,7 +204,7 @@
             .schedule(timeout_over, WorldEvent::ClientTimeout(id));
     }
 
-    /// The gateway has accepted a request: from now on it owes an answer.
+    /// Records that the gateway has accepted a request, which from now on needs a final answer.
     pub(crate) fn on_request_accepted(&mut self, now: Duration, id: ClientRequestId) {
         let request = self.request(id);
         let operation = self.operation(request.operation);
@@ -215,7 +220,8 @@
         self.rule_checker.on_request_accepted(accepted);
     }
 
-    /// No gateway has accepted a request: its process has gone, perhaps in the moment in which it was written.
+    /// Handles a request that no gateway has accepted, because the process ended before or while it was written, or
+    /// that was open at a gateway that was killed.
     pub(crate) fn on_request_not_accepted(&mut self, now: Duration, id: ClientRequestId) {
         self.rule_checker.on_request_not_accepted(id);
         if let Some(operation) = self.close_request(id) {
@@ -224,14 +230,15 @@
         }
     }
 
-    /// Marks a request as closed; its operation, unless it was closed before.
+    /// Marks a request as closed. Returns its operation, or `None` if it was already closed.
     fn close_request(&mut self, id: ClientRequestId) -> Option<OperationId> {
         let request = &mut self.requests[id.0 as usize];
         let was_closed = std::mem::replace(&mut request.closed, true);
         (!was_closed).then_some(request.operation)
     }
 
-    /// The client sends another request, if it does: when it was told to, or after a wait of its own.
+    /// Schedules a retry of an operation, unless it is done or has no retries left. The client waits for `retry_after`
+    /// if it honors it, otherwise for a random time around its own retry delay.
     fn schedule_retry(
         &mut self,
         now: Duration,
@@ -239,14 +246,14 @@
         retry_after: Option<Duration>,
     ) {
         let load = &self.experiment.load;
-        let wanted = &mut self.clients.operations[operation.0 as usize];
-        if wanted.retries >= load.max_retries || wanted.done {
+        let state = &mut self.clients.operations[operation.0 as usize];
+        if state.retries >= load.max_retries || state.done {
             return;
         }
-        wanted.retries += 1;
-        let account = &self.clients.accounts[wanted.account as usize];
-        let honors_retry_after =
-            account.honors_retry_after && self.rng.generate::<f64>() >= self.clients.ignoring_share;
+        state.retries += 1;
+        let account = &self.clients.accounts[state.account as usize];
+        let honors_retry_after = account.honors_retry_after
+            && self.rng.generate::<f64>() >= self.clients.ignored_retry_after_share;
         let own_wait = seconds(load.retry_delay).mul_f64(0.5 + self.rng.generate::<f64>());
         let wait = match retry_after {
             Some(retry_after) if honors_retry_after => retry_after,
@@ -256,7 +263,7 @@
             .schedule(now + wait, WorldEvent::ClientRetry(operation));
     }
 
-    /// A client gives up waiting before its timeout.
+    /// Handles a client that gives up and closes its connection before its timeout.
     pub(super) fn on_client_gives_up(
         &mut self,
         now: Duration,
@@ -271,7 +278,7 @@
         }
     }
 
-    /// The client timeout of a request is over.
+    /// Handles the end of the client timeout of a request.
     pub(super) fn on_client_timeout(&mut self, now: Duration, id: ClientRequestId) {
         self.rule_checker.on_deadline(now, id);
         if let Some(operation) = self.close_request(id) {
@@ -280,7 +287,8 @@
         }
     }
 
-    /// A client has its final answer; `retry_after` is for how long a rejection asks it to wait.
+    /// Handles the final answer of a request, or the end of its connection. `retry_after` is the wait that a rejection
+    /// asks for.
     pub(crate) fn on_final_answer(
         &mut self,
         now: Duration,
@@ -311,7 +319,8 @@
         }
     }
 
-    /// An operation is served: its value counts once, in the second in which the request was meant to be sent.
+    /// Marks an operation as done. If it was forwarded within the quota, its value counts once, in the second for which
+    /// the answered request was scheduled; late answers count only in part.
     fn finish_operation(
         &mut self,
         operation: OperationId,
@@ -326,14 +335,14 @@
         } else {
             route.late_value_ratio
         };
-        if finished.within_quota && !finished.done {
+        if finished.forwarded_within_quota && !finished.done {
             let value = self.operation_value(index);
             self.metrics.second_at(scheduled_at).value_in_time += value * value_share;
         }
         self.clients.operations[index].done = true;
     }
 
-    /// Whether the customer's quota and concurrency limit had room for a request that was rejected.
+    /// Records whether the customer's quota and concurrency limit would have allowed a request that was rejected.
     fn record_room_at_rejection(&mut self, now: Duration, operation: OperationId) {
         let rejected = &self.clients.operations[operation.0 as usize];
         let units = rejected.units;
--- a/lab/src/world/server.rs
+++ b/lab/src/world/server.rs
@@ -254,8 +254,8 @@
         Admission::Queued
     }
 
-    /// Adds a task to the work that arrived during the slow start, and marks the server as overloaded if the work of the
-    /// overload window exceeds the threshold. Rejected tasks count as well.
+    /// Adds a task to the work that arrived during the slow start, and marks the server as overloaded if the work of
+    /// the overload window exceeds the threshold. Rejected tasks count as well.
     fn record_warm_up_work(&mut self, now: Duration, task: &Task) {
         let window = self.spec.overload_window;
         self.warm_up_work.push_back(WarmUpWork {
