--- a/lab/src/rule_checker.rs
+++ b/lab/src/rule_checker.rs
@@ -98,7 +98,7 @@
     /// When a gateway was first notified that a server is draining or removed, by gateway and server.
     draining_since: BTreeMap<(usize, ServerId), Duration>,
     locations: BTreeMap<ServerId, ServerLocation>,
-    /// By the account's index.
+    /// The token buckets of the customers' ceilings, by the account's index.
     ceilings: BTreeMap<u32, CeilingBucket>,
     /// The index of each account's plan, by the account's index.
     plans: BTreeMap<u32, usize>,
--- a/lab/src/world/endpoint_list.rs
+++ b/lab/src/world/endpoint_list.rs
@@ -46,7 +46,7 @@
 /// The endpoint list, its faults, and the changes that each gateway knows.
 pub(super) struct EndpointList {
     changes: Vec<EndpointChange>,
-    /// By the gateway's index.
+    /// The changes that each gateway was notified of, by the gateway's index.
     gateways: Vec<NotificationState>,
     /// The largest random delay of a notification without a fault, in seconds.
     max_delay_seconds: f64,
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -299,7 +299,7 @@
         }
     }
 
-    /// Restarts a server that was silent or down under its old name. It begins a slow start.
+    /// Restarts a server that was silent or down. It keeps its name and begins a slow start.
     pub(super) fn on_server_returns(
         &mut self,
         now: Duration,
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -86,8 +86,8 @@
     network: Network,
     replay: Replay,
     faults: FaultState,
-    /// The random generator of everything but the clients' demand. Clients have their own generators, so that all
-    /// variants of an experiment get the same arrivals.
+    /// The random generator of the world, except for accounts, arrivals and operations. [`Clients`] draws these with
+    /// its own generators, so that all variants of an experiment get the same arrivals.
     rng: WyRand,
     response_delay: ResponseDelay,
     /// How long clients send requests.
@@ -163,7 +163,8 @@
         }
     }
 
-    /// Adds a server to the world, but not to the endpoint list. `machine_type` is an index.
+    /// Adds a server to the world, but not to the endpoint list. `machine_type` is the index of its machine type in the
+    /// experiment.
     fn add_server(&mut self, zone: usize, machine_type: usize) -> ServerId {
         let fleet = &self.experiment.fleet;
         let machine_type = &fleet.machine_types[machine_type];
--- a/lab/src/world/network.rs
+++ b/lab/src/world/network.rs
@@ -35,7 +35,7 @@
     receive_rate: f64,
     /// The share of datagrams that are lost because of a fault.
     extra_loss: TimedValue,
-    /// By the gateway's index.
+    /// The receive budgets of all gateways, by the gateway's index.
     receive_budgets: Vec<ReceiveBudget>,
     /// All partitions so far, including those that have ended.
     partitions: Vec<ZonePartition>,
