--- a/lab/src/decision_engine/external.rs
+++ b/lab/src/decision_engine/external.rs
@@ -1,5 +1,5 @@
-//! The controllers of another build, in a process of its own that speaks the simulator's wire: JSON lines over
-//! pipes, in batches of all that happens at one moment.
+//! Runs the controllers of another build in a child process, through the protocol of its simulator adapter: JSON
+//! lines over pipes, in batches of the events that have the same time.
 
 use super::{DecisionEngine, DecisionEngineError, GatewayAction, GatewayEvent, IssuedAction};
 use serde_json::{json, Value};
@@ -11,23 +11,25 @@
     EndpointState, EndpointUpdate, Request, RequestId, TimerToken,
 };
 
-/// The line that ends a batch; the other build answers it with its actions and a `finished`.
+/// The line that ends a batch. The child process replies with its actions, followed by a `finished` line.
 const END_OF_BATCH: &str = "{\"event_type\":\"eob\"}\n";
 
-/// The other build and what has been exchanged with it.
+/// The child process that runs another build's controllers, and the messages exchanged with it.
 pub struct ExternalEngine {
     program: String,
     child: Child,
     input: ChildStdin,
     output: BufReader<ChildStdout>,
-    /// Lines of the moment `batch_time` that are not sent yet.
+    /// Lines of the events at `batch_time` that have not been sent yet.
     batch: String,
     batch_time: Option<Duration>,
     actions: Vec<IssuedAction>,
 }
 
 impl ExternalEngine {
-    /// Starts a build's adapter to the simulator.
+    /// Starts the simulator adapter of another build. `program` is the path of its executable.
+    ///
+    /// Fails if the process or its pipes can't be created.
     pub fn start(program: &str) -> Result<ExternalEngine, DecisionEngineError> {
         let start_error = |source| DecisionEngineError::Start {
             program: program.to_string(),
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Adds an event to the batch of its moment; the batch of an earlier moment is sent first.
+    /// Adds an event to the current batch. If that batch has another time, it is sent first and a new one begins.
     fn push_event(&mut self, now: Duration, event: &Value) -> Result<(), DecisionEngineError> {
         if self.batch_time != Some(now) {
             self.exchange_batch()?;
@@ -71,7 +73,7 @@
         Ok(())
     }
 
-    /// Sends the batch, and reads the actions that answer it.
+    /// Sends the current batch, unless it is empty, and reads the actions that the child process replies with.
     fn exchange_batch(&mut self) -> Result<(), DecisionEngineError> {
         if self.batch.is_empty() {
             return Ok(());
@@ -102,6 +104,7 @@
         }
         serde_json::from_str(&line).map_err(|source| DecisionEngineError::Line {
             program: self.program.clone(),
+            line: line.trim_end().to_string(),
             source,
         })
     }
@@ -130,8 +133,8 @@
     }
 }
 
-fn nanoseconds(span: Duration) -> u64 {
-    span.as_nanos() as u64
+fn nanoseconds(duration: Duration) -> u64 {
+    duration.as_nanos() as u64
 }
 
 fn encode_event(gateway: usize, event: GatewayEvent) -> Value {
@@ -223,17 +226,17 @@
     })
 }
 
-/// An action on the simulator's wire; none where the simulated run needs none.
+/// Decodes an action from a line of the simulator protocol. Returns `None` for actions that simulated runs ignore.
 fn decode_action(line: &Value) -> Option<GatewayAction> {
     let text = |field: &str| line[field].as_str().unwrap_or_default();
     let integer = |field: &str| line[field].as_u64().unwrap_or(0);
-    let span = |field: &str| Duration::from_nanos(integer(field));
+    let duration = |field: &str| Duration::from_nanos(integer(field));
     let request = RequestId::from(text("txn"));
     Some(match text("event_type") {
         "transmit" => GatewayAction::Send {
             request,
             endpoint: text("server").into(),
-            timeout: span("timeout_ns"),
+            timeout: duration("timeout_ns"),
         },
         "undo_send" => GatewayAction::Cancel {
             request,
@@ -241,17 +244,17 @@
         },
         "turn_away" => GatewayAction::Reject {
             request,
-            retry_after: span("backoff_ns"),
+            retry_after: duration("backoff_ns"),
         },
         "give_up" => GatewayAction::Fail { request },
         "bump" => GatewayAction::AddToCounter {
             name: CounterName(integer("name")),
             amount: line["step"].as_f64().unwrap_or(0.0),
-            ttl: span("expire_in_ns"),
+            ttl: duration("expire_in_ns"),
         },
         "defer" => GatewayAction::SetTimer {
             token: TimerToken(integer("token")),
-            at: span("due_at_ns"),
+            at: duration("due_at_ns"),
         },
         "post" => GatewayAction::SendToPeer {
             peer: line["recipient"].as_u64().map(|peer| peer as u32),
@@ -261,7 +264,7 @@
     })
 }
 
-/// The bytes of a text of hexadecimal digits; pairs that are none are left out.
+/// Decodes a text of hexadecimal digits into bytes. Pairs that are not hexadecimal are skipped.
 fn decode_hex(text: &str) -> Vec<u8> {
     (0..text.len() / 2)
         .filter_map(|index| u8::from_str_radix(&text[index * 2..index * 2 + 2], 16).ok())
--- a/lab/src/decision_engine/in_process.rs
+++ b/lab/src/decision_engine/in_process.rs
@@ -1,4 +1,4 @@
-//! The controllers of all gateways in this process.
+//! Runs the controllers of all gateways in this process.
 
 use super::{DecisionEngine, DecisionEngineError, GatewayAction, GatewayEvent, IssuedAction};
 use serde_json::Value;
@@ -13,7 +13,7 @@
 
 type ActionLog = Rc<RefCell<Vec<IssuedAction>>>;
 
-/// A gateway's port: what its controller does is written to the log that all gateways share.
+/// The port of one gateway. It appends the actions of the gateway's controller to a log that all gateways share.
 struct LoggingPort {
     gateway: usize,
     log: ActionLog,
@@ -78,8 +78,8 @@
         });
     }
 
-    // The simulated run needs none of the following: it hands out endpoint updates by itself, and the controller
-    // sends no probes.
+    // Simulated runs ignore the remaining actions: endpoint updates are delivered without a subscription, and load
+    // probes, idle connections and log lines are not simulated.
     fn probe(&mut self, _endpoint: &EndpointId) {}
     fn subscribe(&mut self, _active: bool) {}
     fn refetch_endpoints(&mut self) {}
@@ -87,7 +87,7 @@
     fn log(&mut self, _text: &str) {}
 }
 
-/// The controllers of the gateways that are running.
+/// The controllers of the running gateways, by gateway number, and the actions that they have issued.
 #[derive(Default)]
 pub struct InProcessEngine {
     controllers: BTreeMap<usize, AdmissionController>,
--- a/lab/src/decision_engine/mod.rs
+++ b/lab/src/decision_engine/mod.rs
@@ -1,6 +1,6 @@
-//! What decides at the gateways of a simulated run: the controller itself, in this process
-//! ([`InProcessEngine`]), or that of another build, over the simulator's wire ([`ExternalEngine`]). Either is
-//! handed what happened at a gateway and returns what the gateway does about it.
+//! Decision engines make the decisions of the gateways in a simulated run. [`InProcessEngine`] runs this build's
+//! controller in this process, [`ExternalEngine`] that of another build over the simulator protocol. Both receive the
+//! events of the gateways and return the actions that the gateways take.
 
 mod external;
 mod in_process;
@@ -17,35 +17,35 @@
 };
 use wellcrank_settings::SettingsError;
 
-/// Something that happened at a gateway, named after the controller's entry points.
+/// An event at a gateway, named after the controller's entry points.
 pub enum GatewayEvent {
-    /// Its process starts.
+    /// The gateway's process starts.
     Start {
-        /// The settings in the platform's JSON.
+        /// The settings, as the JSON object that the platform passes to a gateway.
         settings: Value,
-        /// The seed of the controller's random generator.
+        /// The seed of the controller's random number generator.
         seed: u64,
     },
-    /// Its process is killed.
+    /// The gateway's process is killed.
     Kill,
-    /// Discovery has news.
+    /// Discovery reports an update of the endpoint list.
     EndpointUpdate(EndpointUpdate),
-    /// A request has come in.
+    /// A client request has arrived.
     Request(Request),
     /// An upstream attempt has ended.
     AttemptEnd {
-        /// The request that was sent on.
+        /// The request that the attempt was for.
         request: RequestId,
-        /// Which of its attempts.
+        /// The number of the attempt within the request.
         attempt: AttemptNumber,
-        /// How it ended.
+        /// How the attempt ended.
         result: AttemptResult,
     },
-    /// The shared counter has replied to the oldest open call for a name.
+    /// The shared counter has replied to the oldest pending call for a name, or that call has failed.
     CounterReply {
-        /// The number that was added to.
+        /// The name of the counter.
         name: CounterName,
-        /// The reply.
+        /// The reply, or what is known about a call that has failed.
         reply: CounterReply,
     },
     /// The client of a request has closed its connection.
@@ -54,74 +54,74 @@
     Timer(TimerToken),
 }
 
-/// Something that a gateway does, named after the functions of [`wellcrank::port::Port`].
+/// An action of a gateway, named after the functions of [`wellcrank::port::Port`].
 #[derive(Clone, Debug)]
 pub enum GatewayAction {
-    /// Begins an upstream attempt.
+    /// Starts an upstream attempt.
     Send {
-        /// The request that is sent on.
+        /// The request to forward.
         request: RequestId,
-        /// Where it is sent.
+        /// The endpoint that receives the attempt.
         endpoint: EndpointId,
-        /// How long an answer is waited for; zero: until the request's deadline.
+        /// The timeout of the attempt. Zero means until the request's deadline.
         timeout: Duration,
     },
-    /// Gives an attempt up that is out.
+    /// Cancels an attempt in flight.
     Cancel {
-        /// The request that was sent on.
+        /// The request that the attempt is for.
         request: RequestId,
-        /// Which of its attempts.
+        /// The number of the attempt within the request.
         attempt: AttemptNumber,
     },
-    /// The final answer that it is harmless to ask again.
+    /// Sends the final answer that the request was rejected and that a retry is safe.
     Reject {
-        /// The request that is answered.
+        /// The request to answer.
         request: RequestId,
-        /// After how long it may be asked again.
+        /// How long the client should wait before it retries.
         retry_after: Duration,
     },
-    /// The final answer of failure.
+    /// Sends the final answer that the request failed.
     Fail {
-        /// The request that is answered.
+        /// The request to answer.
         request: RequestId,
     },
-    /// Adds to a number on the shared counter.
+    /// Adds an amount to a value on the shared counter.
     AddToCounter {
-        /// The name of the number.
+        /// The name of the counter.
         name: CounterName,
-        /// How much is added.
+        /// The amount to add; negative amounts subtract.
         amount: f64,
-        /// For how long the counter keeps the name.
+        /// How long the counter keeps the value, from the first call with its name.
         ttl: Duration,
     },
     /// Sets a timer.
     SetTimer {
-        /// What the timer comes back with.
+        /// The token that is returned to the controller when the timer fires.
         token: TimerToken,
-        /// When it fires, by the gateway's clock.
+        /// The time at which it fires, on the gateway's clock.
         at: Duration,
     },
-    /// Sends a datagram to one gateway, or to all others.
+    /// Sends a datagram to one gateway, or to all other gateways.
     SendToPeer {
-        /// The number of the gateway; none: all.
+        /// The number of the receiving gateway. `None` means all other gateways.
         peer: Option<u32>,
-        /// The datagram.
+        /// The payload of the datagram.
         body: Vec<u8>,
     },
 }
 
-/// An action and the gateway that takes it.
+/// An action and the gateway that issued it.
 #[derive(Clone, Debug)]
 pub struct IssuedAction {
     /// The number of the gateway.
     pub gateway: usize,
-    /// What it does.
+    /// The action.
     pub action: GatewayAction,
 }
 
-/// Decides for all gateways of a simulated run.
+/// Makes the decisions of all gateways in a simulated run.
 pub trait DecisionEngine {
-    /// Something has happened at a gateway; `now` is the moment by the gateways' clock.
+    /// Delivers an event to a gateway's controller. `now` is the time on the gateways' clock.
     fn deliver(
         &mut self,
         now: Duration,
@@ -129,45 +129,47 @@
         event: GatewayEvent,
     ) -> Result<(), DecisionEngineError>;
 
-    /// All actions since the last call, in the order in which they were taken.
+    /// Returns all actions that were issued since the last call, in the order in which they were issued.
     fn take_actions(&mut self) -> Result<Vec<IssuedAction>, DecisionEngineError>;
 }
 
-/// Why decisions could not be had.
+/// An error of a decision engine.
 #[derive(Debug, thiserror::Error)]
 pub enum DecisionEngineError {
-    /// The settings of a gateway are refused.
-    #[error("gateway {gateway}")]
+    /// The settings of a gateway are invalid.
+    #[error("the settings of gateway {gateway} are invalid")]
     Settings {
         /// The number of the gateway.
         gateway: usize,
-        /// What is wrong with them.
+        /// What is wrong with the settings.
         #[source]
         source: SettingsError,
     },
-    /// The program of the other build could not be started.
-    #[error("{program}")]
+    /// The program of an external engine could not be started.
+    #[error("cannot start the decision engine program '{program}'")]
     Start {
         /// The path of the program.
         program: String,
-        /// What the system said.
+        /// The I/O error of the operating system.
         #[source]
         source: io::Error,
     },
-    /// The other build has closed the pipe from or to it, or it broke.
-    #[error("the pipe to {program}")]
+    /// The pipe to or from an external engine has been closed, or reading or writing it failed.
+    #[error("cannot exchange messages with the decision engine program '{program}'")]
     Pipe {
         /// The path of the program.
         program: String,
-        /// What the system said.
+        /// The I/O error of the operating system.
         #[source]
         source: io::Error,
     },
-    /// The other build wrote a line that is no JSON.
-    #[error("a line of {program}")]
+    /// An external engine wrote a line that is not valid JSON.
+    #[error("expected a line of JSON from the decision engine program '{program}', got '{line}'")]
     Line {
         /// The path of the program.
         program: String,
+        /// The line, without the line end.
+        line: String,
         /// What is wrong with the line.
         #[source]
         source: serde_json::Error,
