--- a/lab/src/simulated/attempts.rs
+++ b/lab/src/simulated/attempts.rs
@@ -1,4 +1,5 @@
-//! Upstream attempts of a simulated run: over a gateway's connections to servers, and back.
+//! The upstream attempts of a simulated run: connections from gateways to servers, attempts on their way to the
+//! servers, and responses on their way back.
 
 use super::defect::InjectedDefect;
 use super::event::Event;
@@ -14,66 +15,68 @@
 use std::time::Duration;
 use wellcrank::port::{AttemptNumber, AttemptOutcome, AttemptResult, EndpointId, RequestId};
 
-/// A gateway's node may use this part of its sockets for connections to servers: one in so many.
+/// The share of a gateway's sockets that it may use for connections to servers is 1 / `SERVER_SOCKET_DIVISOR`, as in
+/// the edge node.
 const SERVER_SOCKET_DIVISOR: usize = 3;
 
-/// One-way times until the command on a new connection has arrived: the handshake takes a round trip first.
-const NEW_CONNECTION_WAYS: u32 = 3;
+/// The number of one-way delays until the first command on a new connection arrives: the handshake takes a round trip
+/// before it.
+const NEW_CONNECTION_ONE_WAY_DELAYS: u32 = 3;
 
-/// Malformed responses of this kind and above begin with a whole, good one.
-const FIRST_SERVING_MALFORMED: u32 = 4;
+/// Malformed responses of this kind and all higher kinds begin with a complete, valid response.
+const FIRST_MALFORMED_KIND_WITH_VALID_RESPONSE: u32 = 4;
 
-/// Over what an attempt is sent.
+/// The connection that an attempt is sent over.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Connection {
     Reused,
     New,
 }
 
-/// How an attempt ended, for its gateway.
+/// How an attempt ended, as its gateway sees it.
 struct AttemptCompletion {
     outcome: AttemptOutcome,
     settled_units: Option<f64>,
-    /// The server's load by the name of the figure.
+    /// The load that the server reported, by metric name.
     load: BTreeMap<String, f64>,
-    /// Whether the connection may carry another attempt.
-    keeps_connection: bool,
+    /// Whether the connection may be reused for another attempt.
+    is_connection_reusable: bool,
 }
 
 impl AttemptCompletion {
-    /// An end that closes the connection, if there is one.
-    fn closing(outcome: AttemptOutcome) -> AttemptCompletion {
+    /// The end of an attempt after which its connection, if it has one, is closed.
+    fn closing_connection(outcome: AttemptOutcome) -> AttemptCompletion {
         AttemptCompletion {
             outcome,
             settled_units: None,
             load: BTreeMap::new(),
-            keeps_connection: false,
+            is_connection_reusable: false,
         }
     }
 
-    /// An end by a well-formed response, after which the connection may be used again.
-    fn keeping(outcome: AttemptOutcome) -> AttemptCompletion {
+    /// The end of an attempt by a well-formed response, after which its connection may be reused.
+    fn keeping_connection(outcome: AttemptOutcome) -> AttemptCompletion {
         AttemptCompletion {
-            keeps_connection: true,
-            ..AttemptCompletion::closing(outcome)
+            is_connection_reusable: true,
+            ..AttemptCompletion::closing_connection(outcome)
         }
     }
 }
 
-/// A server's load by the names that it has on the wire.
-fn load_figures(report: LoadReport) -> BTreeMap<String, f64> {
-    let figures = [
+/// A server's load, by the metric names of the wire format.
+fn load_metrics(report: LoadReport) -> BTreeMap<String, f64> {
+    let metrics = [
         ("inflight", report.in_flight as f64),
         ("queue", report.queued as f64),
         ("util", report.utilization),
     ];
-    figures
+    metrics
         .map(|(name, value)| (name.to_string(), value))
         .into()
 }
 
 impl SimulatedRun<'_> {
-    /// A gateway's controller begins an attempt.
+    /// Handles the start of an attempt by a gateway's controller.
     pub(super) fn on_send(
         &mut self,
         gateway: usize,
@@ -86,13 +89,13 @@
         };
         self.send_attempt(gateway, request, endpoint, timeout)?;
         let duplicates = self.defect == Some(InjectedDefect::DuplicatesAttempts);
-        if duplicates && self.duplicated.insert(request) {
+        if duplicates && self.duplicated_requests.insert(request) {
             self.send_attempt(gateway, request, endpoint, timeout)?;
         }
         Ok(())
     }
 
-    /// A gateway's controller gives an attempt up.
+    /// Handles the cancellation of an attempt by a gateway's controller.
     pub(super) fn on_cancel(
         &mut self,
         gateway: usize,
@@ -113,16 +116,22 @@
             return Ok(());
         }
         self.close_attempt_connection(key);
-        self.end_attempt(key, AttemptCompletion::closing(AttemptOutcome::Cancelled))
+        self.end_attempt(
+            key,
+            AttemptCompletion::closing_connection(AttemptOutcome::Cancelled),
+        )
     }
 
-    /// An attempt that has not ended, of a gateway that was not started anew since.
+    /// Returns an attempt in flight. Returns `None` if it has ended or if its gateway's process has been started or
+    /// killed since.
     fn in_flight(&mut self, key: AttemptKey) -> Option<&mut InFlightAttempt> {
         self.gateway(key.gateway)?.attempts.get_mut(&key.attempt)
     }
 
-    /// Sends a request on as the edge node does: if the request is open and has an attempt and time left, and if
-    /// the endpoint list allows it; over the connection that was used last, or a new one if there may be one.
+    /// Sends an attempt by the rules of the edge node. The request must be open and unanswered, must not have used up
+    /// its attempts or its time, and the endpoint list must allow sending to the server. The attempt uses the most
+    /// recently used idle connection to the server, or a new one. At the limit on connections, a new one replaces the
+    /// connection that has been idle for the longest time.
     fn send_attempt(
         &mut self,
         gateway: usize,
@@ -133,9 +142,9 @@
         let Some(open) = self.gateways[gateway].requests.get_mut(&request) else {
             return Ok(());
         };
-        let number = open.attempts_begun;
-        open.attempts_begun += 1;
-        let time_out_at = if timeout.is_zero() {
+        let number = open.attempts_started;
+        open.attempts_started += 1;
+        let times_out_at = if timeout.is_zero() {
             open.deadline
         } else {
             open.deadline.min(self.now + timeout)
@@ -150,30 +159,38 @@
         let in_flight = InFlightAttempt {
             server,
             sent_at: self.now,
-            arrived_as: None,
+            id: None,
         };
         self.gateways[gateway]
             .attempts
             .insert(key.attempt, in_flight);
-        if answered || time_out_at <= self.now || number >= self.world.experiment.fleet.max_attempts
+        if answered
+            || times_out_at <= self.now
+            || number >= self.world.experiment.fleet.max_attempts
         {
-            return self.end_attempt(key, AttemptCompletion::closing(AttemptOutcome::NotSent));
+            return self.end_attempt(
+                key,
+                AttemptCompletion::closing_connection(AttemptOutcome::NotSent),
+            );
         }
         if target.is_none() || !self.gateways[gateway].is_ready(server) {
             return self.end_attempt(
                 key,
-                AttemptCompletion::closing(AttemptOutcome::ConnectFailed),
+                AttemptCompletion::closing_connection(AttemptOutcome::ConnectFailed),
             );
         }
         let Some(connection) = self.obtain_connection(gateway, server) else {
-            return self.end_attempt(key, AttemptCompletion::closing(AttemptOutcome::NotSent));
+            return self.end_attempt(
+                key,
+                AttemptCompletion::closing_connection(AttemptOutcome::NotSent),
+            );
         };
-        self.carry_attempt(key, server, connection);
-        self.schedule(time_out_at, Event::AttemptTimeout(key));
+        self.schedule_attempt_arrival(key, server, connection);
+        self.schedule(times_out_at, Event::AttemptTimeout(key));
         Ok(())
     }
 
-    /// The server that an endpoint id means, as the program decides with the injected defect.
+    /// The server that an attempt for an endpoint id goes to. An injected defect may replace it by the newest server.
     fn target_server(&self, endpoint: &EndpointId) -> Option<ServerId> {
         let chosen = self.server_ids.get(&*endpoint.0).copied();
         if self.defect == Some(InjectedDefect::PrefersNewestServer) {
@@ -191,7 +208,7 @@
             .map(|(id, _)| id)
     }
 
-    /// A connection for an attempt; none where all sockets carry attempts.
+    /// Obtains a connection for an attempt. Returns `None` if the limit is reached and no connection is idle.
     fn obtain_connection(&mut self, gateway: usize, server: ServerId) -> Option<Connection> {
         let limit = self
             .world
@@ -212,19 +229,24 @@
         Some(Connection::New)
     }
 
-    /// An attempt is on its way to its server.
-    fn carry_attempt(&mut self, attempt: AttemptKey, server: ServerId, connection: Connection) {
-        let way = self.world.one_way_delay(attempt.gateway.gateway, server);
-        let ways = match connection {
+    /// Schedules the arrival of an attempt at its server.
+    fn schedule_attempt_arrival(
+        &mut self,
+        attempt: AttemptKey,
+        server: ServerId,
+        connection: Connection,
+    ) {
+        let one_way_delay = self.world.one_way_delay(attempt.gateway.gateway, server);
+        let delay_count = match connection {
             Connection::Reused => 1,
-            Connection::New => NEW_CONNECTION_WAYS,
+            Connection::New => NEW_CONNECTION_ONE_WAY_DELAYS,
         };
         let arrival = Event::AttemptArrival {
             attempt,
             server,
             new_connection: connection == Connection::New,
         };
-        self.schedule(self.now + way * ways, arrival);
+        self.schedule(self.now + one_way_delay * delay_count, arrival);
     }
 
     pub(super) fn on_attempt_arrival(
@@ -238,8 +260,8 @@
         }
         let gateway = key.gateway.gateway;
         if self.world.refuses_connections(server) {
-            let way = self.world.one_way_delay(gateway, server);
-            self.schedule(self.now + way, Event::ConnectionLost(key));
+            let delay = self.world.one_way_delay(gateway, server);
+            self.schedule(self.now + delay, Event::ConnectionLost(key));
             return Ok(());
         }
         let arrival = AttemptArrival {
@@ -249,35 +271,35 @@
             fresh_connection: new_connection,
         };
         let mut actions = Vec::new();
-        let arrived_as = self
+        let id = self
             .world
             .on_attempt_arrival(self.now, arrival, &mut actions);
-        self.attempts.insert(arrived_as, key);
+        self.attempts.insert(id, key);
         if let Some(attempt) = self.in_flight(key) {
-            attempt.arrived_as = Some(arrived_as);
+            attempt.id = Some(id);
         }
         self.perform_world_actions(actions)
     }
 
-    /// The gateway closes an attempt's connection; the server sees it one way later.
+    /// Closes an attempt's connection at the gateway. The server notices it after a one-way delay.
     fn close_attempt_connection(&mut self, key: AttemptKey) {
         let Some(attempt) = self.in_flight(key) else {
             return;
         };
         let server = attempt.server;
-        if let Some(arrived_as) = attempt.arrived_as {
-            self.abandon_attempt(key.gateway.gateway, server, arrived_as);
+        if let Some(id) = attempt.id {
+            self.abandon_attempt(key.gateway.gateway, server, id);
         }
     }
 
-    /// A gateway no longer waits for an attempt that has reached its server.
+    /// Schedules the time at which a server notices that the gateway no longer waits for an attempt.
     pub(super) fn abandon_attempt(&mut self, gateway: usize, server: ServerId, attempt: AttemptId) {
         self.attempts.remove(&attempt);
-        let way = self.world.one_way_delay(gateway, server);
-        self.schedule(self.now + way, Event::AttemptAbandoned(attempt));
+        let delay = self.world.one_way_delay(gateway, server);
+        self.schedule(self.now + delay, Event::AttemptAbandoned(attempt));
     }
 
-    /// All connections to a server are reset, and the attempts that it has with them.
+    /// Resets all connections to a server, together with the attempts on them.
     pub(super) fn reset_connections(&mut self, server: ServerId) {
         for gateway in 0..self.gateways.len() {
             let idle = self.gateways[gateway].connections.drop_idle_to(server);
@@ -285,54 +307,60 @@
                 self.world.on_disconnect(server);
             }
             let incarnation = self.incarnation(gateway);
-            for (attempt, arrived_as) in self.gateways[gateway].attempts_at(server) {
-                self.attempts.remove(&arrived_as);
-                self.world.on_attempt_abandoned(self.now, arrived_as);
-                let way = self.world.one_way_delay(gateway, server);
+            for (attempt, id) in self.gateways[gateway].attempts_at(server) {
+                self.attempts.remove(&id);
+                self.world.on_attempt_abandoned(self.now, id);
+                let delay = self.world.one_way_delay(gateway, server);
                 let key = AttemptKey {
                     gateway: incarnation,
                     attempt,
                 };
-                self.schedule(self.now + way, Event::ConnectionLost(key));
+                self.schedule(self.now + delay, Event::ConnectionLost(key));
             }
         }
     }
 
-    /// A server's response is on its way to the gateway.
-    pub(super) fn carry_response(&mut self, attempt: AttemptId, response: ServerResponse) {
+    /// Schedules the arrival of a server's response at the gateway.
+    pub(super) fn schedule_server_response(
+        &mut self,
+        attempt: AttemptId,
+        response: ServerResponse,
+    ) {
         let Some(key) = self.attempts.remove(&attempt) else {
             return;
         };
         let server = self.world.attempt(attempt).server;
-        let way = self.world.one_way_delay(key.gateway.gateway, server);
+        let delay = self.world.one_way_delay(key.gateway.gateway, server);
         let event = Event::ServerResponse {
             attempt: key,
             response,
         };
-        self.schedule(self.now + way, event);
+        self.schedule(self.now + delay, event);
     }
 
     pub(super) fn on_connection_lost(&mut self, key: AttemptKey) -> Result<(), LabError> {
         let Some(attempt) = self.in_flight(key) else {
             return Ok(());
         };
-        let outcome = match attempt.arrived_as {
+        // An attempt without an id has not arrived at its server.
+        let outcome = match attempt.id {
             Some(_) => AttemptOutcome::Reset,
             None => AttemptOutcome::ConnectFailed,
         };
-        self.end_attempt(key, AttemptCompletion::closing(outcome))
+        self.end_attempt(key, AttemptCompletion::closing_connection(outcome))
     }
 
     pub(super) fn on_attempt_timeout(&mut self, key: AttemptKey) -> Result<(), LabError> {
         let Some(attempt) = self.in_flight(key) else {
             return Ok(());
         };
-        let outcome = match attempt.arrived_as {
+        // An attempt without an id has not arrived at its server.
+        let outcome = match attempt.id {
             Some(_) => AttemptOutcome::TimedOut,
             None => AttemptOutcome::ConnectFailed,
         };
         self.close_attempt_connection(key);
-        self.end_attempt(key, AttemptCompletion::closing(outcome))
+        self.end_attempt(key, AttemptCompletion::closing_connection(outcome))
     }
 
     pub(super) fn on_server_response(
@@ -343,30 +371,38 @@
         if self.in_flight(key).is_none() {
             return Ok(());
         }
-        let end = match response {
+        let completion = match response {
             ServerResponse::Success { units, load } => AttemptCompletion {
                 settled_units: units,
-                load: load.map(load_figures).unwrap_or_default(),
-                ..AttemptCompletion::keeping(AttemptOutcome::Success)
+                load: load.map(load_metrics).unwrap_or_default(),
+                ..AttemptCompletion::keeping_connection(AttemptOutcome::Success)
             },
-            ServerResponse::Busy => AttemptCompletion::keeping(AttemptOutcome::Rejected),
-            ServerResponse::Failed => AttemptCompletion::keeping(AttemptOutcome::ServerError),
-            ServerResponse::Malformed(FIRST_SERVING_MALFORMED..) => {
-                AttemptCompletion::closing(AttemptOutcome::Success)
+            ServerResponse::Busy => AttemptCompletion::keeping_connection(AttemptOutcome::Rejected),
+            ServerResponse::Failed => {
+                AttemptCompletion::keeping_connection(AttemptOutcome::ServerError)
+            }
+            ServerResponse::Malformed(FIRST_MALFORMED_KIND_WITH_VALID_RESPONSE..) => {
+                AttemptCompletion::closing_connection(AttemptOutcome::Success)
+            }
+            // The server may have executed the attempt, although its response can't be parsed.
+            ServerResponse::Malformed(_) => {
+                AttemptCompletion::closing_connection(AttemptOutcome::ServerError)
             }
-            // The server may have run what it answers with something that can't be read.
-            ServerResponse::Malformed(_) => AttemptCompletion::closing(AttemptOutcome::ServerError),
         };
-        if end.outcome == AttemptOutcome::Success {
+        if completion.outcome == AttemptOutcome::Success {
             let request = request_id(key.attempt.request);
             let outcome = ClientOutcome::Served { correct: true };
             self.answer_request(key.gateway.gateway, &request, outcome, None);
         }
-        self.end_attempt(key, end)
+        self.end_attempt(key, completion)
     }
 
-    /// An attempt has ended for its gateway: its connection is kept or closed, and the controller is told.
-    fn end_attempt(&mut self, key: AttemptKey, end: AttemptCompletion) -> Result<(), LabError> {
+    /// Ends an attempt at its gateway: keeps or closes its connection, and reports the end to the controller.
+    fn end_attempt(
+        &mut self,
+        key: AttemptKey,
+        completion: AttemptCompletion,
+    ) -> Result<(), LabError> {
         let GatewayIncarnation { gateway, .. } = key.gateway;
         let RequestAttempt { request, number } = key.attempt;
         let ended = self
@@ -375,19 +411,19 @@
         let Some(attempt) = ended else {
             return Ok(());
         };
-        self.release_connection(gateway, attempt.server, &end);
+        self.release_connection(gateway, attempt.server, &completion);
         let request_closed = self.gateways[gateway].count_attempt_end(request);
-        if !request_closed && self.retries_unsafely(end.outcome) {
+        if !request_closed && self.retries_unsafely(completion.outcome) {
             let server = self.world.server(attempt.server);
             let endpoint = server.name.as_str().into();
             self.send_attempt(gateway, request, &endpoint, Duration::ZERO)?;
         }
         let result = AttemptResult {
-            outcome: end.outcome,
+            outcome: completion.outcome,
             latency: self.now.saturating_sub(attempt.sent_at),
             request_closed,
-            settled_units: end.settled_units,
-            load: end.load,
+            settled_units: completion.settled_units,
+            load: completion.load,
         };
         let event = GatewayEvent::AttemptEnd {
             request: request_id(request),
@@ -397,24 +433,29 @@
         self.deliver(gateway, event)
     }
 
-    /// Puts the connection of an attempt that has ended back, or closes it. An attempt that failed before a
-    /// connection was opened for it is counted as closing one too.
-    fn release_connection(&mut self, gateway: usize, server: ServerId, end: &AttemptCompletion) {
+    /// Returns the connection of an attempt that has ended to the pool, or closes it. A connection is also counted as
+    /// closed if the attempt failed before one was opened, unless the outcome is `NotSent`.
+    fn release_connection(
+        &mut self,
+        gateway: usize,
+        server: ServerId,
+        completion: &AttemptCompletion,
+    ) {
         let owner = &mut self.gateways[gateway];
-        if end.keeps_connection && owner.is_ready(server) {
+        if completion.is_connection_reusable && owner.is_ready(server) {
             owner.connections.put_idle(server, self.now);
-        } else if end.outcome != AttemptOutcome::NotSent {
+        } else if completion.outcome != AttemptOutcome::NotSent {
             owner.connections.close_used();
             self.world.on_disconnect(server);
         }
     }
 
-    /// Whether the injected defect sends again what ended so.
+    /// Whether the injected defect retries an attempt with this outcome, although a retry may be unsafe.
     fn retries_unsafely(&self, outcome: AttemptOutcome) -> bool {
-        let broke = matches!(
+        let may_have_executed = matches!(
             outcome,
             AttemptOutcome::Reset | AttemptOutcome::TimedOut | AttemptOutcome::ServerError
         );
-        broke && self.defect == Some(InjectedDefect::RetriesUnsafely)
+        may_have_executed && self.defect == Some(InjectedDefect::RetriesUnsafely)
     }
 }
--- a/lab/src/simulated/connection_pool/tests.rs
+++ b/lab/src/simulated/connection_pool/tests.rs
@@ -7,7 +7,8 @@
     Duration::from_secs(seconds)
 }
 
-/// A pool of idle connections: to `SERVER` last used at 1 and 3 s, to `OTHER_SERVER` at 2 s.
+/// A pool of three idle connections: two to `SERVER`, last used at 1 s and 3 s, and one to `OTHER_SERVER`, last used at
+/// 2 s.
 fn pool() -> ConnectionPool {
     let mut pool = ConnectionPool::default();
     for (server, last_used) in [(SERVER, 1), (OTHER_SERVER, 2), (SERVER, 3)] {
@@ -21,7 +22,7 @@
 fn the_connection_used_last_is_taken_first() {
     let mut pool = pool();
     assert!(pool.take_idle(SERVER));
-    // The one that is left was used at 1 s, so it is stale before that to the other server.
+    // The remaining connection was last used at 1 s, so it becomes stale before the one to the other server.
     assert_eq!(pool.close_stale(at(5), at(4)), [SERVER]);
     assert!(!pool.take_idle(SERVER));
 }
--- a/lab/src/simulated/counter_calls.rs
+++ b/lab/src/simulated/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls on the shared counter in a simulated run.
+//! The calls on the shared counter in a simulated run.
 
 use super::event::Event;
 use super::gateway::{CounterCall, CounterCallKey};
@@ -10,7 +10,7 @@
 use wellcrank::port::{CounterName, CounterReply};
 
 impl SimulatedRun<'_> {
-    /// A gateway calls the counter.
+    /// Schedules the arrival of a gateway's call at the counter, and its timeout.
     pub(super) fn call_counter(
         &mut self,
         gateway: usize,
@@ -47,8 +47,8 @@
         self.perform_world_actions(actions)
     }
 
-    /// A reply of the counter is on its way to the gateway.
-    pub(super) fn carry_counter_reply(&mut self, call: CounterCallKey, reply: CounterResponse) {
+    /// Schedules the arrival of the counter's reply at the gateway.
+    pub(super) fn schedule_counter_reply(&mut self, call: CounterCallKey, reply: CounterResponse) {
         let arrival = self.now + self.world.in_zone_delay();
         self.schedule(arrival, Event::CounterReply { call, reply });
     }
@@ -70,7 +70,7 @@
         self.end_counter_call(call, CounterReply::Unknown)
     }
 
-    /// Tells the controller what became of a call, unless it has been told before.
+    /// Reports the result of a call to the controller, unless the call has already ended.
     fn end_counter_call(
         &mut self,
         key: CounterCallKey,
--- a/lab/src/simulated/defect.rs
+++ b/lab/src/simulated/defect.rs
@@ -1,18 +1,19 @@
-//! Defects that the program is given on purpose, to show that the rule checker can fail a run.
+//! Defects that are deliberately injected into the gateways, to show that the rule checker detects them.
 
-/// One defect of the program.
+/// A defect to inject.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum InjectedDefect {
-    /// One final answer of so many is not given.
+    /// Every nth final answer is not sent, where n is the value.
     LosesAnswers(u64),
-    /// The first attempt of a request is sent twice at once.
+    /// The first attempt of each request is immediately sent a second time.
     DuplicatesAttempts,
-    /// What broke is sent again, whatever the route says of repeats.
+    /// Attempts that ended with a reset, a timeout or a server error are retried, even if the route does not allow
+    /// retries.
     RetriesUnsafely,
-    /// Changes of the endpoint list are not heard.
+    /// The controller receives no changes of the endpoint list, and every changed server counts as ready.
     IgnoresEndpointUpdates,
-    /// Every attempt goes to the server that started last.
+    /// Every attempt goes to the active server that started most recently.
     PrefersNewestServer,
-    /// The controller is told of next to no units, so that it keeps no ceiling.
+    /// The controller is told that each request takes almost no units, so that it exceeds the quotas.
     UndercountsUnits,
 }
--- a/lab/src/simulated/event.rs
+++ b/lab/src/simulated/event.rs
@@ -1,4 +1,4 @@
-//! What will happen in a simulated run beside what the world has in its own queue.
+//! The events that the engine schedules in a simulated run. The world has its own queue of events.
 
 use super::gateway::{AttemptKey, CounterCallKey, GatewayIncarnation};
 use crate::events::{AttemptId, ClientOutcome, ClientRequestId, ServerId};
@@ -7,19 +7,19 @@
 use std::time::Duration;
 use wellcrank::port::TimerToken;
 
-/// One thing that happens at a moment.
+/// An event at a moment of simulated time.
 pub(super) enum Event {
     /// A client's request reaches its gateway.
     RequestArrival {
         gateway: usize,
         request: ClientRequestId,
     },
-    /// The gateway sees that a client has closed its connection.
+    /// A gateway notices that a client has closed its connection.
     ClientDisconnect {
         gateway: usize,
         request: ClientRequestId,
     },
-    /// A client gets its final answer.
+    /// The final answer to a request reaches its client.
     FinalAnswer {
         request: ClientRequestId,
         outcome: ClientOutcome,
@@ -31,16 +31,16 @@
         server: ServerId,
         new_connection: bool,
     },
-    /// A server sees that the gateway has closed an attempt's connection.
+    /// A server notices that the gateway has closed an attempt's connection.
     AttemptAbandoned(AttemptId),
     /// A server's response reaches the gateway.
     ServerResponse {
         attempt: AttemptKey,
         response: ServerResponse,
     },
-    /// The gateway sees that an attempt's connection was refused or reset.
+    /// A gateway notices that an attempt's connection was refused or reset.
     ConnectionLost(AttemptKey),
-    /// The time of an attempt is up.
+    /// The timeout of an attempt expires.
     AttemptTimeout(AttemptKey),
     /// A call reaches the counter.
     CounterCallArrival(CounterCallKey),
@@ -49,19 +49,19 @@
         call: CounterCallKey,
         reply: CounterResponse,
     },
-    /// The time of a call on the counter is up.
+    /// The timeout of a call on the counter expires.
     CounterTimeout(CounterCallKey),
     /// A timer of a gateway fires.
     Timer {
         gateway: GatewayIncarnation,
         token: TimerToken,
     },
-    /// The endpoint list's changes before number `end` reach a gateway.
+    /// A gateway receives those changes of the endpoint list with numbers below `end` that it has not received yet.
     EndpointChanges {
         gateway: GatewayIncarnation,
         end: usize,
     },
-    /// A gateway that was started takes requests from now on.
+    /// A gateway that was started becomes ready to serve requests.
     GatewayReady(GatewayIncarnation),
     /// The gateways close connections that have been idle for too long.
     CloseStaleConnections,
--- a/lab/src/simulated/gateway.rs
+++ b/lab/src/simulated/gateway.rs
@@ -1,4 +1,4 @@
-//! One simulated gateway: its open requests, its attempts, its calls on the counter and its connections.
+//! The state of one simulated gateway: its open requests, attempts in flight, calls on the counter and connections.
 
 use super::connection_pool::ConnectionPool;
 use crate::events::{AttemptId, ClientRequestId, ServerId};
@@ -6,44 +6,46 @@
 use std::time::Duration;
 use wellcrank::port::CounterName;
 
-/// A gateway between two starts of its process: what was meant for an earlier one reaches nobody.
+/// A gateway together with the incarnation of its process. An event that was scheduled for an earlier incarnation is
+/// dropped.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) struct GatewayIncarnation {
     pub(super) gateway: usize,
     pub(super) incarnation: u32,
 }
 
-/// An attempt among those of one gateway; ordered by request, then number.
+/// Identifies an attempt within one gateway. The order is by request, then by attempt number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct RequestAttempt {
     pub(super) request: ClientRequestId,
-    /// Counted from 0.
+    /// The number of the attempt within the request, counted from 0.
     pub(super) number: u32,
 }
 
-/// An attempt among those of all gateways.
+/// Identifies an attempt among those of all gateways.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) struct AttemptKey {
     pub(super) gateway: GatewayIncarnation,
     pub(super) attempt: RequestAttempt,
 }
 
-/// A call on the counter among those of all gateways.
+/// Identifies a call on the counter among those of all gateways.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) struct CounterCallKey {
     pub(super) gateway: GatewayIncarnation,
-    /// Counted from 1 at each incarnation.
+    /// The number of the call within the incarnation, counted from 1.
     pub(super) number: u64,
 }
 
-/// A request that the gateway has taken. It is kept until it is answered and its attempts have ended.
+/// A request that the gateway has accepted. It is kept until it is answered and all its attempts have ended.
 pub(super) struct OpenRequest {
-    /// When the client stops waiting.
+    /// When the client stops waiting, since the start of the run.
     pub(super) deadline: Duration,
-    /// Whether the final answer was given.
+    /// Whether the gateway has sent the final answer.
     pub(super) answered: bool,
-    /// Attempts begun, and those of them that have ended.
-    pub(super) attempts_begun: u32,
+    /// The number of attempts that were started, whether or not they have ended.
+    pub(super) attempts_started: u32,
+    /// The number of attempts that have ended.
     pub(super) attempts_ended: u32,
 }
 
@@ -52,25 +54,25 @@
         OpenRequest {
             deadline,
             answered: false,
-            attempts_begun: 0,
+            attempts_started: 0,
             attempts_ended: 0,
         }
     }
 
     fn is_finished(&self) -> bool {
-        self.answered && self.attempts_ended >= self.attempts_begun
+        self.answered && self.attempts_ended >= self.attempts_started
     }
 }
 
-/// An attempt that has not ended.
+/// An attempt in flight.
 pub(super) struct InFlightAttempt {
     pub(super) server: ServerId,
     pub(super) sent_at: Duration,
-    /// How the world knows it, once it has reached the server.
-    pub(super) arrived_as: Option<AttemptId>,
+    /// The world's id of the attempt, once it has arrived at the server.
+    pub(super) id: Option<AttemptId>,
 }
 
-/// A call on the counter that is not answered.
+/// A pending call on the counter.
 pub(super) struct CounterCall {
     pub(super) name: CounterName,
     pub(super) amount: f64,
@@ -80,7 +82,7 @@
 /// A gateway's process, running or killed.
 #[derive(Default)]
 pub(super) struct SimulatedGateway {
-    /// Counts starts and kills, so that what was under way before is told apart.
+    /// The number of starts and kills so far. It tells events for earlier processes from current ones.
     pub(super) incarnation: u32,
     pub(super) is_running: bool,
     pub(super) requests: BTreeMap<ClientRequestId, OpenRequest>,
@@ -88,14 +90,14 @@
     pub(super) counter_calls: BTreeMap<u64, CounterCall>,
     last_counter_call: u64,
     pub(super) connections: ConnectionPool,
-    /// How many changes of the endpoint list it has been notified of.
-    pub(super) changes_seen: usize,
-    /// Whether the endpoint list lets it send to a server.
+    /// The number of changes of the endpoint list that the gateway has received.
+    pub(super) changes_received: usize,
+    /// Whether the endpoint list allows sending attempts to a server. It does not for a server that is missing here.
     ready_servers: BTreeMap<ServerId, bool>,
 }
 
 impl SimulatedGateway {
-    /// Starts its process anew, with nothing in it.
+    /// Starts a new process with empty state.
     pub(super) fn start(&mut self) {
         *self = SimulatedGateway {
             incarnation: self.incarnation + 1,
@@ -104,7 +106,7 @@
         };
     }
 
-    /// Kills its process; returns what it held.
+    /// Kills the process. Returns the state that it had.
     pub(super) fn kill(&mut self) -> SimulatedGateway {
         let killed = SimulatedGateway {
             incarnation: self.incarnation + 1,
@@ -113,17 +115,17 @@
         std::mem::replace(self, killed)
     }
 
-    /// Whether the endpoint list lets it send to a server.
+    /// Whether the endpoint list allows sending attempts to a server.
     pub(super) fn is_ready(&self, server: ServerId) -> bool {
         self.ready_servers.get(&server).copied().unwrap_or(false)
     }
 
-    /// Notes whether the endpoint list lets it send to a server.
+    /// Records whether the endpoint list allows sending attempts to a server.
     pub(super) fn set_ready(&mut self, server: ServerId, ready: bool) {
         self.ready_servers.insert(server, ready);
     }
 
-    /// Marks a request as answered; false where it was before, or is not open.
+    /// Marks a request as answered. Returns false if it was already answered or is not open.
     pub(super) fn mark_answered(&mut self, request: ClientRequestId) -> bool {
         let Some(open) = self.requests.get_mut(&request) else {
             return false;
@@ -138,7 +140,7 @@
         true
     }
 
-    /// Counts the end of an attempt; says whether its request has had its final answer or is no longer open.
+    /// Counts the end of an attempt. Returns whether its request has been answered or is no longer open.
     pub(super) fn count_attempt_end(&mut self, request: ClientRequestId) -> bool {
         let Some(open) = self.requests.get_mut(&request) else {
             return true;
@@ -151,16 +153,16 @@
         answered
     }
 
-    /// The attempts that have reached a server.
+    /// The attempts in flight that have arrived at a server, with their ids in the world.
     pub(super) fn attempts_at(&self, server: ServerId) -> Vec<(RequestAttempt, AttemptId)> {
         self.attempts
             .iter()
             .filter(|(_, attempt)| attempt.server == server)
-            .filter_map(|(key, attempt)| Some((*key, attempt.arrived_as?)))
+            .filter_map(|(key, attempt)| Some((*key, attempt.id?)))
             .collect()
     }
 
-    /// Notes a call on the counter; returns its number.
+    /// Records a pending call on the counter. Returns its number.
     pub(super) fn add_counter_call(&mut self, call: CounterCall) -> u64 {
         self.last_counter_call += 1;
         self.counter_calls.insert(self.last_counter_call, call);
--- a/lab/src/simulated/mod.rs
+++ b/lab/src/simulated/mod.rs
@@ -1,9 +1,9 @@
-//! The engine in simulated time: one thread, in which the world drives the controllers of all gateways through
-//! their interface. The same seed gives the same result to the byte.
+//! The engine for runs in simulated time. A single thread drives the world and the controllers of all gateways. The
+//! same seed gives the same results, byte for byte.
 //!
-//! What the edge node does beside deciding is played here as `edge/` does it: which connection carries an
-//! attempt, when an attempt's time is up, what becomes of a call on the counter that is late. The processor time
-//! of a gateway is not played.
+//! The engine also simulates what the edge node (`edge/`) does apart from its decisions: the choice of the connection
+//! for an attempt, the timeouts of attempts and of calls on the counter. The processor time of a gateway is not
+//! simulated.
 
 mod attempts;
 mod connection_pool;
@@ -25,19 +25,21 @@
 use run::SimulatedRun;
 use std::time::Duration;
 
-/// What the rule checker allows for messages that are under way.
+/// The time that the rule checker allows for messages in transit.
 const CHECK_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// How a simulated run is to be played.
+/// The options of a simulated run.
 #[derive(Clone, Default)]
 pub struct RunOptions {
-    /// A defect that the program is given on purpose.
+    /// A defect to inject into the gateways.
     pub defect: Option<InjectedDefect>,
-    /// RecordedRequest traffic in place of the accounts; empty: none.
+    /// Recorded requests that replace the generated traffic. If empty, traffic is generated.
     pub replay: Vec<RecordedRequest>,
 }
 
-/// Plays one run of an experiment, as a variant has it.
+/// Runs a variant of an experiment once in simulated time.
+///
+/// Fails if the variant or the gateways' settings are invalid, or if the decision engine fails.
 pub fn play(
     experiment: &Experiment,
     variant: &Variant,
@@ -58,6 +60,6 @@
         replay,
     );
     let mut run = SimulatedRun::new(world, engine, variant, seed, options.defect);
-    run.play()?;
+    run.execute()?;
     Ok(run.into_results(&experiment.title, &variant.name, seed))
 }
--- a/lab/src/simulated/requests.rs
+++ b/lab/src/simulated/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of a simulated run: from the client to its gateway, and the final answer back.
+//! The client requests of a simulated run: their arrival at a gateway, and the final answers on their way back.
 
 use super::defect::InjectedDefect;
 use super::event::Event;
@@ -10,15 +10,15 @@
 use std::time::Duration;
 use wellcrank::port::{Request, RequestId};
 
-/// The units that the controller is told of a request where the defect is that it undercounts.
+/// The units of each request as the controller is told them under [`InjectedDefect::UndercountsUnits`].
 const UNDERCOUNTED_UNITS: f64 = 0.001;
 
-/// The id under which a controller knows a client's request.
+/// The id of a client's request at the controllers.
 pub(super) fn request_id(request: ClientRequestId) -> RequestId {
     request.0.to_string().as_str().into()
 }
 
-/// The client's request that a controller's id means.
+/// The client's request with this id at the controllers. Returns `None` if the id is not a request number.
 pub(super) fn client_request(request: &RequestId) -> Option<ClientRequestId> {
     request.0.parse().ok().map(ClientRequestId)
 }
@@ -34,7 +34,7 @@
             return Ok(());
         }
         self.world.on_request_accepted(self.now, request);
-        // The client states a span, and the gateway counts it from the moment at which the request arrives.
+        // The client sends a timeout, which the gateway counts from the arrival of the request.
         let asked = self.world.request(request);
         let deadline = self.now + asked.deadline.saturating_sub(asked.scheduled_at);
         let incoming = self.incoming_request(request, deadline);
@@ -44,7 +44,7 @@
         self.deliver(gateway, GatewayEvent::Request(incoming))
     }
 
-    /// A client's request as its gateway's controller is told it.
+    /// A client's request in the form that is delivered to its gateway's controller.
     fn incoming_request(&self, request: ClientRequestId, deadline: Duration) -> Request {
         let asked = self.world.request(request);
         let operation = self.world.operation(asked.operation);
@@ -79,7 +79,7 @@
         self.deliver(gateway, GatewayEvent::ClientDisconnect(id))
     }
 
-    /// Sends a request's final answer to the client; a second answer is dropped.
+    /// Sends the final answer to a request to its client. A second answer to the same request is dropped.
     pub(super) fn answer_request(
         &mut self,
         gateway: usize,
@@ -93,7 +93,7 @@
         if !self.gateways[gateway].mark_answered(request) {
             return;
         }
-        self.final_answers += 1;
+        self.final_answer_count += 1;
         if self.loses_answer() {
             return;
         }
@@ -105,11 +105,11 @@
         self.schedule(self.now + self.world.in_zone_delay(), answer);
     }
 
-    /// Whether the injected defect drops the final answer that was counted last.
+    /// Whether the injected defect drops the most recently counted final answer.
     fn loses_answer(&self) -> bool {
         match self.defect {
             Some(InjectedDefect::LosesAnswers(interval)) => {
-                self.final_answers.is_multiple_of(interval)
+                self.final_answer_count.is_multiple_of(interval)
             }
             _ => false,
         }
--- a/lab/src/simulated/run.rs
+++ b/lab/src/simulated/run.rs
@@ -1,5 +1,5 @@
-//! A simulated run: the loop over moments, what the world has the engine carry out, gateways that start and are
-//! killed, and the endpoint list.
+//! The event loop of a simulated run, the actions of the world and of the gateways, the start and kill of gateways, and
+//! the distribution of the endpoint list.
 
 use super::defect::InjectedDefect;
 use super::event::Event;
@@ -19,39 +19,41 @@
 use std::time::Duration;
 use wellcrank::port::{Endpoint, EndpointState, EndpointUpdate, UnixTime};
 
-/// The gateways' clocks begin here: an ordinary moment, as windows and lease periods are numbered from zero.
+/// The time on the gateways' clocks at the start of the run. It is far from zero because windows and lease periods are
+/// numbered from time zero.
 pub(super) const CLOCK_ORIGIN: Duration = Duration::from_secs(1_000_000);
 
-/// How long a gateway's process takes from its start until it serves.
-const START_TIME: Duration = Duration::from_millis(20);
+/// How long a gateway takes from the start of its process until it serves requests.
+const GATEWAY_START_DURATION: Duration = Duration::from_millis(20);
 
-/// How often gateways look for connections that have been idle for too long, as the edge node does.
+/// How often gateways close connections that have been idle for too long, as in the edge node.
 const STALE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest datagram that a gateway may send, in bytes.
-const MAX_DATAGRAM: usize = 256;
+/// The maximum length of a datagram from a gateway.
+const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// Everything that a simulated run holds.
+/// The state of a simulated run.
 pub(super) struct SimulatedRun<'a> {
     pub(super) world: World,
     engine: Box<dyn DecisionEngine + 'a>,
     pub(super) gateways: Vec<SimulatedGateway>,
     events: EventQueue<Event>,
-    /// Since the start of the run.
+    /// The simulated time since the start of the run.
     pub(super) now: Duration,
-    /// Servers by the id under which gateways know them.
+    /// The servers by their endpoint ids.
     pub(super) server_ids: BTreeMap<String, ServerId>,
-    /// Calls that the counter has not answered.
+    /// The calls that have arrived at the counter and have not been answered.
     pub(super) counter_calls: BTreeMap<CounterCallId, CounterCallKey>,
-    /// Attempts that servers have not answered.
+    /// The attempts that have arrived at servers and have been neither answered nor abandoned.
     pub(super) attempts: BTreeMap<AttemptId, AttemptKey>,
-    /// Settings that gateways are given in place of the true ones.
+    /// The variant's overrides of the gateways' settings.
     settings_overrides: toml::Table,
     controller_seeds: WyRand,
     pub(super) defect: Option<InjectedDefect>,
-    pub(super) final_answers: u64,
-    /// Requests whose attempt was sent twice, where the defect is that.
-    pub(super) duplicated: BTreeSet<ClientRequestId>,
+    /// The number of final answers that the gateways have sent, including those that an injected defect drops.
+    pub(super) final_answer_count: u64,
+    /// The requests whose first attempt was sent twice under [`InjectedDefect::DuplicatesAttempts`].
+    pub(super) duplicated_requests: BTreeSet<ClientRequestId>,
 }
 
 impl<'a> SimulatedRun<'a> {
@@ -77,18 +79,18 @@
             settings_overrides: variant.settings_overrides.clone(),
             controller_seeds: WyRand::new_seed(seed ^ 0x5eed),
             defect,
-            final_answers: 0,
-            duplicated: BTreeSet::new(),
+            final_answer_count: 0,
+            duplicated_requests: BTreeSet::new(),
         }
     }
 
-    /// What the run has brought.
+    /// Returns the results of the run.
     pub(super) fn into_results(mut self, title: &str, variant: &str, seed: u64) -> Results {
         self.world.results("simulated", title, variant, seed)
     }
 
-    /// Plays the run from its start to its end.
-    pub(super) fn play(&mut self) -> Result<(), LabError> {
+    /// Executes the run from its start to its end.
+    pub(super) fn execute(&mut self) -> Result<(), LabError> {
         self.world.begin_run();
         for gateway in 0..self.gateways.len() {
             self.start_gateway(gateway)?;
@@ -122,7 +124,8 @@
         self.perform_world_actions(actions)
     }
 
-    /// An action may have something happen at this very moment, which leads to further actions.
+    /// Performs the actions of the gateways until there are no more: an action may cause an event at the same moment,
+    /// which leads to further actions.
     fn perform_gateway_actions(&mut self) -> Result<(), LabError> {
         loop {
             let actions = self.engine.take_actions()?;
@@ -137,19 +140,19 @@
         }
     }
 
-    /// Has something happen then, but not before now.
+    /// Schedules an event at a time since the start of the run. A time in the past means now.
     pub(super) fn schedule(&mut self, at: Duration, event: Event) {
         self.events.schedule(at.max(self.now), event);
     }
 
-    /// Hands an event to a gateway's controller.
+    /// Delivers an event to a gateway's controller.
     pub(super) fn deliver(&mut self, gateway: usize, event: GatewayEvent) -> Result<(), LabError> {
         let gateway_time = CLOCK_ORIGIN + self.now;
         self.engine.deliver(gateway_time, gateway, event)?;
         Ok(())
     }
 
-    /// A gateway as it is running now.
+    /// The current incarnation of a gateway.
     pub(super) fn incarnation(&self, gateway: usize) -> GatewayIncarnation {
         GatewayIncarnation {
             gateway,
@@ -157,10 +160,10 @@
         }
     }
 
-    /// A gateway, unless it was started or killed since.
-    pub(super) fn gateway(&mut self, wanted: GatewayIncarnation) -> Option<&mut SimulatedGateway> {
-        let gateway = &mut self.gateways[wanted.gateway];
-        (gateway.incarnation == wanted.incarnation).then_some(gateway)
+    /// Returns a gateway. Returns `None` if its process was started or killed after this incarnation.
+    pub(super) fn gateway(&mut self, key: GatewayIncarnation) -> Option<&mut SimulatedGateway> {
+        let gateway = &mut self.gateways[key.gateway];
+        (gateway.incarnation == key.incarnation).then_some(gateway)
     }
 
     fn handle_event(&mut self, event: Event) -> Result<(), LabError> {
@@ -213,7 +216,7 @@
         }
     }
 
-    /// Carries out what a running gateway does.
+    /// Performs an action of a running gateway.
     fn perform_gateway_action(
         &mut self,
         gateway: usize,
@@ -261,9 +264,10 @@
         }
     }
 
-    /// Controllers hear of no other gateway yet: a datagram is counted by the world, and goes no further.
+    /// Reports a datagram to the world, once for each receiver. It is not delivered: in simulated runs controllers
+    /// receive no datagrams from other gateways.
     fn send_to_peers(&mut self, sender: usize, peer: Option<u32>, body: &[u8]) {
-        if body.len() > MAX_DATAGRAM || !self.world.experiment.network.peer_datagrams {
+        if body.len() > MAX_DATAGRAM_BYTES || !self.world.experiment.network.peer_datagrams {
             return;
         }
         for receiver in 0..self.gateways.len() {
@@ -277,7 +281,7 @@
         }
     }
 
-    /// Carries out what the world leaves to the engine.
+    /// Performs the actions that the world has requested.
     pub(super) fn perform_world_actions(&mut self, actions: Vec<Action>) -> Result<(), LabError> {
         for action in actions {
             match action {
@@ -291,10 +295,12 @@
                     let arrival = self.now + self.world.in_zone_delay();
                     self.schedule(arrival, Event::ClientDisconnect { gateway, request });
                 }
-                Action::SendResponse(attempt, response) => self.carry_response(attempt, response),
+                Action::SendResponse(attempt, response) => {
+                    self.schedule_server_response(attempt, response)
+                }
                 Action::SendCounterResponse(call, reply) => {
                     if let Some(call) = self.counter_calls.remove(&call) {
-                        self.carry_counter_reply(call, reply);
+                        self.schedule_counter_reply(call, reply);
                     }
                 }
                 Action::NotifyGateway {
@@ -316,12 +322,13 @@
                 Action::ResetCounterConnections => {
                     let open = std::mem::take(&mut self.counter_calls);
                     for call in open.into_values() {
-                        self.carry_counter_reply(call, CounterResponse::Reset);
+                        self.schedule_counter_reply(call, CounterResponse::Reset);
                     }
                 }
-                // A counter that has moved is another one of the world's; its address is nothing here.
+                // Simulated gateways reach the counter and discovery without addresses, so a move changes nothing here.
                 Action::MovePlatform(_) => (),
-                // Simulated servers need no address, gateways no signal, and no bytes are read.
+                // Simulated servers have no addresses, simulated gateways receive no signals, and simulated clients
+                // send no bytes.
                 Action::AddServer(_)
                 | Action::RestartServer(_)
                 | Action::StopGateway(_)
@@ -331,21 +338,21 @@
         Ok(())
     }
 
-    /// A gateway starts with the endpoint list as it was last notified of it.
+    /// Starts a gateway with the version of the endpoint list that it was last notified of.
     fn start_gateway(&mut self, gateway: usize) -> Result<(), LabError> {
         let settings =
             node_settings::settings(&self.world.experiment, gateway, &self.settings_overrides)?;
         self.gateways[gateway].start();
         let seed = self.controller_seeds.generate();
         self.deliver(gateway, GatewayEvent::Start { settings, seed })?;
-        let seen = self.world.notified_change_count(gateway);
-        let list = self.world.endpoint_list_after(seen);
-        self.gateways[gateway].changes_seen = seen;
+        let change_count = self.world.notified_change_count(gateway);
+        let list = self.world.endpoint_list_after(change_count);
+        self.gateways[gateway].changes_received = change_count;
         let endpoints = self.notify_gateway(gateway, &list);
         let update = EndpointUpdate::Snapshot(endpoints);
         self.deliver(gateway, GatewayEvent::EndpointUpdate(update))?;
         let ready = Event::GatewayReady(self.incarnation(gateway));
-        self.schedule(self.now + START_TIME, ready);
+        self.schedule(self.now + GATEWAY_START_DURATION, ready);
         Ok(())
     }
 
@@ -353,8 +360,8 @@
         let killed = self.gateways[gateway].kill();
         for attempt in killed.attempts.into_values() {
             self.world.on_disconnect(attempt.server);
-            if let Some(arrived_as) = attempt.arrived_as {
-                self.abandon_attempt(gateway, attempt.server, arrived_as);
+            if let Some(id) = attempt.id {
+                self.abandon_attempt(gateway, attempt.server, id);
             }
         }
         for server in killed.connections.idle_servers() {
@@ -374,7 +381,7 @@
         let Some(notified) = self.gateway(gateway).filter(|found| found.is_running) else {
             return Ok(());
         };
-        let start = std::mem::replace(&mut notified.changes_seen, end);
+        let start = std::mem::replace(&mut notified.changes_received, end);
         let changes = self.world.endpoint_changes(start..end);
         let endpoints = self.notify_gateway(gateway.gateway, &changes);
         if self.defect == Some(InjectedDefect::IgnoresEndpointUpdates) {
@@ -387,7 +394,8 @@
         self.deliver(gateway.gateway, GatewayEvent::EndpointUpdate(update))
     }
 
-    /// Changes of the endpoint list reach a gateway's adapter; returns them as its controller is told them.
+    /// Applies changes of the endpoint list at a gateway's adapter. Returns them in the form that is delivered to its
+    /// controller.
     fn notify_gateway(&mut self, gateway: usize, changes: &[EndpointChange]) -> Vec<Endpoint> {
         let mut endpoints = Vec::new();
         for change in changes {
@@ -422,7 +430,8 @@
         }
     }
 
-    /// Closes connections that were idle for so long that the server is about to close them.
+    /// Closes the connections that have been idle for `idle_timeout` minus `connect_timeout` or longer, as the servers
+    /// would close them soon.
     fn close_stale_connections(&mut self) {
         let fleet = &self.world.experiment.fleet;
         let max_idle = (fleet.idle_timeout - fleet.connect_timeout).max(0.0);
