--- a/lab/src/loopback/buffered_connection.rs
+++ b/lab/src/loopback/buffered_connection.rs
@@ -1,4 +1,4 @@
-//! A buffered TCP connection of a stand-in.
+//! A buffered, non-blocking TCP connection of an emulated client or service.
 
 use super::resp;
 use mio::net::TcpStream;
@@ -7,33 +7,34 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::SocketAddr;
 
-/// So many bytes are read at a time.
-const READ_CHUNK: usize = 16 * 1024;
+/// The size of the read buffer.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Whether more can come on a connection.
+/// Whether more data may arrive on a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum ConnectionState {
     Open,
-    /// The other end has closed it, or it broke.
+    /// The other end has closed the connection, or it has failed.
     Closed,
 }
 
-/// A connection, what has come on it and what waits to be written.
+/// A connection with its buffers for received and for unsent bytes.
 pub(super) struct BufferedConnection {
     socket: TcpStream,
-    /// What has come and was not taken yet.
+    /// Received bytes that have not been processed.
     pub(super) input: Vec<u8>,
     output: Vec<u8>,
-    /// How much of `output` is written.
+    /// The number of bytes at the front of `output` that have been written.
     output_written: usize,
-    /// Bytes queued since it began, and those of them that are written.
+    /// The number of bytes queued since the connection was opened.
     pub(super) bytes_queued: u64,
+    /// The number of bytes written since the connection was opened.
     pub(super) bytes_written: u64,
     is_connected: bool,
 }
 
 impl BufferedConnection {
-    /// Begins to connect.
+    /// Starts to connect to an address.
     pub(super) fn connect(
         registry: &Registry,
         address: SocketAddr,
@@ -45,7 +46,7 @@
         Ok(connection)
     }
 
-    /// Takes a connection that was accepted.
+    /// Wraps an accepted connection.
     pub(super) fn accepted(
         registry: &Registry,
         mut socket: TcpStream,
@@ -75,7 +76,7 @@
         self.queue(&resp::encode(frame));
     }
 
-    /// Writes as much of what is queued as the system takes.
+    /// Writes as many of the queued bytes as the socket accepts.
     pub(super) fn flush(&mut self) -> io::Result<()> {
         while self.output_written < self.output.len() {
             match self.socket.write(&self.output[self.output_written..]) {
@@ -97,9 +98,9 @@
         Ok(())
     }
 
-    /// Reads all that has come into `input`.
+    /// Reads all received bytes into `input`.
     pub(super) fn read(&mut self) -> ConnectionState {
-        let mut chunk = [0; READ_CHUNK];
+        let mut chunk = [0; READ_BUFFER_BYTES];
         loop {
             match self.socket.read(&mut chunk) {
                 Ok(0) => return ConnectionState::Closed,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Closes the connection.
+    /// Removes the connection from the event poll and closes it.
     pub(super) fn close(mut self, registry: &Registry) {
         let _ = registry.deregister(&mut self.socket);
     }
--- a/lab/src/loopback/counter.rs
+++ b/lab/src/loopback/counter.rs
@@ -1,4 +1,5 @@
-//! The counter on loopback: lines of text, calls answered in their order on each connection.
+//! The emulated counter on loopback. Its protocol consists of text lines, and it answers the calls of each connection
+//! in order.
 
 use super::buffered_connection::{BufferedConnection, ConnectionState};
 use super::response_queue::ResponseQueue;
@@ -15,9 +16,9 @@
 pub(super) struct CounterConnection {
     pub(super) connection: BufferedConnection,
     gateway: usize,
-    /// The listener that it came in at.
+    /// The key of the listener that accepted the connection.
     pub(super) listener: usize,
-    /// Open calls; none for what is answered at once.
+    /// The pending commands of the connection. `None` stands for a command that is answered without a call.
     pub(super) responses: ResponseQueue<Option<CounterCallId>>,
 }
 
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Takes the whole lines that have come.
+    /// Removes all complete lines from the received bytes.
     fn take_lines(&mut self) -> String {
         let input = &mut self.connection.input;
         let last_end = input.iter().rposition(|byte| *byte == b'\n');
@@ -45,7 +46,7 @@
     }
 }
 
-/// A line of a gateway.
+/// A command line from a gateway.
 #[derive(Debug, PartialEq)]
 enum CounterCommand {
     Ping,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// The world has the counter answer a call.
+    /// Sends the counter's response to a call.
     pub(super) fn send_counter_response(
         &mut self,
         call: CounterCallId,
--- a/lab/src/loopback/event_sources.rs
+++ b/lab/src/loopback/event_sources.rs
@@ -1,4 +1,4 @@
-//! The sockets of a run on loopback: what an event of the poll is about, by its token.
+//! The event sources of a run on loopback: sockets and signals, identified by their tokens in the event poll.
 
 use super::buffered_connection::BufferedConnection;
 use super::clients::ClientConnection;
@@ -13,9 +13,9 @@
 use slab::Slab;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// One thing that the poll has events of.
+/// A source of events in the poll.
 pub(super) enum EventSource {
-    /// Signals that tell the laboratory to stop.
+    /// The signals that stop the run.
     Signals,
     Listener(Listener),
     Peer(PeerSocket),
@@ -26,7 +26,7 @@
 }
 
 impl EventSource {
-    /// Its connection, if it is one.
+    /// The connection of this source, if it is a connection.
     pub(super) fn connection_mut(&mut self) -> Option<&mut BufferedConnection> {
         match self {
             EventSource::Client(client) => Some(&mut client.connection),
@@ -38,7 +38,7 @@
     }
 }
 
-/// What one gateway meets at an address of its own.
+/// The emulated service that a listener belongs to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum ListenerPurpose {
     Server(ServerId),
@@ -46,29 +46,29 @@
     Discovery,
 }
 
-/// A socket that a stand-in accepts connections of one gateway at.
+/// A socket on which an emulated service accepts the connections of one gateway.
 pub(super) struct Listener {
     pub(super) gateway: usize,
     pub(super) purpose: ListenerPurpose,
     socket: TcpListener,
 }
 
-/// A socket that takes datagrams of one gateway, for another one or (`receiver`: none) for all others.
+/// A socket that receives the datagrams from one gateway to another gateway, or to all others if `receiver` is `None`.
 pub(super) struct PeerSocket {
     pub(super) sender: usize,
     pub(super) receiver: Option<usize>,
     pub(super) socket: UdpSocket,
 }
 
-/// A socket with an address of its own.
+/// A socket that is bound to an address.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BoundSocket {
-    /// The key of its source.
+    /// The key of the event source.
     pub(super) key: usize,
     pub(super) address: SocketAddr,
 }
 
-/// All sources by their keys, which are their tokens in the poll.
+/// All event sources by their keys. The key of a source is also its token in the poll.
 pub(super) struct EventSources {
     registry: Registry,
     sources: Slab<EventSource>,
@@ -122,20 +122,20 @@
         }
     }
 
-    /// All sources with their keys, in the order of these.
+    /// All sources with their keys, in the order of the keys.
     pub(super) fn iter(&self) -> impl Iterator<Item = (usize, &EventSource)> {
         self.sources.iter()
     }
 
-    /// The keys of the sources that are wanted, in their order.
-    pub(super) fn find_keys(&self, is_wanted: impl Fn(&EventSource) -> bool) -> Vec<usize> {
+    /// The keys of the sources that match a predicate, in ascending order.
+    pub(super) fn find_keys(&self, predicate: impl Fn(&EventSource) -> bool) -> Vec<usize> {
         self.iter()
-            .filter(|(_, source)| is_wanted(source))
+            .filter(|(_, source)| predicate(source))
             .map(|(key, _)| key)
             .collect()
     }
 
-    /// Takes a source out; its socket is still registered.
+    /// Removes a source. Its socket stays registered with the poll.
     pub(super) fn remove(&mut self, key: usize) -> Option<EventSource> {
         self.sources.try_remove(key)
     }
@@ -143,16 +143,16 @@
     pub(super) fn add_signals(&mut self, signals: &mut Signals) -> Result<(), LabError> {
         let token = Token(self.sources.insert(EventSource::Signals));
         let registered = self.registry.register(signals, token, Interest::READABLE);
-        registered.map_err(LabError::system("signals"))
+        registered.map_err(LabError::system("registering signal handlers"))
     }
 
-    /// Listens on a free port.
+    /// Opens a listener on a free port of 127.0.0.1.
     pub(super) fn listen(
         &mut self,
         gateway: usize,
         purpose: ListenerPurpose,
     ) -> Result<BoundSocket, LabError> {
-        const OPERATION: &str = "no listener on loopback";
+        const OPERATION: &str = "opening a listener on 127.0.0.1";
         let mut socket =
             TcpListener::bind(any_loopback_port()).map_err(LabError::system(OPERATION))?;
         let address = socket.local_addr().map_err(LabError::system(OPERATION))?;
@@ -169,13 +169,13 @@
         Ok(BoundSocket { key, address })
     }
 
-    /// Binds a socket for datagrams to a free port.
+    /// Binds a socket for datagrams to a free port of 127.0.0.1.
     pub(super) fn bind_peer_socket(
         &mut self,
         sender: usize,
         receiver: Option<usize>,
     ) -> Result<BoundSocket, LabError> {
-        const OPERATION: &str = "no socket on loopback";
+        const OPERATION: &str = "opening a datagram socket on 127.0.0.1";
         let mut socket =
             UdpSocket::bind(any_loopback_port()).map_err(LabError::system(OPERATION))?;
         let address = socket.local_addr().map_err(LabError::system(OPERATION))?;
@@ -192,7 +192,7 @@
         Ok(BoundSocket { key, address })
     }
 
-    /// Accepts the next connection that waits at a listener.
+    /// Accepts the next pending connection of a listener.
     pub(super) fn accept(&mut self, listener: usize) -> Option<TcpStream> {
         let Some(EventSource::Listener(listener)) = self.sources.get(listener) else {
             return None;
@@ -201,7 +201,7 @@
         Some(socket)
     }
 
-    /// Adds an accepted connection; none where the system does not take it into the poll.
+    /// Adds an accepted connection. Returns `None` if it can't be registered with the poll.
     pub(super) fn add_accepted(
         &mut self,
         socket: TcpStream,
@@ -214,7 +214,7 @@
         Some(key)
     }
 
-    /// Begins to connect to an address; none where the system refuses.
+    /// Starts to connect to an address. Returns `None` if the operating system refuses.
     pub(super) fn connect(
         &mut self,
         address: SocketAddr,
@@ -227,12 +227,12 @@
         Some(key)
     }
 
-    /// Takes a listener that was removed out of the poll.
+    /// Closes a listener that was removed, and deregisters it from the poll.
     pub(super) fn close_listener(&self, mut listener: Listener) {
         let _ = self.registry.deregister(&mut listener.socket);
     }
 
-    /// Takes a socket for datagrams that was removed out of the poll.
+    /// Closes a datagram socket that was removed, and deregisters it from the poll.
     pub(super) fn close_peer_socket(&self, mut peer: PeerSocket) {
         let _ = self.registry.deregister(&mut peer.socket);
     }
--- a/lab/src/loopback/gateway_process.rs
+++ b/lab/src/loopback/gateway_process.rs
@@ -1,4 +1,5 @@
-//! The gateways' processes: started with a file of their own, signalled, and never left behind.
+//! The processes of the gateways. Each is started with its own configuration file and is killed when the run or the
+//! laboratory ends.
 
 use super::GatewayProgram;
 use crate::error::LabError;
@@ -9,33 +10,35 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// The system counts processor time in ticks of a hundredth of a second.
+/// The unit of processor time in `/proc/PID/stat` is a tick of 1/100 s.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The system counts memory in pages of so many bytes.
+/// The unit of memory in `/proc/PID/stat` is a page of this size.
 const PAGE_BYTES: u64 = 4096;
 
-/// Fields of `/proc/PID/stat` after the program's name, counted from 0.
+/// The index of the user time in the fields of `/proc/PID/stat` after the program's name, counted from 0.
 const USER_TICKS_FIELD: usize = 11;
+/// The index of the system time in the same fields.
 const SYSTEM_TICKS_FIELD: usize = 12;
+/// The index of the resident memory in the same fields.
 const RESIDENT_PAGES_FIELD: usize = 21;
 
-/// Runs of this process so far, so that each has a folder of its own.
-static RUNS: AtomicU32 = AtomicU32::new(0);
+/// The number of runs of this process so far. It makes the names of their folders unique.
+static RUN_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// A folder for the files of one run, removed with it.
+/// A temporary folder for the files of one run. It is removed when the value is dropped.
 pub(super) struct RunFolder(PathBuf);
 
 impl RunFolder {
     pub(super) fn create() -> Result<RunFolder, LabError> {
-        let run = RUNS.fetch_add(1, Ordering::SeqCst);
+        let run = RUN_COUNT.fetch_add(1, Ordering::SeqCst);
         let name = format!("wellcrank-lab-{}-{run}", std::process::id());
         let path = std::env::temp_dir().join(name);
         fs::create_dir_all(&path).map_err(LabError::file(&path))?;
         Ok(RunFolder(path))
     }
 
-    /// The path of a file in it.
+    /// The path of a file in the folder.
     pub(super) fn file(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
@@ -47,20 +50,21 @@
     }
 }
 
-/// The process of a gateway, one after another, and what they use.
+/// The current process of a gateway, and the resources that all its processes have used.
 #[derive(Default)]
 pub(super) struct GatewayProcess {
     child: Option<Child>,
-    /// Processor time of all its processes, as last read.
+    /// The processor time of all processes of the gateway, as of the last [`GatewayProcess::update_usage`].
     pub(super) cpu_seconds: f64,
-    /// The most memory that one of them had.
+    /// The maximum resident memory of any of the processes, as seen by [`GatewayProcess::update_usage`].
     pub(super) max_resident_bytes: u64,
-    /// Processor time of the processes before this one.
+    /// The processor time of the processes before the current one.
     earlier_cpu_seconds: f64,
 }
 
 impl GatewayProcess {
-    /// Starts a process, and kills the one before; its log is appended to a file, or thrown away.
+    /// Kills the current process, if there is one, and starts a new one. Its log is appended to `log_file`, or
+    /// discarded if that is `None`.
     pub(super) fn start(
         &mut self,
         program: &GatewayProgram,
@@ -99,7 +103,7 @@
         }
     }
 
-    /// How it has ended, if it has ended by itself.
+    /// Returns the exit status of the current process, once, if the process has ended by itself.
     pub(super) fn take_exit_status(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok().flatten()?;
         self.earlier_cpu_seconds = self.cpu_seconds;
@@ -115,11 +119,11 @@
         }
     }
 
-    /// Reads what it has used so far.
+    /// Reads the resources that the current process has used so far.
     pub(super) fn update_usage(&mut self) {
         let Some(child) = &self.child else { return };
         let stat = fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
-        // The name may hold spaces and stands in parentheses.
+        // The name of the program is in parentheses and may contain spaces.
         let after_name = stat.rsplit(')').next().unwrap_or("");
         let fields: Vec<&str> = after_name.split_whitespace().collect();
         if fields.len() <= RESIDENT_PAGES_FIELD {
@@ -139,11 +143,12 @@
     }
 }
 
-/// Has the system kill the process when the laboratory ends: one that is killed outright can't end its gateways.
+/// Makes the operating system kill the process when the laboratory's process ends. A laboratory that is killed with
+/// SIGKILL can't kill its gateways itself.
 #[allow(unsafe_code)]
 fn end_with_laboratory(command: &mut Command) {
-    // SAFETY: between fork and exec only calls are allowed that are safe in a signal handler; this one is a
-    // single system call.
+    // SAFETY: between fork and exec, only async-signal-safe functions may be called. The closure makes a single
+    // system call.
     unsafe {
         command.pre_exec(|| {
             rustix::process::set_parent_process_death_signal(Some(Signal::KILL))?;
--- a/lab/src/loopback/peers.rs
+++ b/lab/src/loopback/peers.rs
@@ -1,25 +1,25 @@
-//! Datagrams between gateways on loopback: each goes through the world, which may lose it, delay it or find the
-//! two cut off from each other.
+//! The datagrams between gateways on loopback. Each passes through the world, which decides whether and when it
+//! arrives: a datagram can be delayed, lost, or blocked by a network partition.
 
 use super::event_sources::EventSource;
 use super::run::LoopbackRun;
 use crate::error::LabError;
 use std::time::Duration;
 
-/// The longest datagram that a gateway may send, in bytes.
-const MAX_DATAGRAM: usize = 256;
+/// The maximum length of a datagram from a gateway.
+const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// Datagrams are read up to so many bytes, so that one that is too long is seen as such.
-const RECEIVE_BUFFER: usize = 2048;
+/// The size of the receive buffer. It is larger than `MAX_DATAGRAM_BYTES`, so that longer datagrams are detected.
+const RECEIVE_BUFFER_BYTES: usize = 2048;
 
-/// When a datagram arrives; those of one moment in the order in which they were sent.
+/// The order in which datagrams arrive: by arrival time, and for the same time in the order of sending.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DatagramKey {
     pub(super) arrives_at: Duration,
-    serial: u64,
+    sequence_number: u64,
 }
 
-/// A datagram that is under way.
+/// A datagram in transit.
 pub(super) struct Datagram {
     sender: usize,
     receiver: usize,
@@ -27,7 +27,8 @@
 }
 
 impl LoopbackRun {
-    /// Opens a socket from each gateway to each other one, and one to all.
+    /// Opens the sockets that the gateways send datagrams to: for each gateway, one for each other gateway and one for
+    /// all others.
     pub(super) fn open_peer_sockets(&mut self) -> Result<(), LabError> {
         let count = self.gateways.len();
         for sender in 0..count {
@@ -41,24 +42,27 @@
         Ok(())
     }
 
-    /// Takes the datagrams that a gateway has sent to a socket, and sends them on their way.
+    /// Receives the datagrams that a gateway has sent to a socket, and forwards them through the world.
     pub(super) fn on_peer_socket_ready(&mut self, key: usize) {
-        let mut bytes = [0; RECEIVE_BUFFER];
+        let mut bytes = [0; RECEIVE_BUFFER_BYTES];
         loop {
             let Some(EventSource::Peer(peer)) = self.sources.get(key) else {
                 return;
             };
             let sender = peer.sender;
-            let addressed = peer.receiver;
+            let addressee = peer.receiver;
             let Ok((length, _)) = peer.socket.recv_from(&mut bytes) else {
                 return;
             };
-            if length > MAX_DATAGRAM {
-                self.report_crash(sender, &format!("a datagram of {length} bytes"));
+            if length > MAX_DATAGRAM_BYTES {
+                let description = format!(
+                    "sent a datagram of {length} bytes, expected at most {MAX_DATAGRAM_BYTES}"
+                );
+                self.report_crash(sender, &description);
                 continue;
             }
             for receiver in 0..self.gateways.len() {
-                let is_addressed = addressed.is_none_or(|addressed| addressed == receiver);
+                let is_addressed = addressee.is_none_or(|addressee| addressee == receiver);
                 if receiver != sender && is_addressed {
                     self.send_datagram(sender, receiver, &bytes[..length]);
                 }
@@ -73,7 +77,7 @@
         self.last_datagram += 1;
         let key = DatagramKey {
             arrives_at: self.now + delay,
-            serial: self.last_datagram,
+            sequence_number: self.last_datagram,
         };
         let datagram = Datagram {
             sender,
@@ -83,7 +87,7 @@
         self.datagrams.insert(key, datagram);
     }
 
-    /// Hands over the datagrams that arrive by now, each from the address by which its receiver knows the sender.
+    /// Delivers the datagrams that are due. Each is sent from the address that its receiver has for the sender.
     pub(super) fn deliver_datagrams(&mut self) {
         while let Some(first) = self.datagrams.first_entry() {
             if first.key().arrives_at > self.now {
@@ -96,7 +100,7 @@
 
     fn deliver_datagram(&self, datagram: &Datagram) {
         let receiver = &self.gateways[datagram.receiver];
-        // A gateway has no socket to itself, so those of later ones are one further to the front.
+        // A gateway has no socket for itself, so the sockets for gateways with higher numbers are one index lower.
         let index = if datagram.sender < datagram.receiver {
             datagram.sender
         } else {
--- a/lab/src/loopback/recording_proxy.rs
+++ b/lab/src/loopback/recording_proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy before a gateway that passes on all that clients and gateway say to each other, and records what was
-//! requested. It uses a thread a connection and direction, as it is for some hundred connections at most.
+//! A proxy in front of a gateway. It forwards all bytes between the clients and the gateway, and records the requests.
+//! It uses one thread per connection and direction, as it is meant for a few hundred connections at most.
 
 use crate::clock::Clock;
 use crate::error::LabError;
@@ -15,26 +15,27 @@
 use std::thread;
 use std::time::Duration;
 
-/// A command longer than this is passed on and not looked at, nor what follows it on its connection.
-const MAX_COMMAND: usize = 128 * 1024;
+/// The maximum length of a command that is parsed. After a longer command, the connection is still forwarded, but no
+/// longer recorded.
+const MAX_COMMAND_BYTES: usize = 128 * 1024;
 
-/// So many bytes are read at a time.
-const READ_CHUNK: usize = 16 * 1024;
+/// The size of the read buffer.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// How often the proxy looks for new connections and whether it is to stop.
+/// How often the proxy checks for new connections and for the end of the recording.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The recording that all connections write to, with the clock that its times are by.
+/// The recording that all connections append to, and the clock for its times.
 struct Recording {
     clock: Clock,
-    /// None once the recording has ended.
+    /// `None` after the recording has ended.
     recorder: Mutex<Option<Recorder<File>>>,
 }
 
 impl Recording {
-    fn append(&self, request: RequestedWork) {
+    fn append(&self, request: ObservedRequest) {
         let mut recorder = self.lock();
-        // The time is taken under the lock, so that lines stand in the order of their times.
+        // The time is read under the lock, so that the requests are recorded in the order of their times.
         let recorded = RecordedRequest {
             at: self.clock.now(),
             account: request.account,
@@ -57,17 +58,17 @@
     }
 }
 
-/// What a client's command asks for.
-struct RequestedWork {
+/// The request that a client's command contains.
+struct ObservedRequest {
     account: u64,
     plan: String,
     route: String,
     units: f64,
 }
 
-impl RequestedWork {
-    /// Parses a command; none where it is no request, or a retry that says so.
-    fn parse(frame: &OwnedFrame) -> Option<RequestedWork> {
+impl ObservedRequest {
+    /// Parses a command. Returns `None` if it is not a request, or if it is marked as a retry.
+    fn parse(frame: &OwnedFrame) -> Option<ObservedRequest> {
         let OwnedFrame::Array(words) = frame else {
             return None;
         };
@@ -85,7 +86,7 @@
             return None;
         }
         let units = parameter(parameters, "units").and_then(|units| units.parse().ok());
-        Some(RequestedWork {
+        Some(ObservedRequest {
             account,
             plan: parameter(parameters, "t")?.to_string(),
             route: parameter(parameters, "c")?.to_string(),
@@ -94,7 +95,7 @@
     }
 }
 
-/// A parameter's value, by its name.
+/// Returns the value of the parameter `name` in `NAME=VALUE,NAME=VALUE,...`.
 fn parameter<'a>(parameters: &'a str, name: &str) -> Option<&'a str> {
     let mut pairs = parameters
         .split(',')
@@ -103,18 +104,18 @@
     Some(value)
 }
 
-/// Looks at what a client sends, and records the requests in it.
+/// Records the requests in the bytes that a client sends.
 struct RequestScanner {
     recording: Arc<Recording>,
-    /// The beginning of a command that is not whole yet.
+    /// The beginning of a command that is not complete yet.
     partial: Vec<u8>,
-    /// Something came that is no RESP2, or too long: nothing further is looked at.
-    has_given_up: bool,
+    /// The client has sent bytes that are not RESP2 or a command that is too long, so the rest is not scanned.
+    is_scan_stopped: bool,
 }
 
 impl RequestScanner {
     fn scan(&mut self, bytes: &[u8]) {
-        if self.has_given_up {
+        if self.is_scan_stopped {
             return;
         }
         self.partial.extend_from_slice(bytes);
@@ -122,13 +123,13 @@
             match decode(&self.partial) {
                 Ok(Some((frame, length))) => {
                     self.partial.drain(..length);
-                    if let Some(request) = RequestedWork::parse(&frame) {
+                    if let Some(request) = ObservedRequest::parse(&frame) {
                         self.recording.append(request);
                     }
                 }
-                Ok(None) if self.partial.len() <= MAX_COMMAND => return,
+                Ok(None) if self.partial.len() <= MAX_COMMAND_BYTES => return,
                 _ => {
-                    self.has_given_up = true;
+                    self.is_scan_stopped = true;
                     self.partial = Vec::new();
                     return;
                 }
@@ -137,9 +138,10 @@
     }
 }
 
-/// Passes on what comes from one end to the other until one closes; `inspect` sees it first.
+/// Forwards all bytes from `source` to `target` until one of them is closed. `inspect` receives the bytes before they
+/// are forwarded.
 fn forward(mut source: TcpStream, mut target: TcpStream, mut inspect: impl FnMut(&[u8])) {
-    let mut bytes = [0; READ_CHUNK];
+    let mut bytes = [0; READ_BUFFER_BYTES];
     while let Ok(count @ 1..) = source.read(&mut bytes) {
         inspect(&bytes[..count]);
         if target.write_all(&bytes[..count]).is_err() {
@@ -150,7 +152,7 @@
     let _ = source.shutdown(Shutdown::Read);
 }
 
-/// Serves one client's connection until it ends.
+/// Forwards one client connection until it ends.
 fn serve_connection(
     client: TcpStream,
     gateway_address: SocketAddr,
@@ -165,13 +167,16 @@
     let mut scanner = RequestScanner {
         recording,
         partial: Vec::new(),
-        has_given_up: false,
+        is_scan_stopped: false,
     };
     forward(client, gateway, |bytes| scanner.scan(bytes));
     Ok(())
 }
 
-/// Records what passes from `listen` to a gateway until it is told to stop, or for so long.
+/// Forwards connections from the address `listen` to a gateway and records their requests in a file. It ends when
+/// `stop` becomes true, or after `max_duration`.
+///
+/// Fails if the address can't be listened on, or if the file can't be written.
 pub fn record_traffic(
     listen: SocketAddr,
     gateway: SocketAddr,
--- a/lab/src/loopback/resp.rs
+++ b/lab/src/loopback/resp.rs
@@ -1,19 +1,19 @@
-//! RESP2 as the stand-ins speak it, by a library of its own: they must not share the faults of the program's
-//! parser.
+//! RESP2 for the emulated services. They use an independent library, so that they don't share the defects of the
+//! gateway's own parser.
 
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::encode;
 use redis_protocol::resp2::types::{OwnedFrame, Resp2Frame};
 
-/// Frames taken off a buffer.
+/// The frames that were taken from a buffer.
 pub(super) struct TakenFrames {
-    /// The whole frames, in their order.
+    /// The complete frames, in order.
     pub(super) frames: Vec<OwnedFrame>,
-    /// What follows them is no RESP2.
+    /// Whether the bytes after these frames are not RESP2.
     pub(super) is_malformed: bool,
 }
 
-/// Takes all whole frames off the front of a buffer.
+/// Removes all complete frames from the front of a buffer.
 pub(super) fn take_frames(input: &mut Vec<u8>) -> TakenFrames {
     let mut frames = Vec::new();
     let mut taken = 0;
@@ -38,7 +38,7 @@
     }
 }
 
-/// A frame's bytes.
+/// Encodes a frame.
 pub(super) fn encode(frame: &OwnedFrame) -> Vec<u8> {
     let mut bytes = vec![0; frame.encode_len(false)];
     let length = encode::encode(&mut bytes, frame, false).unwrap_or(0);
@@ -46,7 +46,7 @@
     bytes
 }
 
-/// A bulk string.
+/// Makes a bulk string frame.
 pub(super) fn bulk_string(bytes: impl Into<Vec<u8>>) -> OwnedFrame {
     OwnedFrame::BulkString(bytes.into())
 }
--- a/lab/src/loopback/resp/tests.rs
+++ b/lab/src/loopback/resp/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn whole_frames_are_taken_and_a_partial_one_is_left() {
+fn complete_frames_are_taken_and_a_partial_frame_stays_in_the_buffer() {
     let mut input = b"+PONG\r\n$5\r\nhello\r\n$9\r\nhal".to_vec();
     let taken = take_frames(&mut input);
     let expected = [
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn what_is_no_resp_is_reported_after_the_frames_before_it() {
+fn malformed_bytes_are_reported_together_with_the_frames_before_them() {
     let mut input = b"+PONG\r\n\x07noise\r\n".to_vec();
     let taken = take_frames(&mut input);
     assert_eq!(taken.frames.len(), 1);
--- a/lab/src/loopback/response_queue.rs
+++ b/lab/src/loopback/response_queue.rs
@@ -1,15 +1,16 @@
-//! Responses of a connection that go out in the order of the requests, whichever is ready first.
+//! A queue that sends the responses of a connection in the order of the requests, regardless of the order in which they
+//! become ready.
 
 use std::collections::VecDeque;
 
-/// The open requests of a connection, the oldest first.
+/// The pending requests of a connection, oldest first.
 pub(super) struct ResponseQueue<K> {
     slots: VecDeque<Slot<K>>,
 }
 
 struct Slot<K> {
     key: K,
-    /// The response, while it waits for those before it.
+    /// The response, if it is ready and waits for responses to earlier requests.
     response: Option<Vec<u8>>,
 }
 
@@ -22,7 +23,7 @@
 }
 
 impl<K: PartialEq + Copy> ResponseQueue<K> {
-    /// Adds a request that has come.
+    /// Adds a request to the end of the queue.
     pub(super) fn push_request(&mut self, key: K) {
         self.slots.push_back(Slot {
             key,
@@ -30,10 +31,10 @@
         });
     }
 
-    /// Adds the response to the oldest open request of a key; returns what may go out now.
+    /// Sets the response to the oldest pending request with this key. Returns the bytes that can be sent now.
     pub(super) fn complete(&mut self, key: K, response: Vec<u8>) -> Vec<u8> {
-        let open = |slot: &&mut Slot<K>| slot.key == key && slot.response.is_none();
-        if let Some(slot) = self.slots.iter_mut().find(open) {
+        let is_pending = |slot: &&mut Slot<K>| slot.key == key && slot.response.is_none();
+        if let Some(slot) = self.slots.iter_mut().find(is_pending) {
             slot.response = Some(response);
         }
         let mut ready = Vec::new();
@@ -44,7 +45,7 @@
         ready
     }
 
-    /// The keys of the requests whose responses have not gone out.
+    /// The keys of the requests whose responses have not been sent.
     pub(super) fn pending(&self) -> impl Iterator<Item = K> + '_ {
         self.slots.iter().map(|slot| slot.key)
     }
