--- a/lab/src/loopback/clients.rs
+++ b/lab/src/loopback/clients.rs
@@ -1,5 +1,5 @@
-//! Clients on loopback: connections of the load balancer in front of the gateways, probes that ask whether a
-//! gateway serves, and clients that send what can't be parsed.
+//! The emulated clients on loopback: connections of the load balancer in front of the gateways, readiness probes of
+//! gateways, and misbehaving clients that send malformed input.
 
 use super::buffered_connection::{BufferedConnection, ConnectionState};
 use super::event_sources::EventSource;
@@ -9,23 +9,23 @@
 use crate::events::{ClientOutcome, ClientRequestId};
 use crate::experiment::Idempotency;
 use crate::record::RecordedRequest;
-use redis_protocol::resp2::types::OwnedFrame;
+use redis_protocol::resp2::types::{OwnedFrame, Resp2Frame};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Connections of the load balancer to one gateway, before requests are written one behind another.
-const MAX_CONNECTIONS: usize = 64;
+/// The maximum number of connections from the load balancer to one gateway. Beyond it, requests are pipelined.
+const MAX_CONNECTIONS_PER_GATEWAY: usize = 64;
 
-/// A misbehaving client is owed an error or a close within this span.
+/// The time within which a gateway must answer a misbehaving client with an error or close its connection.
 const MISBEHAVING_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a request that has an effect carries.
+/// The payload of a request that has an effect.
 const PAYLOAD: &str = "a track to render";
 
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 
-/// Bytes that no client should send; each is owed an error or a close.
-const MISBEHAVIOURS: &[&[u8]] = &[
+/// The malformed inputs of misbehaving clients. A gateway must answer each with an error or close the connection.
+const MALFORMED_INPUTS: &[&[u8]] = &[
     b"GET / HTTP/1.1\r\n\r\n",
     b"*4\r\n$9\r\nSVC.QUERY\r\n$-7\r\n",
     b"*2\r\n$9999999999\r\nx\r\n",
@@ -37,25 +37,25 @@
     b"\x00\xff\xfe\r\n",
 ];
 
-/// What a connection of a client is for.
+/// The purpose of a client connection.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum ClientRole {
-    /// Requests that the load balancer passes on.
+    /// Carries the requests that the load balancer forwards.
     LoadBalancer,
-    /// Asks whether the gateway serves.
+    /// Checks whether the gateway is ready to serve requests.
     ReadinessProbe,
-    /// Sends what can't be parsed, since then.
+    /// Has sent malformed input at the time `since` and waits for an answer.
     Misbehaving { since: Duration },
-    /// Has sent what can't be parsed, and got what it was owed.
-    Answered,
+    /// Has sent malformed input and received an answer.
+    MisbehavingAnswered,
 }
 
-/// A request that waits for its answer.
+/// A request that waits for its final answer.
 struct SentRequest {
     request: ClientRequestId,
-    /// Where its last byte stands among all that was queued on the connection.
+    /// The offset of the end of the request in all bytes that were ever queued on the connection.
     end_offset: u64,
-    /// It was written whole: an answer is owed.
+    /// Whether the request was written completely, so that the gateway must answer it.
     is_accepted: bool,
 }
 
@@ -64,23 +64,24 @@
     pub(super) connection: BufferedConnection,
     gateway: usize,
     role: ClientRole,
-    /// The oldest first.
+    /// The pending requests, oldest first.
     requests: VecDeque<SentRequest>,
-    /// It has brought an answer: its next request may cross the gateway's closing it.
-    has_answered: bool,
+    /// Whether an answer has arrived on this connection. After that, the gateway may close the connection while a new
+    /// request is on its way.
+    has_received_answer: bool,
 }
 
-/// The value that a server makes for a request.
+/// The value that a server responds with to a request.
 pub(super) fn served_value(request: ClientRequestId) -> String {
     format!("rendered {}", request_id(request))
 }
 
-/// The id of a request on the wire.
+/// The id of a request in the wire format.
 fn request_id(request: ClientRequestId) -> String {
     format!("{:016x}", u64::from(request.0) + 1)
 }
 
-/// A final answer as the client understands it.
+/// A final answer, as the client interprets it.
 struct FinalAnswer {
     outcome: ClientOutcome,
     retry_after: Option<Duration>,
@@ -116,7 +117,7 @@
     }
 }
 
-/// The span in an error line of a rejection: `BUSY MILLISECONDS`.
+/// Parses the retry delay in the error line of a rejection, `BUSY MILLISECONDS`.
 fn parse_retry_after(text: &str) -> Option<Duration> {
     let milliseconds = text.split(' ').nth(1)?.parse().ok()?;
     Some(Duration::from_millis(milliseconds))
@@ -131,7 +132,7 @@
                 gateway,
                 role,
                 requests: VecDeque::new(),
-                has_answered: false,
+                has_received_answer: false,
             })
         })?;
         if role == ClientRole::LoadBalancer {
@@ -140,7 +141,7 @@
         Some(key)
     }
 
-    /// Asks a gateway whether it serves yet.
+    /// Sends a readiness probe to a gateway.
     pub(super) fn probe_readiness(&mut self, gateway: usize) {
         if let Some(key) = self.connect_client(gateway, ClientRole::ReadinessProbe) {
             self.queue_client_bytes(key, PING);
@@ -153,7 +154,7 @@
             let role = ClientRole::Misbehaving { since: self.now };
             if let Some(key) = self.connect_client(gateway, role) {
                 self.misbehaving_clients.total += 1;
-                self.queue_client_bytes(key, MISBEHAVIOURS[index % MISBEHAVIOURS.len()]);
+                self.queue_client_bytes(key, MALFORMED_INPUTS[index % MALFORMED_INPUTS.len()]);
             }
         }
     }
@@ -165,8 +166,8 @@
         }
     }
 
-    /// Writes a request to the recording, if there is one. Retries are left out, as the clients of a replay retry
-    /// by themselves.
+    /// Appends a request to the recording, if there is one. Retries are not recorded, as the clients of a replayed
+    /// recording retry by themselves.
     pub(super) fn record_request(&mut self, id: ClientRequestId) -> Result<(), LabError> {
         let request = self.world.request(id);
         let operation = self.world.operation(request.operation);
@@ -185,10 +186,10 @@
             route: experiment.routes[operation.route].name.clone(),
             units: operation.units,
         });
-        recorded.map_err(LabError::system("the recording"))
+        recorded.map_err(LabError::system("writing the recording"))
     }
 
-    /// Sends a request to its gateway: on a connection that is free, a new one, or behind others.
+    /// Sends a request to its gateway, on an idle connection, a new connection, or behind other requests.
     pub(super) fn send_request(&mut self, request: ClientRequestId) {
         let command = self.encode_command(request);
         let gateway = self.world.request(request).gateway;
@@ -208,7 +209,7 @@
         self.unflushed.push(key);
     }
 
-    /// A request as its client words it.
+    /// Encodes the command for a request.
     fn encode_command(&self, id: ClientRequestId) -> OwnedFrame {
         let request = self.world.request(id);
         let operation = self.world.operation(request.operation);
@@ -246,7 +247,7 @@
         OwnedFrame::Array(words)
     }
 
-    /// The connection for a request; none where the gateway can't be connected to.
+    /// Chooses the connection for a request. Returns `None` if no connection to the gateway can be opened.
     fn choose_client_connection(&mut self, gateway: usize) -> Option<usize> {
         while let Some(key) = self.gateways[gateway].idle_clients.pop() {
             if self.sources.client_mut(key).is_some() {
@@ -256,13 +257,13 @@
         if !self.world.accepts_connections(self.now, gateway) {
             return None;
         }
-        if self.gateways[gateway].client_count < MAX_CONNECTIONS {
+        if self.gateways[gateway].client_count < MAX_CONNECTIONS_PER_GATEWAY {
             return self.connect_client(gateway, ClientRole::LoadBalancer);
         }
         self.least_loaded_client(gateway)
     }
 
-    /// The load balancer's connection to a gateway with the fewest open requests.
+    /// The load balancer's connection to a gateway with the fewest pending requests.
     fn least_loaded_client(&self, gateway: usize) -> Option<usize> {
         let connections = self
             .sources
@@ -278,7 +279,7 @@
         connections.min().map(|(_, key)| key)
     }
 
-    /// Bytes of a connection were written: requests that are written whole are accepted.
+    /// Handles a write on a connection: requests that are now completely written count as accepted.
     pub(super) fn on_client_flushed(&mut self, key: usize) {
         let Some(client) = self.sources.client_mut(key) else {
             return;
@@ -292,7 +293,8 @@
         }
     }
 
-    /// The client of a request gives up: its connection is closed, unless others wait there too.
+    /// Handles a client that stops waiting for a request: closes its connection, unless other requests are pending on
+    /// it.
     pub(super) fn close_client(&mut self, request: ClientRequestId) -> Result<(), LabError> {
         let Some(key) = self.client_requests.remove(&request) else {
             return Ok(());
@@ -323,7 +325,7 @@
         Ok(())
     }
 
-    /// A whole frame has come to a client; says whether its connection is still open.
+    /// Handles a complete frame that a client has received. Returns whether its connection is still open.
     fn on_client_frame(
         &mut self,
         key: usize,
@@ -342,19 +344,19 @@
                 }
             }
             ClientRole::Misbehaving { since } => {
-                client.role = ClientRole::Answered;
+                client.role = ClientRole::MisbehavingAnswered;
                 let is_error = matches!(frame, OwnedFrame::Error(_));
                 if !is_error || self.now > since + MISBEHAVING_TIMEOUT {
                     self.misbehaving_clients.unanswered += 1;
                 }
             }
-            ClientRole::Answered => (),
+            ClientRole::MisbehavingAnswered => (),
         }
         self.close(key)?;
         Ok(ConnectionState::Closed)
     }
 
-    /// The answer to the oldest request of a connection has come.
+    /// Handles the final answer to the oldest pending request of a connection.
     fn on_final_answer(
         &mut self,
         key: usize,
@@ -364,9 +366,13 @@
             return Ok(ConnectionState::Closed);
         };
         let gateway = client.gateway;
-        client.has_answered = true;
+        client.has_received_answer = true;
         let Some(sent) = client.requests.pop_front() else {
-            self.report_crash(gateway, "an answer that nobody asked for");
+            let description = format!(
+                "sent a response of type {:?} on a client connection without pending requests, expected none",
+                frame.kind()
+            );
+            self.report_crash(gateway, &description);
             self.close(key)?;
             return Ok(ConnectionState::Closed);
         };
@@ -380,7 +386,8 @@
         Ok(ConnectionState::Open)
     }
 
-    /// A connection has ended: what was open on it is lost, sent again or never was accepted.
+    /// Handles the end of a connection. Each request that is pending on it counts as not accepted, is sent again, or
+    /// ends as disconnected.
     pub(super) fn on_client_closed(&mut self, key: usize, client: ClientConnection) {
         let gateway = client.gateway;
         self.gateways[gateway]
@@ -391,16 +398,18 @@
             ClientRole::Misbehaving { since } if self.now > since + MISBEHAVING_TIMEOUT => {
                 self.misbehaving_clients.unanswered += 1;
             }
-            ClientRole::Misbehaving { .. } | ClientRole::ReadinessProbe | ClientRole::Answered => {}
+            ClientRole::Misbehaving { .. }
+            | ClientRole::ReadinessProbe
+            | ClientRole::MisbehavingAnswered => {}
         }
-        // The gateway may close a connection between two requests, and one of ours may cross that.
-        let may_have_crossed = client.has_answered && client.connection.input.is_empty();
+        // The gateway may close a connection between two requests while a new request is on its way.
+        let may_have_raced_close = client.has_received_answer && client.connection.input.is_empty();
         client.connection.close(self.sources.registry());
         for sent in client.requests {
             self.client_requests.remove(&sent.request);
             if !sent.is_accepted || self.world.was_killed(gateway) {
                 self.world.on_request_not_accepted(self.now, sent.request);
-            } else if may_have_crossed && !self.world.request(sent.request).closed {
+            } else if may_have_raced_close && !self.world.request(sent.request).closed {
                 self.send_request(sent.request);
             } else {
                 let outcome = ClientOutcome::Disconnected;
@@ -410,7 +419,7 @@
         }
     }
 
-    /// Closes the connections of misbehaving clients that were not answered in time.
+    /// Closes the connections of misbehaving clients that have waited for twice the time limit without an answer.
     pub(super) fn close_expired_misbehaving_clients(&mut self) -> Result<(), LabError> {
         let now = self.now;
         self.close_where(|source| match source {
--- a/lab/src/loopback/discovery.rs
+++ b/lab/src/loopback/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery on loopback: the endpoint list and watches of its changes over HTTP/1.1, for each gateway what it
-//! has been notified of.
+//! The emulated discovery service on loopback. It serves the endpoint list and watches for its changes over HTTP/1.1.
+//! Each gateway sees the list up to the last change that it was notified of.
 
 use super::buffered_connection::{BufferedConnection, ConnectionState};
 use super::event_sources::EventSource;
@@ -10,14 +10,14 @@
 
 const INSTANCES_PATH: &str = "/registry/instances";
 
-/// A request has so many headers at most.
+/// The maximum number of headers in a request.
 const MAX_HEADERS: usize = 32;
 
-/// The longest that a watch waits.
+/// The maximum time that a watch waits for changes.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// How long watches that were opened before the run began still wait from its first moment on.
-const WAIT_AFTER_BEGIN: Duration = Duration::from_secs(5);
+/// The time that watches which were opened before the start of the run wait after the start.
+const WAIT_AFTER_RUN_START: Duration = Duration::from_secs(5);
 
 const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
 
@@ -25,7 +25,7 @@
 pub(super) struct DiscoveryConnection {
     pub(super) connection: BufferedConnection,
     gateway: usize,
-    /// The listener that it came in at.
+    /// The key of the listener that accepted the connection.
     pub(super) listener: usize,
     watch: Option<Watch>,
 }
@@ -45,47 +45,50 @@
     }
 }
 
-/// A request that waits for changes.
+/// A request that waits for changes of the endpoint list.
 #[derive(Clone, Copy, PartialEq, Debug)]
 struct Watch {
-    /// The version that the gateway knows.
-    known: usize,
-    /// When it is answered in any case.
+    /// The version of the list that the gateway knows.
+    known_version: usize,
+    /// The time on the clock of the run at which the request is answered even if there are no changes.
     deadline: Duration,
 }
 
-/// A watch and the connection that it waits on.
+/// A watch, and the key of its connection.
 struct OpenWatch {
     key: usize,
-    known: usize,
+    known_version: usize,
 }
 
-/// What a request is for.
+/// A request to discovery.
 #[derive(Debug, PartialEq)]
 enum ListRequest {
-    /// The whole list.
+    /// Requests the complete list.
     Snapshot,
-    /// The changes since a version; if there are none, those that come within a span.
-    Watch { known: usize, max_wait: Duration },
+    /// Requests the changes since a version. If there are none, the answer waits for changes for up to `max_wait`.
+    Watch {
+        known_version: usize,
+        max_wait: Duration,
+    },
 }
 
-/// A request and how many bytes it takes.
+/// A request, and its length in bytes.
 #[derive(Debug, PartialEq)]
 struct ParsedRequest {
     request: ListRequest,
     length: usize,
 }
 
-/// Why bytes are no request for the list.
+/// Why a request to discovery is invalid.
 #[derive(Debug, PartialEq, thiserror::Error)]
 enum InvalidRequest {
     #[error(transparent)]
     Http(#[from] httparse::Error),
-    #[error("no such resource: {0}")]
+    #[error("expected a request for GET /registry/instances, got path '{0}'")]
     NotFound(String),
 }
 
-/// Parses the request at the front of a buffer; none where it is not whole.
+/// Parses the request at the front of a buffer. Returns `None` if the request is not complete.
 fn parse_request(bytes: &[u8]) -> Result<Option<ParsedRequest>, InvalidRequest> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -99,10 +102,10 @@
         return Err(InvalidRequest::NotFound(path.to_string()));
     }
     let request = match query_number(query, "after") {
-        Some(known) => {
+        Some(known_version) => {
             let wait_ms = query_number(query, "wait_ms").unwrap_or(0);
             ListRequest::Watch {
-                known: known as usize,
+                known_version: known_version as usize,
                 max_wait: Duration::from_millis(wait_ms.min(MAX_WAIT_MS)),
             }
         }
@@ -111,7 +114,7 @@
     Ok(Some(ParsedRequest { request, length }))
 }
 
-/// The number that a query gives for a name.
+/// Returns the numeric value of the parameter `name` in a query string.
 fn query_number(query: &str, name: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(found, _)| *found == name)?;
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Serves the next request of a connection; false where none is whole.
+    /// Serves the next request of a connection. Returns false if there is no complete, valid request.
     fn serve_list_request(&mut self, key: usize) -> bool {
         let Some(discovery) = self.sources.discovery_mut(key) else {
             return false;
@@ -151,28 +154,36 @@
         };
         let latest = self.world.notified_change_count(discovery.gateway);
         match request {
-            ListRequest::Watch { known, max_wait } if known == latest => {
+            ListRequest::Watch {
+                known_version,
+                max_wait,
+            } if known_version == latest => {
                 let deadline = self.now + max_wait;
-                discovery.watch = Some(Watch { known, deadline });
+                discovery.watch = Some(Watch {
+                    known_version,
+                    deadline,
+                });
+            }
+            ListRequest::Watch { known_version, .. } if known_version < latest => {
+                self.send_list(key, Some(known_version))
             }
-            ListRequest::Watch { known, .. } if known < latest => self.send_list(key, Some(known)),
             ListRequest::Watch { .. } | ListRequest::Snapshot => self.send_list(key, None),
         }
         true
     }
 
-    /// Answers with the changes since a version, or with the whole list.
-    fn send_list(&mut self, key: usize, known: Option<usize>) {
+    /// Answers with the changes since a version, or with the complete list if `known_version` is `None`.
+    fn send_list(&mut self, key: usize, known_version: Option<usize>) {
         let Some(gateway) = self.end_watch(key) else {
             return;
         };
         let latest = self.world.notified_change_count(gateway);
-        let changes = match known {
-            Some(known) => self.world.endpoint_changes(known..latest),
+        let changes = match known_version {
+            Some(known_version) => self.world.endpoint_changes(known_version..latest),
             None => self.world.endpoint_list_after(latest),
         };
         let lines = self.list_lines(gateway, &changes);
-        let body = node_settings::list(latest as u64, known.is_none(), lines).to_string();
+        let body = node_settings::list(latest as u64, known_version.is_none(), lines).to_string();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         if let Some(discovery) = self.sources.discovery_mut(key) {
             discovery.connection.queue(head.as_bytes());
@@ -191,48 +202,49 @@
 
     fn find_watches(
         &self,
-        is_wanted: impl Fn(&DiscoveryConnection, &Watch) -> bool,
+        predicate: impl Fn(&DiscoveryConnection, &Watch) -> bool,
     ) -> Vec<OpenWatch> {
         let watches = self.sources.iter().filter_map(|(key, source)| {
             let EventSource::Discovery(discovery) = source else {
                 return None;
             };
             let watch = discovery.watch?;
-            is_wanted(discovery, &watch).then_some(OpenWatch {
+            predicate(discovery, &watch).then_some(OpenWatch {
                 key,
-                known: watch.known,
+                known_version: watch.known_version,
             })
         });
         watches.collect()
     }
 
-    /// There are changes that a gateway is to be notified of: its watch is answered.
+    /// Notifies a gateway of changes of the endpoint list by answering its watches.
     pub(super) fn notify_gateway(&mut self, gateway: usize) {
         let latest = self.world.notified_change_count(gateway);
-        let watches = self
-            .find_watches(|discovery, watch| discovery.gateway == gateway && watch.known < latest);
+        let watches = self.find_watches(|discovery, watch| {
+            discovery.gateway == gateway && watch.known_version < latest
+        });
         for watch in watches {
-            self.send_list(watch.key, Some(watch.known));
+            self.send_list(watch.key, Some(watch.known_version));
         }
     }
 
-    /// Answers the watches that have waited for as long as they wanted to.
+    /// Answers the watches that have reached their deadline.
     pub(super) fn end_expired_watches(&mut self) {
         let now = self.now;
         for watch in self.find_watches(|_, watch| watch.deadline <= now) {
-            self.send_list(watch.key, Some(watch.known));
+            self.send_list(watch.key, Some(watch.known_version));
         }
     }
 
-    /// The run's clock begins: watches wait on from its first moment.
-    pub(super) fn restart_watches(&mut self) {
+    /// Resets the deadlines of all watches when the clock of the run starts.
+    pub(super) fn reset_watch_deadlines(&mut self) {
         for key in self
             .sources
             .find_keys(|source| matches!(source, EventSource::Discovery(_)))
         {
             let discovery = self.sources.discovery_mut(key);
             if let Some(watch) = discovery.and_then(|discovery| discovery.watch.as_mut()) {
-                watch.deadline = WAIT_AFTER_BEGIN;
+                watch.deadline = WAIT_AFTER_RUN_START;
             }
         }
     }
--- a/lab/src/loopback/gateways.rs
+++ b/lab/src/loopback/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways on loopback: their processes, their files, and the addresses that they know.
+//! The gateways on loopback: their processes, their configuration files, and the addresses in these files.
 
 use super::event_sources::{BoundSocket, EventSource, ListenerPurpose};
 use super::gateway_process::GatewayProcess;
@@ -14,42 +14,44 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How often a gateway that was started is asked whether it serves.
+/// How often a starting gateway is probed for readiness.
 const PROBE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A process is sent no SIGHUP sooner after it was ready: the platform doesn't either.
+/// How long a gateway must have been ready before it is sent SIGHUP. The real platform does not send it
+/// earlier either.
 const MIN_READY_BEFORE_SIGHUP: Duration = Duration::from_secs(1);
 
-/// The addresses that discovery and counter had before are still there for so long.
+/// How long the old addresses of discovery and the counter stay open after a move.
 const OLD_ADDRESS_LIFETIME: Duration = Duration::from_millis(1500);
 
-/// A gateway and what it meets.
+/// A gateway, and the addresses that it communicates with.
 pub(super) struct GatewayNode {
     pub(super) process: GatewayProcess,
-    /// Where its clients connect.
+    /// The address that clients of the gateway connect to.
     pub(super) client_address: SocketAddr,
-    /// Where other gateways send datagrams.
+    /// The address that the gateway receives datagrams from other gateways on.
     pub(super) peer_address: SocketAddr,
     counter_listener: BoundSocket,
     discovery_listener: BoundSocket,
-    /// The addresses of the servers that are there.
+    /// The listeners of the servers that are running.
     pub(super) server_listeners: BTreeMap<ServerId, BoundSocket>,
-    /// The addresses of the other gateways, in their order.
+    /// The sockets for datagrams to each other gateway, in the order of the gateways.
     pub(super) peer_sockets: Vec<BoundSocket>,
-    /// The address of all other gateways.
+    /// The socket for datagrams to all other gateways.
     pub(super) broadcast_socket: Option<BoundSocket>,
-    /// The load balancer's connections that no request is open on; the one used last is at the end.
+    /// The keys of the load balancer's connections without pending requests, the most recently used last.
     pub(super) idle_clients: Vec<usize>,
-    /// The load balancer's connections in all.
+    /// The number of the load balancer's connections.
     pub(super) client_count: usize,
-    /// It was told to stop, so its end is no crash.
+    /// Whether the gateway was told to stop, so that a successful exit is not a crash.
     is_stopping: bool,
-    /// When it is asked next whether it serves; none once it does.
+    /// The time of the next readiness probe. `None` if the gateway is ready or its process has ended.
     pub(super) next_probe: Option<Duration>,
 }
 
 impl LoopbackRun {
-    /// Opens all addresses that a new gateway meets, but those of its peers.
+    /// Adds a gateway. Allocates its own addresses and opens those of the counter, discovery and servers, but not its
+    /// sockets for datagrams.
     pub(super) fn add_gateway(&mut self) -> Result<(), LabError> {
         let gateway = self.gateways.len();
         let client_address = self.gateway_host.allocate()?;
@@ -88,14 +90,15 @@
             .start(&self.program, &config_file, log_file.as_deref())?;
         node.is_stopping = false;
         node.next_probe = Some(self.now);
-        // The file tells it the endpoint list.
+        // The configuration file contains the endpoint list.
         let latest = self.world.notified_change_count(gateway);
         let list = self.world.endpoint_list_after(latest);
         self.world.on_gateway_notified(self.now, gateway, &list);
         Ok(())
     }
 
-    /// Writes a gateway's file; the endpoint list in it is the one that it was notified of last.
+    /// Writes a gateway's configuration file, with the version of the endpoint list that it was last notified of.
+    /// Returns the path of the file.
     fn write_config_file(&mut self, gateway: usize) -> Result<PathBuf, LabError> {
         let experiment = &self.world.experiment;
         let settings = node_settings::settings(experiment, gateway, &self.settings_overrides)?;
@@ -139,9 +142,10 @@
         node.process.signal(Signal::TERM);
     }
 
-    /// Discovery and counter of a gateway get new addresses: a new file, SIGHUP, and the old addresses close later.
-    /// A process that is not ready, or has been for a moment only, keeps the old ones.
-    pub(super) fn move_platform(&mut self, gateway: usize) -> Result<(), LabError> {
+    /// Moves discovery and the counter of a gateway to new addresses: writes a new configuration file, sends SIGHUP,
+    /// and closes the old addresses later. A gateway that is not ready, or became ready less than
+    /// `MIN_READY_BEFORE_SIGHUP` ago, keeps the old addresses.
+    pub(super) fn move_counter_and_discovery(&mut self, gateway: usize) -> Result<(), LabError> {
         if !self
             .world
             .is_ready_for(self.now, gateway, MIN_READY_BEFORE_SIGHUP)
@@ -161,7 +165,7 @@
         Ok(())
     }
 
-    /// When a gateway is to be asked next whether it serves.
+    /// The time of the next readiness probe of any gateway.
     pub(super) fn next_probe(&self) -> Option<Duration> {
         self.gateways
             .iter()
@@ -169,7 +173,7 @@
             .min()
     }
 
-    /// Asks the gateways that were started whether they serve.
+    /// Sends the readiness probes that are due to the starting gateways.
     pub(super) fn probe_starting_gateways(&mut self) {
         for gateway in 0..self.gateways.len() {
             let is_due = |at: Duration| at <= self.now;
@@ -180,8 +184,8 @@
         }
     }
 
-    /// Looks at what the gateways' processes use, and whether one has ended by itself.
-    pub(super) fn inspect_processes(&mut self) {
+    /// Updates the resource usage of the gateways' processes, and handles those that have ended by themselves.
+    pub(super) fn check_processes(&mut self) {
         for gateway in 0..self.gateways.len() {
             let node = &mut self.gateways[gateway];
             node.process.update_usage();
@@ -191,13 +195,13 @@
             let is_crash = !node.is_stopping || !status.success();
             node.next_probe = None;
             if is_crash {
-                self.report_crash(gateway, &status.to_string());
+                self.report_crash(gateway, &format!("process ended unexpectedly: {status}"));
             }
             self.world.on_gateway_exit(self.now, gateway);
         }
     }
 
-    /// Closes the connections that came in at a listener which is no more.
+    /// Closes the counter and discovery connections that a listener, now closed, has accepted.
     pub(super) fn close_accepted_at(&mut self, listener: usize) -> Result<(), LabError> {
         self.close_where(|source| match source {
             EventSource::Counter(counter) => counter.listener == listener,
@@ -207,7 +211,7 @@
     }
 }
 
-/// Puts a file in place whole: a gateway that is told to read it again must not meet half of it.
+/// Replaces a file atomically, so that a gateway that reloads it never reads a partially written file.
 fn replace_file(path: &Path, text: &str) -> std::io::Result<()> {
     let partial = path.with_extension("new");
     std::fs::write(&partial, text)?;
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -1,7 +1,8 @@
-//! The engine on loopback: the same world behind real sockets, with edge nodes as processes for gateways.
+//! The engine for runs on loopback sockets: the same world as in simulated time, with edge node processes as gateways.
 //!
-//! One thread, one loop and one poll: so all that the rule checker sees is in one order. Each gateway meets
-//! stand-ins at addresses kept for it alone, so the world knows who asks.
+//! The engine emulates the clients, servers, counter and discovery. It runs in a single thread with a single event
+//! loop, so that the rule checker sees all events in one order. Each gateway has its own address for each emulated
+//! server, counter and discovery service, which identifies the gateway that a connection comes from.
 
 mod buffered_connection;
 mod clients;
@@ -30,25 +31,26 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What the rule checker allows for a machine that also runs everything else.
+/// The time that the rule checker allows for delays of a machine that runs the gateways and the laboratory.
 const CHECK_TOLERANCE: Duration = Duration::from_millis(250);
 
-/// Hears of each second of a run as it ends: its number and what was counted in it.
+/// A callback at the end of each second of a run. Its arguments are the number of the second, counted from 0, and the
+/// metrics of that second.
 pub type OnSecond<'a> = dyn FnMut(u64, &SecondMetrics) + 'a;
 
-/// An edge node's program, and what it is started with.
+/// The program of an edge node, with its arguments and environment.
 #[derive(Clone, Debug, Default)]
 pub struct GatewayProgram {
-    /// The program's path.
+    /// The path of the program.
     pub path: PathBuf,
-    /// Its arguments.
+    /// The command line arguments.
     pub arguments: Vec<String>,
-    /// What its environment holds beside this process's own.
+    /// Environment variables that are set in addition to those of this process.
     pub environment: Vec<(String, OsString)>,
 }
 
 impl GatewayProgram {
-    /// A program that is started without arguments.
+    /// The program at a path, started without arguments and without additional environment variables.
     pub fn at_path(path: impl Into<PathBuf>) -> GatewayProgram {
         GatewayProgram {
             path: path.into(),
@@ -57,32 +59,35 @@
     }
 }
 
-/// How a run on loopback is to be played.
+/// The options of a run on loopback.
 #[derive(Default)]
 pub struct RunOptions<'a> {
-    /// The edge node that is played where the variant names none.
+    /// The edge node program, unless the variant names one.
     pub gateway_program: GatewayProgram,
-    /// Recorded traffic in place of the accounts; empty: none.
+    /// Recorded requests that replace the generated traffic. If empty, traffic is generated.
     pub replay: Vec<RecordedRequest>,
-    /// A file to record what clients request in.
+    /// The file to record the requests of the clients to. If `None`, nothing is recorded.
     pub record_to: Option<PathBuf>,
-    /// A folder for the gateways' logs.
+    /// The folder for the logs of the gateways. If `None`, the logs are discarded.
     pub log_dir: Option<PathBuf>,
-    /// Hears of each second.
+    /// A callback at the end of each second of the run.
     pub on_second: Option<Box<OnSecond<'a>>>,
 }
 
-/// The gateways of a run did not serve in time.
+/// The error that some gateways of a run did not become ready in time.
 #[derive(Debug, thiserror::Error)]
-#[error("the gateways were not ready within {timeout:?}: {crashes:?}")]
+#[error("expected all gateways to be ready within {timeout:?}; crashes of gateways until then: {crashes:?}")]
 pub struct NotReady {
-    /// How long they had.
+    /// The time that the gateways had to become ready.
     pub timeout: Duration,
-    /// Those of them that have ended, and how.
+    /// Descriptions of the gateways' crashes and protocol errors until then.
     pub crashes: Vec<String>,
 }
 
-/// Plays one run of an experiment on loopback, as a variant has it.
+/// Runs a variant of an experiment once on loopback.
+///
+/// Fails if the variant or the gateways' settings are invalid, if the gateways can't be started or don't become ready,
+/// or if the operating system refuses a socket, file or process.
 pub fn play(
     experiment: &Experiment,
     variant: &Variant,
@@ -100,6 +105,6 @@
     );
     let mut run = LoopbackRun::new(world, variant, seed, &options)?;
     run.start_gateways()?;
-    run.play(options.on_second.as_deref_mut())?;
+    run.execute(options.on_second.as_deref_mut())?;
     run.into_results(&experiment.title, &variant.name, seed)
 }
--- a/lab/src/loopback/run.rs
+++ b/lab/src/loopback/run.rs
@@ -1,4 +1,4 @@
-//! A run on loopback: the one loop over the poll, and what the world has the engine carry out.
+//! The event loop of a run on loopback, and the actions of the world.
 
 use super::buffered_connection::BufferedConnection;
 use super::counter::CounterConnection;
@@ -28,78 +28,81 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long gateways may take until all are ready.
+/// The time within which all gateways must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often connections and processes are looked through for what has become due.
-const INSPECTION_INTERVAL: Duration = Duration::from_millis(100);
+/// How often all connections and processes are checked for timeouts and exits.
+const PERIODIC_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The longest that the loop waits for events.
+/// The maximum time that the loop waits for events.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// So many events are taken from the poll at a time.
-const EVENT_BATCH: usize = 1024;
+/// The maximum number of events that are taken from the poll at a time.
+const EVENT_BATCH_SIZE: usize = 1024;
 
-const POLL_OPERATION: &str = "the poll";
+const CREATE_POLL: &str = "creating the event poll";
 
-/// Everything that a run on loopback holds.
+/// The state of a run on loopback.
 pub(super) struct LoopbackRun {
     poll: Poll,
     pub(super) sources: EventSources,
     pub(super) clock: Clock,
-    /// The clock at the current turn of the loop.
+    /// The time of the clock, read at the start of each iteration of the loop and after each wait.
     pub(super) now: Duration,
     pub(super) world: World,
-    /// Where the gateways listen.
+    /// The address that the gateways listen on.
     pub(super) gateway_host: GatewayHost,
     pub(super) gateways: Vec<GatewayNode>,
     pub(super) folder: RunFolder,
     pub(super) program: GatewayProgram,
-    /// Settings that gateways are given in place of the true ones.
+    /// The variant's overrides of the gateways' settings.
     pub(super) settings_overrides: toml::Table,
     pub(super) log_dir: Option<PathBuf>,
     pub(super) controller_seeds: WyRand,
-    /// Connections that something was queued on.
+    /// The keys of the connections that may have unsent bytes.
     pub(super) unflushed: Vec<usize>,
-    /// The connections of attempts, counter calls and clients' requests that are not answered.
+    /// The keys of the connections of pending attempts.
     pub(super) attempts: BTreeMap<AttemptId, usize>,
+    /// The keys of the connections of pending calls on the counter.
     pub(super) counter_calls: BTreeMap<CounterCallId, usize>,
+    /// The keys of the connections of pending client requests.
     pub(super) client_requests: BTreeMap<ClientRequestId, usize>,
     scheduled_closes: Vec<ScheduledClose>,
-    /// Datagrams under way.
+    /// The datagrams in transit.
     pub(super) datagrams: BTreeMap<DatagramKey, Datagram>,
     pub(super) last_datagram: u64,
     pub(super) misbehaving_clients: MisbehavingClients,
     crashes: Vec<String>,
     pub(super) recorder: Option<Recorder<File>>,
     signals: Signals,
-    /// All gateways have been ready, and the clock counts from that moment.
-    has_begun: bool,
-    /// A signal told the laboratory to stop.
+    /// Whether the run has started: all gateways were ready, and the clock was restarted at that time.
+    has_started: bool,
+    /// Whether a signal has requested the end of the run.
     is_stopped: bool,
-    next_inspection: Duration,
-    /// The next second of the run to be reported.
+    next_periodic_check: Duration,
+    /// The number of the next second to report, counted from 0.
     next_second: u64,
 }
 
-/// A source that is to be closed.
+/// The scheduled close of an event source.
 struct ScheduledClose {
     at: Duration,
     key: usize,
 }
 
 impl LoopbackRun {
-    /// Opens what is needed to play a run of this world.
+    /// Prepares a run of the world: opens its event poll, signal handlers, folders and recording.
     pub(super) fn new(
         world: World,
         variant: &Variant,
         seed: u64,
         options: &RunOptions,
     ) -> Result<LoopbackRun, LabError> {
-        let poll = Poll::new().map_err(LabError::system(POLL_OPERATION))?;
+        let poll = Poll::new().map_err(LabError::system(CREATE_POLL))?;
         let registry = poll.registry().try_clone();
-        let mut sources = EventSources::new(registry.map_err(LabError::system(POLL_OPERATION))?);
-        let mut signals = Signals::new([SIGINT, SIGTERM]).map_err(LabError::system("signals"))?;
+        let mut sources = EventSources::new(registry.map_err(LabError::system(CREATE_POLL))?);
+        let mut signals = Signals::new([SIGINT, SIGTERM])
+            .map_err(LabError::system("registering signal handlers"))?;
         sources.add_signals(&mut signals)?;
         if let Some(log_dir) = &options.log_dir {
             std::fs::create_dir_all(log_dir).map_err(LabError::file(log_dir))?;
@@ -135,14 +138,14 @@
                 .map(create_recorder)
                 .transpose()?,
             signals,
-            has_begun: false,
+            has_started: false,
             is_stopped: false,
-            next_inspection: Duration::ZERO,
+            next_periodic_check: Duration::ZERO,
             next_second: 0,
         })
     }
 
-    /// Opens the gateways' addresses and starts their processes.
+    /// Opens the addresses for the gateways and starts their processes.
     pub(super) fn start_gateways(&mut self) -> Result<(), LabError> {
         self.world.begin_run();
         for _ in 0..self.world.experiment.fleet.gateways {
@@ -157,25 +160,25 @@
         Ok(())
     }
 
-    /// Plays the run to its end, or until a signal stops it.
-    pub(super) fn play(&mut self, mut on_second: Option<&mut OnSecond>) -> Result<(), LabError> {
-        let mut events = Events::with_capacity(EVENT_BATCH);
+    /// Executes the run until its end, or until a signal stops it.
+    pub(super) fn execute(&mut self, mut on_second: Option<&mut OnSecond>) -> Result<(), LabError> {
+        let mut events = Events::with_capacity(EVENT_BATCH_SIZE);
         while !self.is_stopped {
             self.now = self.clock.now();
-            if !self.has_begun {
-                self.begin_when_ready()?;
+            if !self.has_started {
+                self.start_when_ready()?;
             }
-            if self.has_begun {
+            if self.has_started {
                 if self.now >= self.world.end_time() {
                     break;
                 }
                 self.advance_world()?;
                 self.report_seconds(on_second.as_deref_mut());
             }
-            self.perform_due()?;
-            if self.now >= self.next_inspection {
-                self.inspect()?;
-                self.next_inspection = self.now + INSPECTION_INTERVAL;
+            self.perform_scheduled_work()?;
+            if self.now >= self.next_periodic_check {
+                self.run_periodic_checks()?;
+                self.next_periodic_check = self.now + PERIODIC_CHECK_INTERVAL;
             }
             self.flush_connections()?;
             self.wait_for_events(&mut events)?;
@@ -187,7 +190,7 @@
         for node in &mut self.gateways {
             node.process.update_usage();
         }
-        // Gateways that a Ctrl-C from the terminal has reached as well may be gone already.
+        // Ctrl-C in the terminal also reaches the gateways, so some of them may have exited already.
         for node in &mut self.gateways {
             node.process.kill();
         }
@@ -195,7 +198,7 @@
         Ok(())
     }
 
-    /// What the run has brought.
+    /// Returns the results of the run.
     pub(super) fn into_results(
         mut self,
         title: &str,
@@ -214,24 +217,24 @@
         results.gateway_mb = max_bytes.unwrap_or(0) as f64 / f64::from(1 << 20);
         if let Some(recorder) = self.recorder {
             let finished = recorder.finish();
-            finished.map_err(LabError::system("the recording"))?;
+            finished.map_err(LabError::system("writing the recording"))?;
         }
         Ok(results)
     }
 
-    /// The run begins, and its clock, once all gateways are ready.
-    fn begin_when_ready(&mut self) -> Result<(), LabError> {
+    /// Starts the run and restarts its clock if all gateways are ready. Fails after `READY_TIMEOUT`.
+    fn start_when_ready(&mut self) -> Result<(), LabError> {
         let is_ready = |gateway| self.world.gateway_state(gateway) == GatewayState::Ready;
         if (0..self.gateways.len()).all(is_ready) {
             self.clock = Clock::start();
             self.now = Duration::ZERO;
-            self.has_begun = true;
-            self.next_inspection = Duration::ZERO;
+            self.has_started = true;
+            self.next_periodic_check = Duration::ZERO;
             for gateway in 0..self.gateways.len() {
                 self.gateways[gateway].next_probe = None;
                 self.world.on_gateway_ready(Duration::ZERO, gateway);
             }
-            self.restart_watches();
+            self.reset_watch_deadlines();
         } else if self.now > READY_TIMEOUT {
             return Err(LabError::GatewaysNotReady(NotReady {
                 timeout: READY_TIMEOUT,
@@ -255,7 +258,7 @@
         self.perform_actions(actions)
     }
 
-    /// Reports the seconds of the run that have passed.
+    /// Reports the seconds of the run that have ended since the last report.
     fn report_seconds(&mut self, mut on_second: Option<&mut OnSecond>) {
         let last = self.now.as_secs().min(self.world.length().as_secs());
         while self.next_second < last {
@@ -268,8 +271,8 @@
         }
     }
 
-    /// Does what has a moment of its own and is due.
-    fn perform_due(&mut self) -> Result<(), LabError> {
+    /// Performs the scheduled work that is due: readiness probes, closes of sources, and deliveries of datagrams.
+    fn perform_scheduled_work(&mut self) -> Result<(), LabError> {
         self.probe_starting_gateways();
         let now = self.now;
         let due = self.scheduled_closes.iter().filter(|close| close.at <= now);
@@ -282,20 +285,21 @@
         Ok(())
     }
 
-    /// Does what needs a look at every connection and process, so not at each turn.
-    fn inspect(&mut self) -> Result<(), LabError> {
-        self.inspect_processes();
+    /// Performs the checks that go through all connections and processes. They are not made in each iteration of the
+    /// loop.
+    fn run_periodic_checks(&mut self) -> Result<(), LabError> {
+        self.check_processes();
         self.end_expired_watches();
         self.close_idle_server_connections()?;
         self.close_expired_misbehaving_clients()
     }
 
-    /// When the loop has something to do next, if no event comes.
+    /// The time until which the loop may wait for events.
     fn next_wakeup(&self) -> Duration {
-        let world = self.world.next_due().filter(|_| self.has_begun);
+        let world = self.world.next_due().filter(|_| self.has_started);
         let closes = self.scheduled_closes.iter().map(|close| close.at).min();
         let datagrams = self.datagrams.keys().next().map(|key| key.arrives_at);
-        let latest = (self.now + MAX_WAIT).min(self.next_inspection);
+        let latest = (self.now + MAX_WAIT).min(self.next_periodic_check);
         [world, self.next_probe(), closes, datagrams]
             .into_iter()
             .flatten()
@@ -306,7 +310,7 @@
         let wait = self.next_wakeup().saturating_sub(self.clock.now());
         match self.poll.poll(events, Some(wait)) {
             Err(error) if error.kind() == ErrorKind::Interrupted => (),
-            polled => polled.map_err(LabError::system(POLL_OPERATION))?,
+            polled => polled.map_err(LabError::system("waiting for events"))?,
         }
         self.now = self.clock.now();
         Ok(())
@@ -350,7 +354,7 @@
         }
     }
 
-    /// Accepts all connections that wait at a listener.
+    /// Accepts all pending connections of a listener.
     fn accept_connections(&mut self, key: usize) {
         while let Some(socket) = self.sources.accept(key) {
             let Some(EventSource::Listener(listener)) = self.sources.get(key) else {
@@ -379,7 +383,7 @@
         }
     }
 
-    /// Writes what has been queued, once a connection.
+    /// Writes the queued bytes of the connections in `unflushed`. Closes connections whose write fails.
     fn flush_connections(&mut self) -> Result<(), LabError> {
         while let Some(key) = self.unflushed.pop() {
             let source = self.sources.get_mut(key);
@@ -395,21 +399,21 @@
         Ok(())
     }
 
-    /// Has a source closed at a moment.
+    /// Schedules the close of a source.
     pub(super) fn schedule_close(&mut self, at: Duration, key: usize) {
         self.scheduled_closes.push(ScheduledClose { at, key });
     }
 
-    /// Closes all sources that are wanted.
+    /// Closes all sources that match a predicate.
     pub(super) fn close_where(
         &mut self,
-        is_wanted: impl Fn(&EventSource) -> bool,
+        predicate: impl Fn(&EventSource) -> bool,
     ) -> Result<(), LabError> {
-        let keys = self.sources.find_keys(is_wanted);
+        let keys = self.sources.find_keys(predicate);
         keys.into_iter().try_for_each(|key| self.close(key))
     }
 
-    /// Closes a source, and tells the world what that means.
+    /// Closes a source, and reports the consequences to the world.
     pub(super) fn close(&mut self, key: usize) -> Result<(), LabError> {
         match self.sources.remove(key) {
             None | Some(EventSource::Signals) => (),
@@ -431,14 +435,14 @@
         Ok(())
     }
 
-    /// A gateway did something that it must not, or its process has ended.
+    /// Records a crash or a protocol error of a gateway for the results of the run.
     pub(super) fn report_crash(&mut self, gateway: usize, description: &str) {
         let at = self.now.as_secs_f64();
         self.crashes
             .push(format!("gateway {gateway} at {at:.3} s: {description}"));
     }
 
-    /// Carries out what the world leaves to the engine.
+    /// Performs the actions that the world has requested.
     pub(super) fn perform_actions(&mut self, actions: Vec<Action>) -> Result<(), LabError> {
         for action in actions {
             self.perform_action(action)?;
@@ -465,7 +469,7 @@
             Action::KillGateway(gateway) => self.kill_gateway(gateway),
             Action::StopGateway(gateway) => self.stop_gateway(gateway),
             Action::StartGateway(gateway) => self.start_gateway(gateway)?,
-            Action::MovePlatform(gateway) => self.move_platform(gateway)?,
+            Action::MovePlatform(gateway) => self.move_counter_and_discovery(gateway)?,
             Action::ResetCounterConnections => {
                 self.close_where(|source| matches!(source, EventSource::Counter(_)))?;
             }
--- a/lab/src/loopback/servers.rs
+++ b/lab/src/loopback/servers.rs
@@ -1,4 +1,4 @@
-//! Servers on loopback: each gateway meets each server at an address of its own.
+//! The emulated servers on loopback. Each server has a separate address for each gateway.
 
 use super::buffered_connection::{BufferedConnection, ConnectionState};
 use super::clients;
@@ -15,18 +15,18 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// The length of a line that does not end.
-const ENDLESS_LINE: usize = 2000;
+/// The length of a malformed response that is a line without an end.
+const UNTERMINATED_LINE_BYTES: usize = 2000;
 
 /// A gateway's connection to a server.
 pub(super) struct ServerConnection {
     pub(super) connection: BufferedConnection,
     gateway: usize,
     pub(super) server: ServerId,
-    /// No command has come on it: the first one pays for the handshake.
+    /// Whether no attempt has arrived on this connection yet. The first attempt includes the cost of the handshake.
     is_new: bool,
     responses: ResponseQueue<AttemptId>,
-    /// When something came or went on it last.
+    /// When the connection last received or sent data, since the start of the run.
     last_used: Duration,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// The connection that a command has come on.
+/// The connection that a command arrived on.
 #[derive(Clone, Copy)]
 struct CommandOrigin {
     key: usize,
@@ -60,15 +60,15 @@
     server: ServerId,
 }
 
-/// What became of a command.
+/// The result of handling a command.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CommandOutcome {
-    Served,
-    /// It is not like any that a client sent.
-    Unknown,
+    Handled,
+    /// The command is unknown, or it does not match a request of a client.
+    Invalid,
 }
 
-/// The words of a command: bulk strings in an array.
+/// Returns the words of a command, which is an array of bulk strings. Returns no words for any other frame.
 fn command_words(frame: OwnedFrame) -> Vec<Vec<u8>> {
     let OwnedFrame::Array(parts) = frame else {
         return Vec::new();
@@ -81,14 +81,14 @@
     words.unwrap_or_default()
 }
 
-/// The client's request that a command carries.
+/// Returns the client request that a command contains.
 fn command_request(words: &[Vec<u8>]) -> Option<ClientRequestId> {
     let id = std::str::from_utf8(words.get(2)?).ok()?;
     let number = u64::from_str_radix(id, 16).ok()?.checked_sub(1)?;
     u32::try_from(number).ok().map(ClientRequestId)
 }
 
-/// How long the gateway says that it waits for the response.
+/// Returns the timeout that the gateway has set for the response.
 fn command_timeout(words: &[Vec<u8>]) -> Option<Duration> {
     let parameters = std::str::from_utf8(words.get(3)?).ok()?;
     let timeout_ms = parameters
@@ -97,7 +97,7 @@
     timeout_ms.map(Duration::from_millis)
 }
 
-/// The bytes of a response to a client's request.
+/// Encodes a server's response to a client request.
 fn encode_response(response: ServerResponse, request: ClientRequestId) -> Vec<u8> {
     match response {
         ServerResponse::Success { units, load } => {
@@ -110,21 +110,21 @@
 }
 
 fn encode_success(request: ClientRequestId, units: Option<f64>, load: Option<String>) -> Vec<u8> {
-    let figures = units.map_or(OwnedFrame::Null, |units| {
+    let cost = units.map_or(OwnedFrame::Null, |units| {
         bulk_string(format!("cost={units}"))
     });
     resp::encode(&OwnedFrame::Array(vec![
         bulk_string(clients::served_value(request)),
-        figures,
+        cost,
         load.map_or(OwnedFrame::Null, bulk_string),
     ]))
 }
 
-/// Bytes that a gateway can't parse, or not to their end.
+/// Encodes a malformed response: bytes that a gateway can't parse, or can parse only in part.
 fn encode_malformed(kind: u32, request: ClientRequestId) -> Vec<u8> {
     match kind {
         0 => b"\x07\x00\xffnoise\r\n".to_vec(),
-        1 => vec![b'*'; ENDLESS_LINE],
+        1 => vec![b'*'; UNTERMINATED_LINE_BYTES],
         2 => b"*3\r\n$5\r\nrendered more than that\r\n$-1\r\n$-1\r\n".to_vec(),
         3 => b"*3\r\n$3000000000\r\nrendered".to_vec(),
         4 => encode_success(request, None, None).repeat(2),
@@ -138,7 +138,7 @@
 }
 
 impl LoopbackRun {
-    /// Opens the address at which a gateway meets a server.
+    /// Opens the address of a server for one gateway.
     pub(super) fn open_server_listener(
         &mut self,
         gateway: usize,
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    /// A server listens, at all gateways.
+    /// Starts a server: opens its addresses for all gateways.
     pub(super) fn start_server(&mut self, server: ServerId) -> Result<(), LabError> {
         for gateway in 0..self.gateways.len() {
             if !self.gateways[gateway]
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    /// A server refuses connections, and its open ones end.
+    /// Stops a server: closes its addresses and all its connections.
     pub(super) fn stop_server(&mut self, server: ServerId) -> Result<(), LabError> {
         for gateway in 0..self.gateways.len() {
             if let Some(listener) = self.gateways[gateway].server_listeners.remove(&server) {
@@ -178,7 +178,7 @@
         )
     }
 
-    /// Changes of the endpoint list in the words of discovery, with the addresses that one gateway knows.
+    /// Encodes changes of the endpoint list in the format of discovery, with the server addresses for one gateway.
     pub(super) fn list_lines(&self, gateway: usize, changes: &[EndpointChange]) -> Vec<Value> {
         changes
             .iter()
@@ -224,11 +224,16 @@
         let taken = resp::take_frames(&mut connection.connection.input);
         let mut is_invalid = taken.is_malformed;
         for frame in taken.frames {
-            let outcome = self.serve_command(origin, &command_words(frame))?;
-            is_invalid |= outcome == CommandOutcome::Unknown;
+            let outcome = self.handle_command(origin, &command_words(frame))?;
+            is_invalid |= outcome == CommandOutcome::Invalid;
         }
         if is_invalid {
-            self.report_crash(origin.gateway, "sent what no client asked");
+            let description = format!(
+                "sent server '{}' an invalid command, expected PING, CLIENT, SELECT, INFO load, or SVC.QUERY or \
+                 SVC.SUBMIT with the id of a client request and a timeout",
+                self.world.server(origin.server).name
+            );
+            self.report_crash(origin.gateway, &description);
         }
         if is_invalid || state == ConnectionState::Closed {
             return self.close(key);
@@ -236,8 +241,8 @@
         Ok(())
     }
 
-    /// Serves one command of a gateway.
-    fn serve_command(
+    /// Handles one command from a gateway.
+    fn handle_command(
         &mut self,
         origin: CommandOrigin,
         words: &[Vec<u8>],
@@ -250,26 +255,26 @@
                 self.answer_load_probe(origin);
             }
             Some(b"SVC.QUERY" | b"SVC.SUBMIT") => return self.begin_attempt(origin, words),
-            _ => return Ok(CommandOutcome::Unknown),
+            _ => return Ok(CommandOutcome::Invalid),
         }
-        Ok(CommandOutcome::Served)
+        Ok(CommandOutcome::Handled)
     }
 
-    /// An attempt has come; the world has the server answer it.
+    /// Handles the arrival of an attempt. The world decides when and how the server responds.
     fn begin_attempt(
         &mut self,
         origin: CommandOrigin,
         words: &[Vec<u8>],
     ) -> Result<CommandOutcome, LabError> {
-        let known = command_request(words).filter(|request| self.world.knows_request(*request));
-        let (Some(request), Some(timeout)) = (known, command_timeout(words)) else {
-            return Ok(CommandOutcome::Unknown);
+        let request = command_request(words).filter(|request| self.world.knows_request(*request));
+        let (Some(request), Some(timeout)) = (request, command_timeout(words)) else {
+            return Ok(CommandOutcome::Invalid);
         };
         self.world
             .rule_checker
             .on_advertised_timeout(self.now, request, origin.gateway, timeout);
         let Some(connection) = self.sources.server_mut(origin.key) else {
-            return Ok(CommandOutcome::Served);
+            return Ok(CommandOutcome::Handled);
         };
         let arrival = AttemptArrival {
             gateway: origin.gateway,
@@ -281,12 +286,12 @@
         let attempt = self
             .world
             .on_attempt_arrival(self.now, arrival, &mut actions);
-        if let Some(receiver) = self.sources.server_mut(origin.key) {
-            receiver.responses.push_request(attempt);
+        if let Some(server_connection) = self.sources.server_mut(origin.key) {
+            server_connection.responses.push_request(attempt);
         }
         self.attempts.insert(attempt, origin.key);
         self.perform_actions(actions)?;
-        Ok(CommandOutcome::Served)
+        Ok(CommandOutcome::Handled)
     }
 
     fn queue_server_bytes(&mut self, key: usize, bytes: &[u8]) {
@@ -296,7 +301,7 @@
         }
     }
 
-    /// Answers a probe with the server's load, where the settings allow that.
+    /// Answers a load probe with the server's load, or with an error if the world gives no load report.
     fn answer_load_probe(&mut self, origin: CommandOrigin) {
         let response = match self.world.on_load_probe(self.now, origin.server) {
             Some(load) => resp::encode(&bulk_string(load.to_string())),
@@ -305,7 +310,7 @@
         self.queue_server_bytes(origin.key, &response);
     }
 
-    /// The world has a server answer an attempt.
+    /// Sends a server's response to an attempt.
     pub(super) fn send_server_response(&mut self, attempt: AttemptId, response: ServerResponse) {
         let request = self.world.attempt(attempt).request;
         let Some(key) = self.attempts.remove(&attempt) else {
@@ -320,7 +325,7 @@
         }
     }
 
-    /// Servers close the connections that have been idle for as long as they keep them.
+    /// Closes the server connections that have reached the servers' idle timeout.
     pub(super) fn close_idle_server_connections(&mut self) -> Result<(), LabError> {
         let now = self.now;
         let timeout = Duration::from_secs_f64(self.world.experiment.fleet.idle_timeout);
