--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -88,7 +88,7 @@
 ///
 /// Fails if the variant or the gateways' settings are invalid, if the gateways can't be started or don't become ready,
 /// or if the operating system refuses a socket, file or process.
-pub fn play(
+pub fn run_experiment(
     experiment: &Experiment,
     variant: &Variant,
     seed: u64,
--- a/lab/src/runs.rs
+++ b/lab/src/runs.rs
@@ -90,7 +90,7 @@
                 defect: None,
                 replay,
             };
-            simulated::play(experiment, variant, seed, &simulated_options)
+            simulated::run_experiment(experiment, variant, seed, &simulated_options)
         }
         Engine::Loopback => play_on_loopback(experiment, variant, seed, options, &replay),
     }
@@ -113,7 +113,7 @@
             log_dir: options.log_dir.as_ref().map(|dir| dir.join(&run_name)),
             ..Default::default()
         };
-        loopback::play(experiment, variant, seed, loopback_options)
+        loopback::run_experiment(experiment, variant, seed, loopback_options)
     };
     let mut results = play()?;
     for _ in 0..options.max_reruns {
--- a/lab/src/simulated/mod.rs
+++ b/lab/src/simulated/mod.rs
@@ -40,7 +40,7 @@
 /// Runs a variant of an experiment once in simulated time.
 ///
 /// Fails if the variant or the gateways' settings are invalid, or if the decision engine fails.
-pub fn play(
+pub fn run_experiment(
     experiment: &Experiment,
     variant: &Variant,
     seed: u64,
--- a/lab/tests/lab_scenario/mod.rs
+++ b/lab/tests/lab_scenario/mod.rs
@@ -98,7 +98,8 @@
             defect: run.defect,
             ..RunOptions::default()
         };
-        let results = simulated::play(&self.experiment, &self.variant, run.seed, &options);
+        let results =
+            simulated::run_experiment(&self.experiment, &self.variant, run.seed, &options);
         results.expect("a run")
     }
 
--- a/tool/src/lab/up.rs
+++ b/tool/src/lab/up.rs
@@ -66,7 +66,7 @@
         log_dir: args.logs,
         on_second: Some(Box::new(print_second)),
     };
-    let results = loopback::play(&experiment, &variant, args.seed, options)?;
+    let results = loopback::run_experiment(&experiment, &variant, args.seed, options)?;
     print_summary(&results);
     if let Some(file) = args.report {
         let results = slice::from_ref(&results);
--- a/tool/tests/soak.rs
+++ b/tool/tests/soak.rs
@@ -103,7 +103,7 @@
     let is_over = AtomicBool::new(false);
     scope(|threads| {
         threads.spawn(|| inject_failures(&injector, seed, run.clock_step, &is_over));
-        let results = loopback::play(&run.experiment, &Variant::default(), seed, options);
+        let results = loopback::run_experiment(&run.experiment, &Variant::default(), seed, options);
         is_over.store(true, Ordering::Relaxed);
         results
     })
