--- a/lab/src/decision_engine/in_process.rs
+++ b/lab/src/decision_engine/in_process.rs
@@ -78,8 +78,8 @@
         });
     }
 
-    // Simulated runs ignore the remaining actions: endpoint updates are delivered without a subscription, and load
-    // probes, idle connections and log lines are not simulated.
+    // Simulated runs ignore the remaining actions: endpoint updates are delivered without a subscription, and the
+    // controller sends no load probes.
     fn probe(&mut self, _endpoint: &EndpointId) {}
     fn subscribe(&mut self, _active: bool) {}
     fn refetch_endpoints(&mut self) {}
--- a/lab/src/loopback/discovery.rs
+++ b/lab/src/loopback/discovery.rs
@@ -16,7 +16,7 @@
 /// The maximum time that a watch waits for changes.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// The time that watches which were opened before the start of the run wait after the start.
+/// How long after the start of the run a watch is answered at the latest, if it was opened before the start.
 const WAIT_AFTER_RUN_START: Duration = Duration::from_secs(5);
 
 const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
@@ -193,7 +193,7 @@
         self.world.on_gateway_notified(self.now, gateway, &changes);
     }
 
-    /// Ends the watch of a connection, if it has one; returns its gateway.
+    /// Ends the watch of a connection, if it has one. Returns the gateway of the connection.
     fn end_watch(&mut self, key: usize) -> Option<usize> {
         let discovery = self.sources.discovery_mut(key)?;
         discovery.watch = None;
