--- a/lab/src/experiment/config.rs
+++ b/lab/src/experiment/config.rs
@@ -1,66 +1,71 @@
-//! The sections of an experiment: the emulated fleet and platform, routes, plans and load. The names of fields
-//! in a file are kept where they differ from those here. Spans are in seconds unless a name ends in `_ms`;
-//! ratios and shares are from 0 to 1 unless stated otherwise.
+//! The sections of an experiment file: fleet, counter, discovery, network, routes, plans and load.
+//!
+//! Where the name of a field in the file differs from its name here, a `serde` attribute gives it. Times and
+//! durations are in seconds unless a name ends in `_ms`; shares and ratios range from 0 to 1 unless stated
+//! otherwise.
 
 use serde::{Deserialize, Serialize};
 
-/// Gateways and servers.
+/// The emulated gateways and servers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FleetConfig {
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateways: usize,
-    /// How many servers there are.
+    /// Number of servers at the start of the run.
     pub servers: usize,
-    /// How many zones gateways and servers are spread over.
+    /// Number of zones that gateways and servers are spread over.
     pub zones: usize,
-    /// How many cells servers are spread over; servers of one cell drop each other's repeats where a route says
-    /// so.
+    /// Number of cells that servers are spread over. On a route with [`DeduplicationScope::Cell`] the servers of a
+    /// cell recognize repeats of requests that any of them has executed.
     pub cells: u64,
-    /// The types of the servers' machines.
+    /// Machine types of the servers, which differ in cores and speed.
     #[serde(rename = "kinds")]
     pub machine_types: Vec<MachineTypeConfig>,
-    /// How many requests may wait at a server.
+    /// Attempts that may wait at a server for a free core; it rejects further ones as busy.
     #[serde(rename = "queue")]
     pub queue_capacity: usize,
-    /// How many connections a server holds.
+    /// A server with more open connections than this rejects attempts as busy.
     #[serde(rename = "connections")]
     pub max_connections: usize,
-    /// Work of a new connection for the server, and what it delays the first request on it.
+    /// Work that the first attempt on a new connection adds, in milliseconds on a core of speed 1.
     pub handshake_ms: f64,
-    /// A server closes a connection that was idle for so long.
+    /// Idle time after which a server closes a connection.
     #[serde(rename = "idle_close")]
     pub idle_timeout: f64,
-    /// Share of its full capacity that a server has when it has just started.
+    /// Share of its full capacity that a server has at its start.
     #[serde(rename = "cold_from")]
     pub slow_start_capacity: f64,
-    /// How long a server takes from its start until it has its full capacity.
+    /// Time from a server's start until it has its full capacity.
     #[serde(rename = "cold")]
     pub slow_start: f64,
-    /// A server that is warming up falls over when it is sent so many times what it can do.
+    /// A server in slow start fails for good when the work that it is sent during [`Self::overload_for`] exceeds
+    /// its reduced capacity over that time by this factor.
     #[serde(rename = "fall_multiple")]
     pub overload_factor: f64,
-    /// For how long that must last.
+    /// Length of the sliding window over which the work sent to a server in slow start is summed.
     pub overload_for: f64,
-    /// Whether a server stops working on an attempt that the gateway has given up.
+    /// Whether a server stops executing an attempt that the gateway has abandoned.
     #[serde(rename = "stops_work")]
     pub cancels_work: bool,
-    /// How often the load that servers report in responses and to probes is refreshed; 0: they report none.
+    /// Interval at which servers refresh the load that they report in responses and to probes; 0: responses report
+    /// no load.
     #[serde(rename = "report_every")]
     pub load_report_interval: f64,
-    /// Whether gateways may ask servers for their load.
+    /// Whether gateways may probe servers for their load.
     #[serde(rename = "probes")]
     pub load_probes: bool,
-    /// How many attempts a gateway may make for a request.
+    /// Attempts that a gateway may make for one request, the first included.
     #[serde(rename = "max_tries")]
     pub max_attempts: u32,
-    /// For how long a gateway may send to a server after it was notified that the server drains or is removed.
+    /// Time during which a gateway may still send attempts to a server after the notification that the server drains
+    /// or is removed.
     pub drain_grace: f64,
-    /// How long a gateway waits for a connection.
+    /// Time that a gateway waits for a connection to a server to be established.
     pub connect_timeout: f64,
-    /// Memory of a gateway.
+    /// Memory limit of a gateway, in MB.
     pub memory_mb: usize,
-    /// Sockets of a gateway.
+    /// Limit of a gateway's open sockets.
     pub sockets: usize,
 }
 
@@ -70,208 +75,211 @@
 pub struct MachineTypeConfig {
     /// Its name, as discovery states it.
     pub name: String,
-    /// How many servers are of this type, relative to the shares of the others.
+    /// Weight of this type among all types: servers are divided among them in proportion.
     #[serde(default = "super::defaults::one")]
     pub share: f64,
-    /// How many requests a server works on at a time.
+    /// Number of cores, each of which executes one attempt at a time.
     #[serde(default = "super::defaults::cores")]
     pub cores: usize,
-    /// How fast a core is, relative to the one that work is stated for.
+    /// Speed of a core relative to the one in whose time `work_ms` is stated.
     #[serde(default = "super::defaults::one")]
     pub speed: f64,
 }
 
-/// The shared counter.
+/// The counter that all gateways share.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CounterConfig {
-    /// Whether there is one.
+    /// Whether gateways use a shared counter.
     pub present: bool,
-    /// How many parts names are spread over.
+    /// Number of shards that the counter's names are spread over.
     #[serde(rename = "parts")]
     pub shards: usize,
-    /// Calls a second that all parts serve together.
+    /// Calls per second that all shards together serve.
     #[serde(rename = "bears")]
     pub capacity: f64,
-    /// Time of a call beside the network's.
+    /// Latency of a call in addition to its wait in the shard's queue and the network delay.
     pub latency_ms: f64,
-    /// After how long a gateway gives a call up.
+    /// Timeout after which a gateway abandons a call.
     pub timeout_ms: f64,
-    /// A part rejects calls while so many are waiting in it.
+    /// Calls that may wait in a shard; it rejects further ones as busy.
     #[serde(rename = "queue")]
     pub queue_capacity: usize,
 }
 
-/// Discovery.
+/// How fast changes of the endpoint list reach the gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DiscoveryConfig {
-    /// A change of the endpoint list reaches a gateway after a span between zero and this one.
+    /// Largest delay of a change of the endpoint list; the delay to each gateway is drawn between 0 and this.
     #[serde(rename = "late")]
     pub max_delay: f64,
 }
 
-/// The network.
+/// Delays of the emulated network, and the datagrams between gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NetworkConfig {
-    /// One way within a zone.
+    /// One-way delay within a zone.
     #[serde(rename = "near_ms")]
     pub in_zone_delay_ms: f64,
-    /// One way between two zones.
+    /// One-way delay between two zones.
     #[serde(rename = "far_ms")]
     pub cross_zone_delay_ms: f64,
     /// Whether gateways may send each other datagrams.
     #[serde(rename = "peers")]
     pub peer_datagrams: bool,
-    /// Share of the datagrams that are lost.
+    /// Share of the datagrams that is lost at random.
     #[serde(rename = "lost")]
     pub datagram_loss: f64,
-    /// Datagrams take up to so long beside the network's delay.
+    /// Largest delay of a datagram in addition to the network delay; each one's is drawn between 0 and this.
     #[serde(rename = "peer_late_ms")]
     pub datagram_max_delay_ms: f64,
-    /// Datagrams a second that a gateway takes in.
+    /// Datagrams per second that a gateway receives; the excess is dropped.
     #[serde(rename = "peer_rate")]
     pub datagram_rate: f64,
 }
 
-/// What a second execution of a request does.
+/// What a second execution of a request does to stored state.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Idempotency {
-    /// Nothing beyond the first.
+    /// It changes nothing beyond the first execution.
     Idempotent,
-    /// Nothing, where the server has seen the request's idempotency key.
+    /// It is suppressed by a server that knows the request's idempotency key.
     #[serde(rename = "tokened")]
     Keyed,
-    /// Its effect again.
+    /// It repeats the effect.
     NonIdempotent,
 }
 
-/// Which servers drop the repeats of a request by its idempotency key.
+/// Which servers recognize a repeat of a request by its idempotency key.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DeduplicationScope {
-    /// All servers.
+    /// Every server.
     #[default]
     All,
-    /// Servers of the same cell.
+    /// Servers of the cell in which the request was executed.
     Cell,
-    /// Servers of the same zone.
+    /// Servers of the zone in which the request was executed.
     Zone,
 }
 
-/// A route: a kind of request.
+/// A route: a type of request with its own work, latency target and idempotency.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteConfig {
     /// Its name on the wire.
     pub name: String,
-    /// How many requests are for this route, relative to the shares of the others.
+    /// Weight of this route among all routes: requests are drawn in proportion.
     #[serde(default = "super::defaults::one")]
     pub share: f64,
-    /// What a second execution does.
+    /// What a second execution of a request does.
     #[serde(rename = "repeat")]
     pub idempotency: Idempotency,
-    /// Which servers drop repeats.
+    /// Which servers recognize repeats.
     #[serde(default, rename = "group")]
     pub deduplication_scope: DeduplicationScope,
-    /// For how long they remember an idempotency key.
+    /// Time for which they remember an idempotency key; 0: repeats are not recognized.
     #[serde(default, rename = "memory")]
     pub deduplication_window: f64,
-    /// Mean work of a request on a core of speed 1.
+    /// Mean work of a request, in milliseconds on a core of speed 1.
     pub work_ms: f64,
-    /// An answer is in time within this span.
+    /// Latency within which an answer counts as in time.
     pub latency_target: f64,
-    /// How long a client waits.
+    /// Time that a client waits for an answer.
     pub client_timeout: f64,
-    /// What a request that is answered in time is worth, for each unit.
+    /// Value per unit of a request that is answered in time.
     #[serde(default = "super::defaults::one")]
     pub billed_value: f64,
-    /// Share of that value that an answer past the target is worth.
+    /// Share of that value for an answer later than the latency target.
     #[serde(default, rename = "late_worth")]
     pub late_value_ratio: f64,
 }
 
-/// A plan, under which customers have quotas.
+/// A plan, which sets the quota of each of its customers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanConfig {
     /// Its name on the wire.
     pub name: String,
-    /// Share of the load inside the quotas, relative to the shares of the others.
+    /// Weight of this plan among all plans: [`LoadConfig::request_rate`] is divided among them in proportion.
     #[serde(default = "super::defaults::one")]
     pub share: f64,
-    /// Units a second of a customer's quota; 0: there is none.
+    /// Refill rate of a customer's quota, in units per second; 0: no quota.
     #[serde(default)]
     pub rate: f64,
-    /// Units that the quota allows at once.
+    /// Burst of the quota, in units.
     #[serde(default)]
     pub burst: f64,
-    /// Attempts of a customer that may be in flight at once; 0: any number.
+    /// Attempts of a customer that may be in flight at a time; 0: unlimited.
     #[serde(default, rename = "cap")]
     pub concurrency_cap: f64,
-    /// Factor on the billed value.
+    /// Factor by which the billed value of a route is multiplied.
     #[serde(default = "super::defaults::one")]
     pub price: f64,
-    /// What is sent beyond the quota costs this share of its billed value.
+    /// Cost of units forwarded beyond the quota, as a multiple of their value.
     #[serde(default = "super::defaults::one", rename = "over_cost")]
     pub over_quota_cost: f64,
-    /// Units a second that a customer may never pass; 0: there is no such ceiling.
+    /// Rate that a customer must never exceed, in units per second; 0: no such ceiling.
     #[serde(default)]
     pub ceiling_rate: f64,
-    /// Units that the ceiling allows at once.
+    /// Burst of the ceiling, in units.
     #[serde(default)]
     pub ceiling_burst: f64,
-    /// Share by which the ceiling may be passed; one of the largest requests may pass it in any case.
+    /// Share by which the ceiling's rate and burst may be exceeded. The burst may be exceeded by one request of the
+    /// largest size in any case.
     #[serde(default)]
     pub ceiling_slack: f64,
 }
 
-/// What clients ask for.
+/// The load: what clients request, and how they behave.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LoadConfig {
-    /// Requests a second inside the quotas over all gateways; the number of accounts follows from the plans'
-    /// rates.
+    /// Requests per second over all gateways, without the excess of greedy accounts. The number of accounts follows
+    /// from it and from the plans' rates.
     #[serde(rename = "calls")]
     pub request_rate: f64,
-    /// Share of its quota that a typical account uses.
+    /// Share of its quota that a typical account requests.
     #[serde(rename = "use_usual")]
     pub typical_utilization: f64,
-    /// Share of the accounts that ask for more than their quota.
+    /// Share of the accounts that request more than their quota.
     pub greedy_share: f64,
-    /// How many times its quota such an account asks for.
+    /// Multiple of its quota that such an account requests.
     pub greedy_factor: f64,
-    /// Through how many gateways the requests of an account come, unevenly.
+    /// Number of gateways that the requests of an account are spread over, unevenly.
     #[serde(rename = "spread")]
     pub gateways_per_account: usize,
-    /// How often the gateway that gets most of an account's requests changes.
+    /// Interval at which another gateway begins to get most of an account's requests; 0: never.
     #[serde(rename = "shift_every")]
     pub shift_interval: f64,
-    /// Units of a request are between 1 and this number.
+    /// Largest number of units of a request; each one's is drawn from 1 to this.
     #[serde(rename = "units_top")]
     pub max_units: u32,
-    /// Whether the true units differ from those that were stated, and servers report them.
+    /// Whether the units that a request consumes differ from those that it states, and servers report them.
     #[serde(rename = "settles")]
     pub settles_units: bool,
-    /// How often a client sends its request again.
+    /// Retries that a client makes after its first request.
     #[serde(rename = "retries")]
     pub max_retries: u32,
-    /// How long it waits before, where it was not told how long.
+    /// Mean wait before a retry, unless the answer states one and the client complies; each wait is drawn between
+    /// half and one and a half times this.
     #[serde(rename = "retry_wait")]
     pub retry_delay: f64,
-    /// Share of the accounts whose clients wait for as long as they are told.
+    /// Share of the accounts whose clients wait for as long as a rejection asks them to.
     #[serde(rename = "heeds")]
     pub retry_after_compliance: f64,
-    /// Part of the client timeout after which a client gives up.
+    /// Smallest share of the client timeout after which a client gives up; each request's share is drawn between this
+    /// and 1.
     pub patience: f64,
-    /// How long clients are still led to a gateway that has ended.
+    /// Time for which requests are still routed to a gateway whose process has ended.
     #[serde(rename = "front_notices")]
     pub front_detection_delay: f64,
-    /// A recording that is played in place of the accounts.
+    /// File name of a recording whose requests replace those of the drawn accounts.
     pub replay: Option<String>,
-    /// How many times the recording's load is played.
+    /// Factor by which the recording's load is multiplied.
     #[serde(rename = "scale")]
     pub replay_scale: f64,
 }
--- a/lab/src/experiment/defaults.rs
+++ b/lab/src/experiment/defaults.rs
@@ -1,13 +1,12 @@
-//! Values of fields that an experiment leaves out. The ranges are the project's own; they are no deployment's
-//! figures.
+//! Default values of the fields that an experiment file may omit.
 
 use super::config::{
     CounterConfig, DeduplicationScope, DiscoveryConfig, FleetConfig, Idempotency, LoadConfig,
     MachineTypeConfig, NetworkConfig, PlanConfig, RouteConfig,
 };
 
-/// How long keyed routes remember a request, in seconds.
-const DEDUPLICATION_WINDOW: f64 = 8.0;
+/// Time for which servers remember the idempotency key of a request on the keyed route.
+const DEDUPLICATION_WINDOW_SECONDS: f64 = 8.0;
 
 pub(super) fn one() -> f64 {
     1.0
@@ -112,7 +111,7 @@
     }
 }
 
-/// One route of each idempotency.
+/// One route for each variant of [`Idempotency`].
 pub(super) fn routes() -> Vec<RouteConfig> {
     vec![
         RouteConfig {
@@ -132,7 +131,7 @@
             share: 0.35,
             idempotency: Idempotency::Keyed,
             deduplication_scope: DeduplicationScope::All,
-            deduplication_window: DEDUPLICATION_WINDOW,
+            deduplication_window: DEDUPLICATION_WINDOW_SECONDS,
             work_ms: 120.0,
             latency_target: 1.5,
             client_timeout: 4.0,
@@ -154,7 +153,7 @@
     ]
 }
 
-/// A plan with a rate alone, one with a concurrency cap and one with a hard ceiling.
+/// A plan with only a quota, one with a concurrency cap as well, and one with a hard ceiling as well.
 pub(super) fn plans() -> Vec<PlanConfig> {
     let plan = |name: &str, share, rate, burst| PlanConfig {
         name: name.into(),
--- a/lab/src/experiment/fault.rs
+++ b/lab/src/experiment/fault.rs
@@ -1,105 +1,106 @@
-//! Faults that befall the emulated platform during a run.
+//! Faults that are injected into the emulated platform during a run.
 
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong. The names in a file are the variants' names in lower case with hyphens, unless stated.
+/// The kind of a fault. Its name in an experiment file is the variant's name in kebab case, unless a `serde`
+/// attribute gives another one. What [`Fault::share`] and [`Fault::factor`] mean depends on the kind.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// The counter takes calls and answers none.
+    /// The counter accepts calls and answers none.
     CounterSilent,
-    /// The counter rejects all calls.
+    /// The counter rejects all calls as busy.
     CounterBusy,
     /// The counter resets its connections.
     CounterReset,
-    /// The counter takes so many times as long.
+    /// Calls of the counter take `factor` times as long.
     CounterSlow,
-    /// The counter loses its counts at that moment.
+    /// The counter loses its counts when the fault starts.
     CounterEmpty,
-    /// Some gateways count on a fresh counter, then all on the first again.
+    /// A `share` of the gateways uses a second, empty counter; at the end all use the first one again.
     CounterSplit,
-    /// All gateways are led to a fresh counter for good.
+    /// All gateways are moved to a second, empty counter for the rest of the run.
     CounterSwap,
-    /// Some servers take so many times as long.
+    /// A `share` of the servers takes `factor` times as long for its work.
     ServersSlow,
-    /// Some servers take attempts and answer none; they are back warming up.
+    /// A `share` of the servers accepts attempts and answers none; at the end they return in slow start.
     ServersSilent,
-    /// Some servers refuse connections; they are back warming up.
+    /// A `share` of the servers crashes and refuses connections; at the end they return in slow start.
     ServersCrash,
-    /// Some servers are replaced one after another by new ones.
+    /// A `share` of the servers is replaced one after another by new ones in slow start.
     ServersReplace,
-    /// Some servers answer a share of the attempts with an error.
+    /// A `share` of the servers answers with an error to the share of attempts that `factor` gives.
     ServersFailing,
-    /// Some servers leave one route unanswered.
+    /// A `share` of the servers leaves the attempts of `route` unanswered.
     RouteUnanswered,
-    /// A share of the responses can't be parsed (`answers-spoilt` in a file).
+    /// A `share` of the servers' responses can't be parsed.
     #[serde(rename = "answers-spoilt")]
     MalformedResponses,
-    /// Changes of the endpoint list take longer to reach the gateways.
+    /// Changes of the endpoint list reach the gateways `factor` seconds later.
     ListLate,
-    /// No change of the endpoint list reaches the gateways.
+    /// Changes of the endpoint list reach the gateways only after the end of the fault.
     ListSilent,
-    /// The endpoint list leaves out servers that are there.
+    /// The endpoint list omits a `share` of the servers, though they are in service.
     ListWrong,
-    /// So many times as many requests come.
+    /// Clients send `factor` times as many requests.
     Surge,
-    /// The same, growing up to the factor.
+    /// Clients send more requests; the multiple grows evenly from 1 to `factor`.
     DeadlineSurge,
-    /// So many times as many requests of one plan come.
+    /// Customers of `plan` send `factor` times as many requests.
     PlanBurst,
-    /// Some accounts move to other gateways.
+    /// A `share` of the accounts sends most of its requests to another gateway from the start of the fault on.
     Shift,
-    /// Some requests come from accounts that were never seen.
+    /// A `share` of the requests comes from accounts that no gateway has seen before.
     Scan,
-    /// Clients give up after a part of their time.
+    /// Clients may give up after the share `factor` of their timeout.
     Impatient,
-    /// Some clients don't wait for as long as they are told.
+    /// A `share` of the retries does not wait for as long as the rejection asks.
     Heedless,
-    /// Clients come that send bytes that can't be parsed; on loopback only (`bad-clients` in a file).
+    /// Clients, `factor` in number, send bytes that can't be parsed; with the loopback engine only.
     #[serde(rename = "bad-clients")]
     MisbehavingClients,
-    /// Some gateways are killed, and are started again at the end.
+    /// A `share` of the gateways is killed, and started again at the end.
     GatewaysKill,
-    /// Some gateways are told to stop and are started again, in turn.
+    /// A `share` of the gateways is stopped gracefully and started again, one after another.
     GatewaysRestart,
-    /// Some gateways are told that counter and discovery have new addresses.
+    /// A `share` of the gateways is notified of new addresses of counter and discovery.
     GatewaysMove,
-    /// A zone and the others can't reach each other.
+    /// Gateways and servers of `zone` and those of other zones can't reach each other.
     ZoneCut,
-    /// The servers of a zone are silent; they are back warming up.
+    /// The servers of `zone` accept attempts and answer none; at the end they return in slow start.
     ZoneLost,
-    /// A share of the datagrams between gateways is lost.
+    /// A `share` of the datagrams between gateways is lost.
     PeersLost,
 }
 
-/// A fault and when it happens. Spans are in seconds.
+/// A fault, and the time at which it is injected. Times and durations are in seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// What fails, and how.
     pub kind: FaultKind,
-    /// When it begins, since the start of the run.
+    /// When it starts, counted from the start of the run.
     #[serde(rename = "at")]
     pub starts_at: f64,
-    /// How long it lasts, or over how long its steps are spread.
+    /// Its duration, over which faults of several steps spread them.
     #[serde(default, rename = "for")]
     pub duration: f64,
-    /// Share of the servers, gateways, accounts or responses that it befalls.
+    /// Share of the servers, gateways, accounts, requests, responses or datagrams that it affects, from 0 to 1.
     #[serde(default = "super::defaults::one")]
     pub share: f64,
-    /// How much slower, busier or later things are.
+    /// Magnitude of the effect; its meaning and unit depend on [`Self::kind`].
     #[serde(default = "super::defaults::fault_factor")]
     pub factor: f64,
-    /// The route that it is about, where it is about one.
+    /// Name of the affected route, for kinds that affect one.
     #[serde(default)]
     pub route: Option<String>,
-    /// The plan that it is about, where it is about one.
+    /// Name of the plan whose customers it affects; none: those of all plans, where the kind allows that.
     #[serde(default)]
     pub plan: Option<String>,
-    /// The zone that it is about, where it is about one; counted from 0.
+    /// Index of the affected zone, counted from 0, for kinds that affect one.
     #[serde(default)]
     pub zone: usize,
-    /// Whether the counter comes back without its counts.
+    /// Whether the counter has lost its counts when the fault ends.
     #[serde(default, rename = "empty")]
     pub loses_counts: bool,
 }
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -1,5 +1,7 @@
-//! Experiments: what is played, as a TOML file. Every table refuses names that it does not know, every figure is
-//! checked against its range, and a message names the line, the field and what was expected.
+//! Experiments: the TOML files that describe a run and the variants that are compared.
+//!
+//! Unknown fields are refused, every number is checked against its range, and an error names the line, the field and
+//! what was expected.
 
 mod config;
 mod defaults;
@@ -21,73 +23,73 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Which engine plays.
+/// The engine that executes a run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Engine {
-    /// The controllers themselves in simulated time.
+    /// Runs only the gateways' decision logic, in simulated time.
     #[default]
     Simulated,
-    /// The edge nodes as processes on loopback sockets.
+    /// Runs the gateways as processes on loopback sockets, in real time.
     Loopback,
 }
 
-/// An experiment. Spans are in seconds unless a name ends in `_ms`.
+/// An experiment as read from its file. Times and durations are in seconds unless a name ends in `_ms`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// What results and reports call it.
+    /// Its title in results and reports.
     pub title: String,
-    /// What it shows, for readers.
+    /// A description for readers of the report.
     #[serde(default)]
     pub about: String,
     /// Length of a run.
     pub seconds: f64,
-    /// For so long from the start nothing is counted but broken rules.
+    /// Time from the start of a run that is left out of totals and of most latencies. Broken rules count in it too.
     #[serde(default)]
     pub warm_up: f64,
-    /// A run is played for each.
+    /// Seeds of the runs: each variant has one run for each seed.
     #[serde(default = "defaults::seeds")]
     pub seeds: Vec<u64>,
-    /// The engine that plays it.
+    /// The engine that executes its runs.
     #[serde(default)]
     pub engine: Engine,
-    /// Gateways and servers.
+    /// The emulated gateways and servers.
     #[serde(default)]
     pub fleet: FleetConfig,
-    /// The shared counter.
+    /// The counter that gateways share.
     #[serde(default)]
     pub counter: CounterConfig,
-    /// Discovery.
+    /// How fast changes of the endpoint list reach the gateways.
     #[serde(default)]
     pub discovery: DiscoveryConfig,
-    /// The network.
+    /// Network delays, and datagrams between gateways.
     #[serde(default)]
     pub network: NetworkConfig,
-    /// The routes.
+    /// The routes that clients request.
     #[serde(default = "defaults::routes")]
     pub routes: Vec<RouteConfig>,
-    /// The plans.
+    /// The plans of the customers.
     #[serde(default = "defaults::plans")]
     pub plans: Vec<PlanConfig>,
-    /// What clients ask for.
+    /// What clients request, and how they behave.
     #[serde(default)]
     pub load: LoadConfig,
-    /// What goes wrong.
+    /// The faults that are injected during a run.
     #[serde(default, rename = "troubles")]
     pub faults: Vec<Fault>,
-    /// What is compared; the first one is what the others are compared with.
+    /// The variants that are compared; the first one is the baseline of the others.
     #[serde(default)]
     pub variants: Vec<Variant>,
 }
 
 impl Experiment {
-    /// Everything that is out of its range or does not fit the rest.
+    /// Everything that is out of its range or inconsistent with other fields.
     pub fn problems(&self) -> Vec<Problem> {
         validation::find_problems(self)
     }
 
-    /// The longest that a client waits, in seconds.
+    /// The longest client timeout of all routes, in seconds.
     pub fn max_client_timeout(&self) -> f64 {
         self.routes
             .iter()
@@ -95,7 +97,7 @@
             .fold(0.0, f64::max)
     }
 
-    /// Mean work of a request, in seconds of a core of speed 1.
+    /// Mean work of a request over all routes, in seconds on a core of speed 1.
     pub fn mean_work(&self) -> f64 {
         let shares: f64 = self.routes.iter().map(|route| route.share).sum();
         let work: f64 = self
@@ -106,12 +108,12 @@
         work / shares.max(1e-9)
     }
 
-    /// The index of the route of a name.
+    /// The index of the route with this name.
     pub fn route_index(&self, name: &str) -> Option<usize> {
         self.routes.iter().position(|route| route.name == name)
     }
 
-    /// The index of the plan of a name.
+    /// The index of the plan with this name.
     pub fn plan_index(&self, name: &str) -> Option<usize> {
         self.plans.iter().position(|plan| plan.name == name)
     }
--- a/lab/src/experiment/parse.rs
+++ b/lab/src/experiment/parse.rs
@@ -1,4 +1,4 @@
-//! Reads experiment files, and says at which line and column something is wrong.
+//! Parses experiment files, and locates each problem by line and column.
 
 use super::validation::Problem;
 use super::Experiment;
@@ -8,10 +8,10 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// The path under which the problems of all variants are reported.
+/// The path to which problems of variants are attributed: a variant's experiment has no position in the file.
 const VARIANTS_PATH: &str = "variants";
 
-/// Why an experiment can't be had from a file.
+/// Why an experiment can't be loaded from a file.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
     /// The file can't be read.
@@ -19,31 +19,31 @@
     Read {
         /// The file's path.
         file: String,
-        /// What the system said.
+        /// The operating system's error.
         #[source]
         source: io::Error,
     },
-    /// Its text is no valid experiment.
-    #[error("{}", lines(problems))]
+    /// The text is not a valid experiment.
+    #[error("{}", join_lines(problems))]
     Invalid {
-        /// Everything that is wrong with it, one at least.
+        /// All problems that were found, at least one.
         problems: Vec<LocatedProblem>,
     },
 }
 
-fn lines(problems: &[LocatedProblem]) -> String {
+fn join_lines(problems: &[LocatedProblem]) -> String {
     let lines: Vec<String> = problems.iter().map(LocatedProblem::to_string).collect();
     lines.join("\n")
 }
 
-/// Something that is wrong in a file.
+/// A problem of a file, with its position.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct LocatedProblem {
     /// The file's path.
     pub file: String,
-    /// Where it is wrong; none where that is not known.
+    /// Where the problem is; none if that is not known.
     pub position: Option<Position>,
-    /// What is wrong, with the field where that is known.
+    /// What is wrong, preceded by the path of the field where it is known.
     pub message: String,
 }
 
@@ -57,12 +57,12 @@
     }
 }
 
-/// A place in a text; both numbers count from 1.
+/// A position in a text; line and column count from 1.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Position {
-    /// The line.
+    /// The line's number.
     pub line: usize,
-    /// The column, in bytes.
+    /// The column's number, in bytes.
     pub column: usize,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl Experiment {
-    /// Reads and checks a file.
+    /// Loads and validates a file.
     pub fn load(path: &str) -> Result<Experiment, ExperimentError> {
         let text = std::fs::read_to_string(path).map_err(|source| ExperimentError::Read {
             file: path.to_string(),
@@ -87,7 +87,7 @@
         Experiment::parse(path, &text)
     }
 
-    /// Reads and checks a file's text; `file` is what messages call it.
+    /// Parses and validates a file's text; `file` names the file in errors.
     pub fn parse(file: &str, text: &str) -> Result<Experiment, ExperimentError> {
         let located = |span: Option<Range<usize>>, message| LocatedProblem {
             file: file.to_string(),
@@ -117,7 +117,7 @@
     }
 }
 
-/// Adds what is wrong with the variants alone.
+/// Adds the problems that arise only from the changes of a variant.
 fn add_variant_problems(experiment: &Experiment, problems: &mut Vec<Problem>) {
     for variant in experiment.variants_or_default() {
         let Err(invalid) = experiment.with_variant(&variant) else {
@@ -138,8 +138,8 @@
     }
 }
 
-/// Where a field stands in the text, by its path from the root; the nearest table above it where it is not
-/// written out.
+/// The span of a field in the text, by its path from the root. A field that the text omits has the span of the
+/// nearest table above it; none if the text has no such table.
 fn find_span(text: &str, path: &str) -> Option<Range<usize>> {
     let (root, _) = DeTable::parse_recoverable(text);
     let mut value: Option<&Spanned<DeValue>> = None;
--- a/lab/src/experiment/tests.rs
+++ b/lab/src/experiment/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::error::ErrorChain;
 
-/// Every field of the format by the name that it has in a file.
+/// An experiment file of an earlier version that has every field of the format.
 const ALL_FIELDS: &str = include_str!("all-fields-of-73f2b76.toml");
 
-/// The fields and values of a file, in any order.
-fn table(text: &str) -> toml::Table {
+/// Parses a file's text into its fields and values.
+fn parse_table(text: &str) -> toml::Table {
     toml::from_str(text).expect("TOML")
 }
 
@@ -13,8 +13,8 @@
 fn a_file_of_an_earlier_version_reads_back_field_by_field() {
     let experiment = Experiment::parse("all", ALL_FIELDS).expect("a valid experiment");
     let mut written = toml::Table::try_from(&experiment).expect("a table");
-    let mut expected = table(ALL_FIELDS);
-    // The one field that has had another name in files.
+    let mut expected = parse_table(ALL_FIELDS);
+    // The field `simulator` was called `drill` in earlier versions.
     for variants in [&mut written, &mut expected] {
         let first = variants["variants"][0].as_table_mut().expect("a variant");
         let program = first.remove("drill").or(first.remove("simulator"));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named_with_the_cause() {
+fn a_missing_file_is_reported_with_its_name_and_the_cause() {
     let error = Experiment::load("no/such.toml").expect_err("no file");
     let text = ErrorChain(&error).to_string();
     let prefix = "no/such.toml: cannot be read: ";
--- a/lab/src/experiment/validation.rs
+++ b/lab/src/experiment/validation.rs
@@ -1,25 +1,25 @@
-//! Checks that every figure of an experiment is in its range and that the parts fit each other.
+//! Validates an experiment: every number is within its range, and names refer to things that exist.
 
 use super::config::{Idempotency, MachineTypeConfig, PlanConfig, RouteConfig};
 use super::fault::{Fault, FaultKind};
 use super::Experiment;
 use std::fmt;
 
-/// The longest name of a route, plan, machine type or variant.
-const MAX_NAME_LENGTH: usize = 40;
+/// Maximum length of the name of a route, plan, machine type or variant.
+const MAX_NAME_BYTES: usize = 40;
 
-/// What a name that goes over the wire may hold beside letters and digits.
+/// Characters besides letters and digits that are allowed in a name that is sent over the wire.
 const WIRE_NAME_PUNCTUATION: &str = "-_";
 
-/// What the name of a variant may hold beside them; it is for readers only.
+/// Characters besides letters and digits that are allowed in a variant's name, which is only displayed.
 const VARIANT_NAME_PUNCTUATION: &str = "-_ ";
 
-/// One thing that is wrong with an experiment.
+/// A problem of an experiment.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Problem {
-    /// The field, by the names and indices that lead to it from the root of the file.
+    /// The field's path from the root of the file: names and indices, separated by dots.
     pub path: String,
-    /// What was expected.
+    /// What is wrong and what was expected.
     pub message: String,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A figure, and the least and most that it may be.
+/// A value with the smallest and the largest that is allowed, both inclusive.
 struct Bounded {
     value: f64,
     min: f64,
@@ -40,17 +40,17 @@
     Bounded { value, min, max }
 }
 
-/// A share from 0 to 1.
+/// A share, which ranges from 0 to 1.
 fn share(value: f64) -> Bounded {
     bounded(value, 0.0, 1.0)
 }
 
-/// A number of things.
+/// A count, compared as a floating-point number.
 fn count(value: usize, min: f64, max: f64) -> Bounded {
     bounded(value as f64, min, max)
 }
 
-/// Everything that is wrong with an experiment.
+/// Finds all problems of an experiment.
 pub(super) fn find_problems(experiment: &Experiment) -> Vec<Problem> {
     let mut validator = Validator {
         experiment,
@@ -74,7 +74,7 @@
     }
     validator.check_all_names();
     for (index, fault) in experiment.faults.iter().enumerate() {
-        validator.check_fault_subject(index, fault);
+        validator.check_fault_target(index, fault);
     }
     validator.problems
 }
@@ -89,7 +89,7 @@
         self.problems.push(Problem { path, message });
     }
 
-    /// Checks the fields of a section, by their names in a file.
+    /// Checks the ranges of a section's fields, which are given by their names in the file.
     fn check_fields<const N: usize>(&mut self, section: &str, fields: [(&str, Bounded); N]) {
         for (field, Bounded { value, min, max }) in fields {
             if !(min..=max).contains(&value) {
@@ -325,18 +325,18 @@
             let path = format!("{list}.{index}.name");
             if !is_plain_name(name, punctuation) {
                 let message = format!(
-                    "expected 1 to {MAX_NAME_LENGTH} letters, digits or any of '{punctuation}'"
+                    "expected 1 to {MAX_NAME_BYTES} letters, digits or any of '{punctuation}', found '{name}'"
                 );
                 self.add(path.clone(), message);
             }
             if names[..index].contains(name) {
-                self.add(path, format!("'{name}' stands there twice"));
+                self.add(path, format!("expected unique names, found '{name}' again"));
             }
         }
     }
 
-    /// Checks that what a fault is about is there, and that it says so where it must.
-    fn check_fault_subject(&mut self, index: usize, fault: &Fault) {
+    /// Checks that the route and the plan of a fault exist, and that kinds that need one name it.
+    fn check_fault_target(&mut self, index: usize, fault: &Fault) {
         let path = format!("troubles.{index}");
         let Experiment { routes, plans, .. } = self.experiment;
         let routes = names(routes, |route| &route.name);
@@ -344,11 +344,12 @@
         self.check_known(&path, "route", fault.route.as_deref(), &routes);
         self.check_known(&path, "plan", fault.plan.as_deref(), &plans);
         if fault.kind == FaultKind::RouteUnanswered && fault.route.is_none() {
-            let message = "expected 'route', the one unanswered".to_string();
-            self.add(path.clone(), message);
+            let message = "the field 'route' is missing; expected the route to be left unanswered";
+            self.add(path.clone(), message.to_string());
         }
         if fault.kind == FaultKind::PlanBurst && fault.plan.is_none() {
-            self.add(path, "expected 'plan', the one that bursts".to_string());
+            let message = "the field 'plan' is missing; expected the plan whose load bursts";
+            self.add(path, message.to_string());
         }
     }
 
@@ -370,5 +371,5 @@
 
 fn is_plain_name(name: &str, punctuation: &str) -> bool {
     let is_plain = |letter: char| letter.is_ascii_alphanumeric() || punctuation.contains(letter);
-    !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.chars().all(is_plain)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(is_plain)
 }
--- a/lab/src/experiment/variants.rs
+++ b/lab/src/experiment/variants.rs
@@ -1,48 +1,49 @@
-//! Variants: what an experiment compares.
+//! Variants of an experiment, which are compared with each other.
 
 use super::validation::Problem;
 use super::Experiment;
 use serde::{Deserialize, Serialize};
 use toml::Value;
 
-/// One of the things that are compared.
+/// A variant of an experiment: changes of the experiment, of the gateways' settings or of the program.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Variant {
-    /// Its name in results and reports.
+    /// The variant's name in results and reports.
     pub name: String,
-    /// Other values in the experiment, laid over it table by table; lists of named things take a table from
-    /// names to changes.
+    /// Fields of the experiment that have other values. Tables are merged field by field; a list of named elements
+    /// takes a table from an element's name to its changes.
     #[serde(rename = "change")]
     pub changes: toml::Table,
-    /// Settings that gateways are given in place of the true ones, in the words of their configuration.
+    /// Settings of the gateways that differ from what the experiment emulates, by their names in the gateways'
+    /// configuration.
     #[serde(rename = "told")]
     pub settings_overrides: toml::Table,
-    /// The edge node of another build, on loopback.
+    /// Path of another build of the gateway program, for the loopback engine.
     #[serde(rename = "edge")]
     pub gateway_program: Option<String>,
-    /// The adapter to the simulator of another build, in simulated time (`drill` in older files).
+    /// Path of another build's simulator program, for the simulated engine (`drill` in files of earlier versions).
     #[serde(rename = "simulator", alias = "drill")]
     pub simulator_program: Option<String>,
 }
 
-/// Why a variant can't be played.
+/// A variant whose changes don't lead to a valid experiment.
 #[derive(Debug, thiserror::Error)]
-#[error("variant '{variant}': {}", join(problems))]
+#[error("variant '{variant}': {}", join_problems(problems))]
 pub struct InvalidVariant {
     /// The variant's name.
     pub variant: String,
-    /// What is wrong with the experiment that its changes lead to.
+    /// The problems of the experiment that results from its changes.
     pub problems: Vec<Problem>,
 }
 
-fn join(problems: &[Problem]) -> String {
+fn join_problems(problems: &[Problem]) -> String {
     let texts: Vec<String> = problems.iter().map(Problem::to_string).collect();
     texts.join("; ")
 }
 
 impl Experiment {
-    /// The variants, or the experiment as it is where it has none.
+    /// The variants, or one without changes if the experiment has none.
     pub fn variants_or_default(&self) -> Vec<Variant> {
         if self.variants.is_empty() {
             return vec![Variant {
@@ -53,7 +54,7 @@
         self.variants.clone()
     }
 
-    /// The experiment with a variant's changes laid over it.
+    /// The experiment with a variant's changes applied.
     pub fn with_variant(&self, variant: &Variant) -> Result<Experiment, InvalidVariant> {
         if variant.changes.is_empty() {
             return Ok(self.clone());
@@ -78,15 +79,16 @@
             path: "change".to_string(),
             message,
         };
-        let mut whole = Value::try_from(self).map_err(|error| problem(error.to_string()))?;
-        merge(&mut whole, &Value::Table(changes.clone())).map_err(problem)?;
-        whole
+        let mut merged = Value::try_from(self).map_err(|error| problem(error.to_string()))?;
+        merge(&mut merged, &Value::Table(changes.clone())).map_err(problem)?;
+        merged
             .try_into()
             .map_err(|error: toml::de::Error| problem(error.message().to_string()))
     }
 }
 
-/// Lays one value over another: tables field by field, lists of named tables by name, all else in place.
+/// Applies changes to a value: tables are merged field by field, lists of named tables by the elements' names, and
+/// any other value is replaced.
 fn merge(base: &mut Value, changes: &Value) -> Result<(), String> {
     match (base, changes) {
         (Value::Table(base), Value::Table(changes)) => {
@@ -115,5 +117,5 @@
 fn find_named<'a>(items: &'a mut [Value], name: &str) -> Result<&'a mut Value, String> {
     let has_name = |item: &&mut Value| item.get("name").and_then(Value::as_str) == Some(name);
     let item = items.iter_mut().find(has_name);
-    item.ok_or_else(|| format!("nothing is named '{name}'"))
+    item.ok_or_else(|| format!("expected the name of an element of the list, found '{name}'"))
 }
