--- a/lab/src/metrics.rs
+++ b/lab/src/metrics.rs
@@ -1,7 +1,8 @@
-//! What a run has brought: counts by second, totals, latency quantiles and the figures that are compared.
+//! The results of a run: counts per second, totals, latency distributions, and the figures that variants are compared
+//! by.
 //!
-//! Results are stored as JSON, one run a line (`results.jsonl`). Fields that were renamed stay readable under
-//! their old names by `serde` aliases, and keep their order.
+//! Results are stored as JSON Lines, one run per line (`results.jsonl`). Fields that were renamed can still be read
+//! under their old names by `serde` aliases, and keep their order.
 
 mod recorder;
 
@@ -10,51 +11,56 @@
 use crate::events::RuleViolation;
 use serde::{Deserialize, Serialize};
 
-/// Steps of a stored latency curve in each power of ten of its tail (p90, p99, p99.9, ..).
+/// Points of a stored latency curve for each further nine of the quantile: up to p90, from there to p99, and so on.
 pub const CURVE_STEPS_PER_NINE: usize = 15;
-/// Counts of one second, or totals of several. Values are billed values times the plan's price.
+
+/// Counts of one second, or totals of several seconds. The value of an operation is the billed value of its route
+/// times its units and the plan's price.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SecondMetrics {
-    /// Requests as clients send them, their retries included.
+    /// Requests that clients sent, retries included.
     #[serde(alias = "asked")]
     pub requests: u64,
     /// Requests answered with a value.
     #[serde(alias = "proxied")]
     pub succeeded: u64,
-    /// Requests that the gateway declined with a hint when to retry.
+    /// Requests that a gateway rejected.
     #[serde(alias = "limited")]
     pub rejected: u64,
-    /// Requests answered with an error, or whose connection ended with no answer.
+    /// Requests that were answered with an error, or whose connection ended without an answer.
     #[serde(alias = "errored")]
     pub failed: u64,
-    /// Requests with no answer by the client timeout, or given up by the client.
+    /// Requests without an answer by the client timeout, or that the client gave up before.
     pub unanswered: u64,
-    /// Requests that no gateway took.
+    /// Requests that no gateway accepted.
     #[serde(alias = "unreached")]
     pub unreachable: u64,
-    /// Value of the operations that are inside their customer's quota, counted at their first request.
+    /// Value of the operations within their customer's quota, counted at their first request.
     #[serde(alias = "value_asked")]
     pub requested_value: f64,
-    /// Of that value, what was answered within the latency target.
+    /// Value of the operations within quota that were served, counted in the second of the request that was served. An
+    /// answer after the latency target counts by the route's `late_worth`.
     pub value_in_time: f64,
-    /// Units that were forwarded to servers.
+    /// Units of the requests that were forwarded to servers, counted at the first attempt.
     #[serde(alias = "units")]
     pub forwarded_units: f64,
-    /// Units that were forwarded beyond the customer's quota.
+    /// Of these units, those of requests that exceeded their customer's quota.
     #[serde(alias = "beyond")]
     pub over_quota_units: f64,
-    /// The value that those units cost.
+    /// Cost of the units beyond quotas: their value times the plan's `over_cost`.
     #[serde(alias = "beyond_cost")]
     pub over_quota_cost: f64,
-    /// Rejected while the customer's quota held the units and its concurrency limit one more attempt.
+    /// Requests that were rejected although the customer's quota had enough units and its concurrency limit allowed
+    /// another attempt.
     #[serde(alias = "limited_with_room")]
     pub rejected_within_quota: u64,
-    /// Rejected while at least half of the customer's burst and concurrency limit was unused.
+    /// Requests that were rejected although at least half of the customer's burst and more than half of its concurrency
+    /// limit was unused.
     #[serde(alias = "limited_half_unused")]
     pub rejected_with_half_quota: u64,
-    /// Calls on the shared counter.
+    /// Calls to the shared counter.
     pub counter_calls: u64,
-    /// Attempts that reached a server.
+    /// Attempts that arrived at servers.
     #[serde(alias = "tries")]
     pub attempts: u64,
     /// New connections from gateways to servers.
@@ -85,27 +91,27 @@
         self.datagrams += other.datagrams;
     }
 
-    /// Requests that ended with neither a value nor a rejection.
+    /// Number of requests that ended with neither a value nor a rejection.
     pub fn all_failures(&self) -> u64 {
         self.failed + self.unanswered + self.unreachable
     }
 }
 
-/// One point of a latency curve; stored as a pair by earlier versions.
+/// One point of a latency curve. Earlier versions stored it as a pair, which can still be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CurvePoint {
     /// The quantile, from 0 to 1.
     pub quantile: f64,
-    /// The latency at it, in milliseconds.
+    /// The latency at this quantile, in milliseconds.
     pub milliseconds: f64,
 }
 
 /// A latency distribution, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// How many values there are.
+    /// Number of values.
     pub count: u64,
-    /// Their mean.
+    /// The mean.
     pub mean: f64,
     /// The median.
     pub p50: f64,
@@ -117,50 +123,53 @@
     pub p999: f64,
     /// The largest value.
     pub max: f64,
-    /// The distribution for plots, [`CURVE_STEPS_PER_NINE`] points for each power of ten of the tail.
+    /// The distribution as a curve for plots, with [`CURVE_STEPS_PER_NINE`] points for each nine of the quantile.
     pub curve: Vec<CurvePoint>,
 }
 
-/// How late the laboratory itself was: the time from when something was due to when it was done.
+/// How far the laboratory itself lagged behind: the time between the moment at which an event was due and the moment
+/// at which it was processed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lateness {
     /// The largest lateness, in milliseconds.
     pub worst_ms: f64,
     /// The 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// So late that the figures say more of the laboratory than of the program.
+    /// Whether the laboratory was so late that the run's figures reflect its own delays rather than the gateways'
+    /// behaviour. Such a run is not compared.
     #[serde(alias = "spoilt")]
     pub excessive: bool,
 }
 
-/// The load of one server; stored as a pair by earlier versions.
+/// The load of one server. Earlier versions stored it as a pair, which can still be read.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerLoad {
     /// The server's name.
     pub server: String,
-    /// Share of its cores' time that it was busy, by second.
+    /// Share of its cores' time that it was busy, for each second.
     pub busy_share: Vec<f32>,
 }
 
-/// Clients that sent bytes that cannot be parsed; stored as a pair by earlier versions.
+/// Counts of the clients that sent bytes that cannot be parsed. Earlier versions stored them as a pair, which can still
+/// be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MisbehavingClients {
-    /// Those that were owed an error or a close and got neither in time.
+    /// Clients that got neither an error nor a closed connection in time.
     pub unanswered: u64,
-    /// All of them.
+    /// All misbehaving clients.
     pub total: u64,
 }
 
-/// One of the figures that are compared between variants.
+/// A figure by which variants are compared.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figure {
-    /// Its name, as reports and the command give it.
+    /// The figure's name in reports and on the command line.
     pub name: &'static str,
-    /// Its value.
+    /// The figure's value.
     pub value: f64,
 }
 
-/// What one run has brought.
+/// The results of one run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Results {
     /// Title of the experiment.
@@ -171,55 +180,55 @@
     pub engine: String,
     /// The run's seed.
     pub seed: u64,
-    /// Length of the run, in seconds of its own time.
+    /// Length of the run, in seconds of the engine's time.
     pub seconds: f64,
-    /// How many gateways there were.
+    /// Number of gateways.
     pub gateways: usize,
-    /// How many servers there were at the start.
+    /// Number of servers at the start.
     pub servers: usize,
-    /// Totals after the warm-up.
+    /// Totals of the seconds after the warm-up.
     #[serde(alias = "all")]
     pub totals: SecondMetrics,
-    /// Counts by second, the warm-up included.
+    /// Counts of each second, the warm-up included.
     pub by_second: Vec<SecondMetrics>,
-    /// Latency of served requests, from the moment at which they were meant to be sent.
+    /// Latency of requests that were served after the warm-up, from when they were due to be sent.
     #[serde(alias = "proxied_ms")]
     pub succeeded_ms: Quantiles,
-    /// Latency of rejected requests.
+    /// Latency of rejected requests, the warm-up included.
     #[serde(alias = "limited_ms")]
     pub rejected_ms: Quantiles,
-    /// Latency of failed requests.
+    /// Latency of failed requests, the warm-up included.
     #[serde(alias = "errored_ms")]
     pub failed_ms: Quantiles,
-    /// From the moment at which a request was meant to be sent to its first attempt's arrival at a server.
+    /// Time from when a request was due to be sent until its first attempt arrived at a server, after the warm-up.
     #[serde(alias = "first_try_ms")]
     pub first_attempt_ms: Quantiles,
     /// Load of each server.
     pub server_load: Vec<ServerLoad>,
-    /// The first of the broken rules.
+    /// The first violations of rules, up to a limit.
     #[serde(alias = "broken")]
     pub violations: Vec<RuleViolation>,
-    /// How many rules were broken in all.
+    /// Number of all violations.
     #[serde(alias = "broken_count")]
     pub violation_count: u64,
-    /// How late the laboratory itself was.
+    /// How far the laboratory itself lagged behind.
     pub lateness: Lateness,
-    /// What became of clients that sent bytes that cannot be parsed.
+    /// Counts of the clients that sent bytes that cannot be parsed.
     #[serde(alias = "bad_clients")]
     pub misbehaving_clients: MisbehavingClients,
-    /// Processes that ended by themselves, and other faults of a gateway, in words.
+    /// Descriptions of gateway processes that ended unexpectedly and of other failures of a gateway.
     pub crashes: Vec<String>,
-    /// Real time that the run took, in seconds.
+    /// Wall-clock time that the run took, in seconds.
     #[serde(alias = "took")]
     pub wall_seconds: f64,
-    /// Processor time of all gateways, in seconds.
+    /// CPU time that all gateways used, in seconds.
     #[serde(alias = "gateway_cpu")]
     pub gateway_cpu_seconds: f64,
-    /// Resident memory of the largest gateway, in MB.
+    /// Resident memory of the largest gateway, in MiB.
     pub gateway_mb: f64,
 }
 
-/// A figure that had another name in an earlier version.
+/// The old and the new name of a figure that was renamed.
 struct RenamedFigure {
     old: &'static str,
     new: &'static str,
@@ -229,7 +238,7 @@
     RenamedFigure { old, new }
 }
 
-/// Old names of figures: commands and notes of earlier versions have them.
+/// Renamed figures. Scripts and notes for earlier versions use the old names, so they stay accepted.
 const RENAMED_FIGURES: &[RenamedFigure] = &[
     renamed("limited", "rejected"),
     renamed("limited with room", "rejected within quota"),
@@ -252,7 +261,8 @@
 }
 
 impl Results {
-    /// The figures that are compared.
+    /// The figures by which variants are compared, in the order of reports. Those without a unit in their name are
+    /// ratios.
     pub fn figures(&self) -> Vec<Figure> {
         let totals = &self.totals;
         let requests = totals.requests as f64;
@@ -291,7 +301,7 @@
         ]
     }
 
-    /// A figure by its name, or by the one that an earlier version gave it.
+    /// The value of a figure by its present or an earlier name; none if no figure has the name.
     pub fn figure(&self, name: &str) -> Option<f64> {
         let renaming = RENAMED_FIGURES.iter().find(|renaming| renaming.old == name);
         let name = renaming.map_or(name, |renaming| renaming.new);
@@ -299,7 +309,7 @@
         Some(figures.find(|figure| figure.name == name)?.value)
     }
 
-    /// Nothing broke a rule and nothing crashed.
+    /// Whether no rule was violated and no gateway crashed.
     pub fn sound(&self) -> bool {
         self.violation_count == 0 && self.crashes.is_empty()
     }
--- a/lab/src/metrics/recorder.rs
+++ b/lab/src/metrics/recorder.rs
@@ -1,23 +1,22 @@
-//! Counts and measures while a run is played.
+//! Records counts and latencies during a run.
 
 use super::{CurvePoint, Lateness, Quantiles, Results, SecondMetrics, CURVE_STEPS_PER_NINE};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Powers of ten that a stored latency curve covers: up to p99.99.
+/// Number of nines up to which a stored latency curve reaches: p99.99.
 const CURVE_NINES: usize = 4;
 
-/// A run in which the laboratory itself was later than this at the 99th percentile is not compared, in
-/// milliseconds.
+/// A run is not compared if the laboratory's own lateness exceeded this at the 99th percentile.
 const EXCESSIVE_LATENESS_P99_MS: f64 = 5.0;
-/// A run in which the laboratory itself was once later than this is not compared, in milliseconds.
-const EXCESSIVE_LATENESS_ONCE_MS: f64 = 250.0;
+/// A run is not compared if the laboratory's own lateness exceeded this even once.
+const EXCESSIVE_LATENESS_MAX_MS: f64 = 250.0;
 
-/// Counts and measures while a run is played.
+/// Records the counts and latencies of one run and makes its [`Results`] of them. Histograms are in microseconds.
 pub(crate) struct MetricsRecorder {
     seconds: Vec<SecondMetrics>,
-    /// Share of its cores' time that a server was busy, by server and second.
+    /// Share of its cores' time that each server was busy, per second, by the server's index.
     busy_shares: BTreeMap<u32, Vec<f32>>,
     warm_up: Duration,
     length: Duration,
@@ -28,16 +27,17 @@
     lateness: Histogram<u64>,
 }
 
-/// An empty histogram of microseconds up to an hour, to three digits.
+/// An empty histogram of 1 microsecond to 1 hour with three significant digits.
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("bounds that fit")
+    Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("valid histogram bounds")
 }
 
-/// The quantile of a curve's step, counted from 1.
+/// The quantile at a step of a curve; steps count from 1.
 fn curve_quantile(step: usize) -> f64 {
     1.0 - 10f64.powf(-(step as f64) / CURVE_STEPS_PER_NINE as f64)
 }
 
+/// Reads the stored distribution, in milliseconds, from a histogram of microseconds.
 fn quantiles(histogram: &Histogram<u64>) -> Quantiles {
     if histogram.is_empty() {
         return Quantiles::default();
@@ -62,12 +62,12 @@
     }
 }
 
-fn record_span(histogram: &mut Histogram<u64>, span: Duration) {
+fn record_duration(histogram: &mut Histogram<u64>, span: Duration) {
     histogram.saturating_record(span.as_micros() as u64);
 }
 
 impl MetricsRecorder {
-    /// Nothing recorded yet, of a run of this length.
+    /// A recorder without records, for a run of this length.
     pub(crate) fn new(warm_up: Duration, length: Duration) -> MetricsRecorder {
         MetricsRecorder {
             seconds: vec![SecondMetrics::default(); length.as_secs_f64().ceil() as usize],
@@ -82,53 +82,55 @@
         }
     }
 
-    /// The counts that something belongs to; what comes after the run's end goes with its last second.
+    /// The counts of the second at `now`. Events after the run's end count in its last second.
     pub(crate) fn second_at(&mut self, now: Duration) -> &mut SecondMetrics {
         let second = (now.as_secs() as usize).min(self.seconds.len() - 1);
         &mut self.seconds[second]
     }
 
-    /// A request was served, so long after it was meant to be sent.
+    /// Records a served request; `latency` counts from when it was due to be sent. The warm-up is left out of the
+    /// latencies.
     pub(crate) fn record_success(&mut self, now: Duration, latency: Duration) {
         self.second_at(now).succeeded += 1;
         if now >= self.warm_up {
-            record_span(&mut self.succeeded, latency);
+            record_duration(&mut self.succeeded, latency);
         }
     }
 
-    /// A request was rejected, so long after it was meant to be sent.
+    /// Records a rejected request; `latency` counts from when it was due to be sent.
     pub(crate) fn record_rejection(&mut self, now: Duration, latency: Duration) {
         self.second_at(now).rejected += 1;
-        record_span(&mut self.rejected, latency);
+        record_duration(&mut self.rejected, latency);
     }
 
-    /// A request failed, so long after it was meant to be sent.
+    /// Records a failed request; `latency` counts from when it was due to be sent.
     pub(crate) fn record_failure(&mut self, now: Duration, latency: Duration) {
         self.second_at(now).failed += 1;
-        record_span(&mut self.failed, latency);
+        record_duration(&mut self.failed, latency);
     }
 
-    /// A request's first attempt reached a server, so long after the request was meant to be sent.
+    /// Records the arrival of a request's first attempt at a server; `latency` counts from when the request was due to
+    /// be sent. The warm-up is left out.
     pub(crate) fn record_first_attempt(&mut self, now: Duration, latency: Duration) {
         if now >= self.warm_up {
-            record_span(&mut self.first_attempt, latency);
+            record_duration(&mut self.first_attempt, latency);
         }
     }
 
-    /// The laboratory did something so much later than it was due.
+    /// Records how late the laboratory processed an event that was due.
     pub(crate) fn record_lateness(&mut self, lateness: Duration) {
-        record_span(&mut self.lateness, lateness);
+        record_duration(&mut self.lateness, lateness);
     }
 
-    /// The share of its cores' time that a server was busy in one second. A server that did not exist in the
-    /// seconds before was not busy in them.
+    /// Records the share of its cores' time that a server was busy in one second. Earlier seconds without a record,
+    /// as of a server that did not exist yet, count as idle.
     pub(crate) fn record_server_load(&mut self, server: u32, second: usize, busy_share: f32) {
         let shares = self.busy_shares.entry(server).or_default();
         shares.resize(second, 0.0);
         shares.push(busy_share);
     }
 
-    /// Load of each server, by its index.
+    /// The busy shares of each server per second, with the server's index.
     pub(crate) fn server_load(&self) -> impl Iterator<Item = (u32, &[f32])> {
         let servers = self.busy_shares.iter();
         servers.map(|(server, shares)| (*server, shares.as_slice()))
@@ -143,11 +145,11 @@
         Lateness {
             worst_ms,
             p99_ms,
-            excessive: p99_ms > EXCESSIVE_LATENESS_P99_MS || worst_ms > EXCESSIVE_LATENESS_ONCE_MS,
+            excessive: p99_ms > EXCESSIVE_LATENESS_P99_MS || worst_ms > EXCESSIVE_LATENESS_MAX_MS,
         }
     }
 
-    /// All that was counted; totals leave the warm-up out.
+    /// The results so far. The totals leave out the warm-up; names, violations, CPU time and memory are not filled in.
     pub(crate) fn results(&self) -> Results {
         let warm_up_seconds = (self.warm_up.as_secs() as usize).min(self.seconds.len());
         let mut totals = SecondMetrics::default();
--- a/lab/src/metrics/tests.rs
+++ b/lab/src/metrics/tests.rs
@@ -3,21 +3,21 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// A run with two broken rules as commit 73f2b76 wrote it, before fields were renamed.
-const STORED_BEFORE: &str = include_str!("results-of-73f2b76.jsonl");
+/// A run with two rule violations as commit 73f2b76 stored it, before fields were renamed.
+const OLD_RESULTS: &str = include_str!("results-of-73f2b76.jsonl");
 
-/// Figures and flags of a JSON value in their order, without the names of fields.
-fn leaves(value: &Value, out: &mut Vec<Value>) {
+/// Appends the numbers, texts and flags of a JSON value in their order, without the names of fields.
+fn append_leaves(value: &Value, out: &mut Vec<Value>) {
     match value {
-        Value::Object(fields) => fields.values().for_each(|field| leaves(field, out)),
-        Value::Array(items) => items.iter().for_each(|item| leaves(item, out)),
+        Value::Object(fields) => fields.values().for_each(|field| append_leaves(field, out)),
+        Value::Array(items) => items.iter().for_each(|item| append_leaves(item, out)),
         leaf => out.push(leaf.clone()),
     }
 }
 
 #[test]
-fn results_of_the_version_before_are_read_under_their_old_names() {
-    let results: Results = serde_json::from_str(STORED_BEFORE).expect("old results");
+fn results_of_an_earlier_version_are_read_by_their_old_field_names() {
+    let results: Results = serde_json::from_str(OLD_RESULTS).expect("old results");
     let totals = &results.totals;
     assert_eq!(
         (totals.requests, totals.succeeded, totals.rejected),
@@ -60,8 +60,8 @@
 }
 
 #[test]
-fn results_of_the_version_before_keep_every_value_when_they_are_stored_again() {
-    let results: Results = serde_json::from_str(STORED_BEFORE).expect("old results");
+fn results_of_an_earlier_version_keep_every_value_when_they_are_stored_again() {
+    let results: Results = serde_json::from_str(OLD_RESULTS).expect("old results");
     let text = serde_json::to_string(&results).expect("results");
     assert_eq!(
         serde_json::from_str::<Results>(&text).expect("new results"),
@@ -69,18 +69,18 @@
     );
     let mut before = Vec::new();
     let mut after = Vec::new();
-    leaves(
-        &serde_json::from_str(STORED_BEFORE).expect("JSON"),
+    append_leaves(
+        &serde_json::from_str(OLD_RESULTS).expect("JSON"),
         &mut before,
     );
-    leaves(&serde_json::from_str(&text).expect("JSON"), &mut after);
+    append_leaves(&serde_json::from_str(&text).expect("JSON"), &mut after);
     before.sort_by_key(Value::to_string);
     after.sort_by_key(Value::to_string);
     assert_eq!(before, after);
 }
 
 #[test]
-fn a_run_that_was_once_very_late_is_not_compared() {
+fn one_very_late_event_makes_lateness_excessive() {
     let mut recorder = MetricsRecorder::new(Duration::ZERO, Duration::from_secs(1));
     recorder.record_lateness(Duration::from_millis(2));
     assert!(!recorder.results().lateness.excessive);
@@ -89,8 +89,8 @@
 }
 
 #[test]
-fn figures_are_found_by_their_old_names_too() {
-    let results: Results = serde_json::from_str(STORED_BEFORE).expect("old results");
+fn figures_are_found_by_their_old_and_new_names() {
+    let results: Results = serde_json::from_str(OLD_RESULTS).expect("old results");
     let old_names = [
         "served",
         "net",
--- a/lab/src/stats.rs
+++ b/lab/src/stats.rs
@@ -1,22 +1,22 @@
-//! Differences between variants, paired by seed, with intervals of 95%.
+//! Statistics of the differences between variants: runs are paired by seed, and intervals have a confidence of 95%.
 
 use crate::metrics::{Figure, Results};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// The quantile of Student's t up to which a two-sided interval of 95% reaches.
+/// The quantile of Student's t distribution that bounds a two-sided confidence interval of 95%.
 const UPPER_QUANTILE: f64 = 0.975;
 
-/// A mean and how far from it the truth may be.
+/// A mean with its confidence interval of 95%.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Interval {
     /// The mean.
     pub mean: f64,
-    /// Half the width of the interval; none from one value alone.
+    /// Half the width of the interval; none for fewer than two values.
     pub half_width: Option<f64>,
 }
 
 impl Interval {
-    /// The interval of the mean of these values.
+    /// The confidence interval of the mean of these values.
     pub fn of(values: &[f64]) -> Interval {
         let count = values.len() as f64;
         Interval {
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Whether a value lies within it.
-    pub fn holds(&self, value: f64) -> bool {
+    /// Whether a value lies within the interval; never without a half width.
+    pub fn contains(&self, value: f64) -> bool {
         let tolerance = 1e-12;
         self.half_width
             .is_some_and(|half_width| (value - self.mean).abs() <= half_width + tolerance)
@@ -42,14 +42,15 @@
     }
 }
 
-/// The mean; 0 of no values.
+/// The mean; 0 for no values.
 pub(crate) fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// Half of the width of 95% by Student's t, where what is judged varies by `share` of the values' variance: a
-/// mean of n by 1/n, the difference of two such by the sum of both. Two values at least.
-pub(crate) fn half_width(values: &[f64], share: f64) -> f64 {
+/// Half the width of a confidence interval of 95% by Student's t distribution, for an estimate whose variance is
+/// `variance_factor` times that of the values: 1/n for a mean of n values, and the sum of both factors for the
+/// difference of two means. Needs two values at least.
+pub(crate) fn half_width(values: &[f64], variance_factor: f64) -> f64 {
     let count = values.len() as f64;
     let mean = mean(values);
     let squares = values.iter().map(|value| (value - mean).powi(2));
@@ -58,26 +59,26 @@
         Ok(distribution) => distribution.inverse_cdf(UPPER_QUANTILE),
         Err(_) => f64::NAN,
     };
-    quantile * (variance * share).sqrt()
+    quantile * (variance * variance_factor).sqrt()
 }
 
-/// The runs of two variants on the same seed.
+/// The runs of two variants with the same seed.
 #[derive(Clone, Copy)]
 pub(crate) struct Pair<'a> {
-    /// The run of the variant that is compared with.
+    /// The run of the baseline variant.
     pub(crate) base: &'a Results,
-    /// The run of the variant that is compared.
+    /// The run of the variant that is compared with the baseline.
     pub(crate) other: &'a Results,
 }
 
 impl Pair<'_> {
-    /// The laboratory ran in time in both runs.
+    /// Whether the laboratory's own lateness was acceptable in both runs.
     pub(crate) fn in_time(&self) -> bool {
         !self.base.lateness.excessive && !self.other.lateness.excessive
     }
 }
 
-/// The runs of two variants, seed by seed.
+/// Pairs the runs of two variants by seed. A seed that only one of them has is left out.
 pub(crate) fn pairs<'a>(results: &[&'a Results], base: &str, other: &str) -> Vec<Pair<'a>> {
     let mut pairs = Vec::new();
     for base_run in results.iter().filter(|run| run.variant == base) {
@@ -94,37 +95,37 @@
     pairs
 }
 
-/// One figure of two variants.
+/// The comparison of one figure between two variants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     /// The figure's name.
     pub figure: String,
-    /// Its mean in the variant that is compared with.
+    /// The figure's mean in the baseline variant.
     pub base: f64,
-    /// Its mean in the other variant.
+    /// The figure's mean in the other variant.
     pub other: f64,
-    /// The differences by seed.
+    /// The difference of the other variant from the baseline, over the pairs of runs.
     pub difference: Interval,
-    /// How many seeds there are.
+    /// Number of pairs.
     pub pairs: usize,
 }
 
-/// A variant against the first one.
+/// The comparison of a variant with the first one, the baseline, in one engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
-    /// The engine that played both.
+    /// Name of the engine.
     pub engine: String,
-    /// The first variant.
+    /// Name of the baseline variant.
     pub base: String,
-    /// The variant that is compared with it.
+    /// Name of the variant that is compared with the baseline.
     pub other: String,
-    /// The figures, in their order.
+    /// One row for each figure, in the order of [`Results::figures`]; empty without a usable pair.
     pub rows: Vec<Row>,
-    /// Pairs that are left out because the laboratory itself ran late.
+    /// Number of pairs that are left out because the laboratory itself was too late in one of the runs.
     pub late: usize,
 }
 
-/// The variants in the order in which they stand in the results.
+/// The names of the variants, in the order of their first results.
 pub fn variants(results: &[Results]) -> Vec<String> {
     let mut names: Vec<String> = Vec::new();
     for run in results {
@@ -135,7 +136,7 @@
     names
 }
 
-/// The engines that have played, by name.
+/// The names of the engines of these results, sorted.
 pub(crate) fn engines(results: &[Results]) -> Vec<&str> {
     let mut engines: Vec<&str> = results.iter().map(|run| run.engine.as_str()).collect();
     engines.sort_unstable();
@@ -143,8 +144,8 @@
     engines
 }
 
-/// Compares every variant with the first, seed by seed. Pairs in which the laboratory ran late are left out and
-/// counted.
+/// Compares every variant with the first one, for each engine, by pairs of runs with the same seed. Pairs in which the
+/// laboratory was too late are left out and counted.
 pub fn compare(results: &[Results]) -> Vec<Comparison> {
     let names = variants(results);
     let Some((base, others)) = names.split_first() else {
@@ -168,7 +169,7 @@
     comparisons
 }
 
-/// Each figure of two variants; none without a pair.
+/// Compares each figure over pairs of runs; empty without a pair.
 fn rows(pairs: &[Pair]) -> Vec<Row> {
     let base: Vec<Vec<Figure>> = pairs.iter().map(|pair| pair.base.figures()).collect();
     let other: Vec<Vec<Figure>> = pairs.iter().map(|pair| pair.other.figures()).collect();
--- a/lab/src/stats/tests.rs
+++ b/lab/src/stats/tests.rs
@@ -1,16 +1,22 @@
 use super::*;
 
 #[test]
-fn intervals_are_those_of_the_books() {
-    // Four values of mean 5 and standard deviation 2: 3.182 x 2 / 2.
-    let off = 2.0 * (3.0f64 / 4.0).sqrt();
-    let interval = Interval::of(&[5.0 - off, 5.0 + off, 5.0 - off, 5.0 + off]);
+fn interval_half_width_matches_the_table_of_students_t() {
+    // Four values of mean 5 and standard deviation 2. The table gives 3.182 for three degrees of freedom, so the half
+    // width is 3.182 x 2 / sqrt(4).
+    let deviation = 2.0 * (3.0f64 / 4.0).sqrt();
+    let interval = Interval::of(&[
+        5.0 - deviation,
+        5.0 + deviation,
+        5.0 - deviation,
+        5.0 + deviation,
+    ]);
     assert!((interval.mean - 5.0).abs() < 1e-9);
     assert!(
         (interval.half_width.unwrap() - 3.182).abs() < 1e-3,
         "{interval}"
     );
-    assert!(interval.holds(8.0) && !interval.holds(8.3));
+    assert!(interval.contains(8.0) && !interval.contains(8.3));
     assert_eq!(Interval::of(&[1.0]).half_width, None);
 }
 
@@ -27,15 +33,15 @@
 }
 
 #[test]
-fn pairs_go_by_seed_and_late_runs_are_left_out() {
-    let mut late_run = run("b", 3, 1.0);
+fn runs_are_paired_by_seed_and_late_runs_are_left_out() {
+    let mut late_run = run("changed", 3, 1.0);
     late_run.lateness.excessive = true;
     let results = [
-        run("a", 1, 5.0),
-        run("a", 2, 6.0),
-        run("b", 2, 7.0),
-        run("b", 1, 6.0),
-        run("a", 3, 9.0),
+        run("base", 1, 5.0),
+        run("base", 2, 6.0),
+        run("changed", 2, 7.0),
+        run("changed", 1, 6.0),
+        run("base", 3, 9.0),
         late_run,
     ];
     let comparison = &compare(&results)[0];
--- a/lab/src/validate.rs
+++ b/lab/src/validate.rs
@@ -1,5 +1,5 @@
-//! Does the model say what loopback measures? For a known change: the difference of two variants in simulated
-//! time, with the interval in which a measurement should fall, beside the difference that loopback measures.
+//! Validates the model (the simulated engine) against measurements on loopback: the difference between two variants in
+//! simulated time, with the interval in which a measurement should lie, is compared with the difference on loopback.
 
 use crate::error::LabError;
 use crate::experiment::{Engine, Experiment};
@@ -8,50 +8,52 @@
 use crate::stats;
 use serde::{Deserialize, Serialize};
 
-/// The model is played on at least so many seeds: fewer give no useful interval.
+/// Smallest number of seeds for the model: fewer give no useful interval.
 const MIN_MODEL_SEEDS: usize = 3;
 
-/// One change in one experiment. Stored as JSON; renamed fields stay readable under their old names.
+/// The validation of one variant of an experiment. It is stored as JSON; renamed fields can still be read under their
+/// old names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Trial {
     /// Title of the experiment.
     pub experiment: String,
-    /// The variant that is compared with.
+    /// Name of the baseline variant.
     pub base: String,
-    /// The variant that is compared.
+    /// Name of the variant that is compared with the baseline.
     pub other: String,
-    /// The figure that is compared.
+    /// Name of the figure that is compared.
     pub figure: String,
-    /// The model's difference.
+    /// Mean difference between the variants in the model.
     pub model: f64,
-    /// How far from it a measurement may lie.
+    /// Largest distance from the model's difference at which a measurement agrees with it.
     #[serde(alias = "off")]
     pub tolerance: f64,
-    /// The difference that loopback measured.
+    /// Mean difference between the variants on loopback.
     pub measured: f64,
-    /// On so many seeds.
+    /// Number of seeds that the measurement is over.
     pub measured_seeds: usize,
-    /// Loopback runs in which the laboratory itself ran late.
+    /// Number of loopback runs, over all variants, in which the laboratory itself was too late.
     pub late: usize,
 }
 
 impl Trial {
-    /// Whether the measurement lies where the model says.
+    /// Whether the measurement lies within the tolerance of the model's difference.
     pub fn holds(&self) -> bool {
         (self.model - self.measured).abs() <= self.tolerance
     }
 }
 
-/// How many seeds each engine plays.
+/// Number of seeds for each engine.
 #[derive(Clone, Copy, Debug)]
 pub struct SeedCounts {
-    /// In simulated time.
+    /// Number of seeds in simulated time; at least three are run.
     pub model: usize,
-    /// On loopback.
+    /// Number of seeds on loopback; at least one is run.
     pub loopback: usize,
 }
 
-/// A figure's differences of two variants, by seed. A figure that does not exist counts as 0.
+/// The differences of a figure between two variants, by seed. Pairs in which the laboratory was too late are left out;
+/// a figure that does not exist counts as 0.
 fn differences(results: &[Results], base: &str, other: &str, figure: &str) -> Vec<f64> {
     let runs: Vec<&Results> = results.iter().collect();
     let mut differences = Vec::new();
@@ -65,25 +67,27 @@
     differences
 }
 
-/// How far from the model's mean a mean over `count` seeds may lie: half the width of 95%.
+/// Half the width of the interval around the mean of the model's `differences` in which a mean difference over `count`
+/// measured seeds should lie, with a confidence of 95%.
 fn measurement_tolerance(differences: &[f64], count: usize) -> f64 {
-    let share = 1.0 / differences.len() as f64 + 1.0 / count.max(1) as f64;
-    stats::half_width(differences, share)
+    let variance_factor = 1.0 / differences.len() as f64 + 1.0 / count.max(1) as f64;
+    stats::half_width(differences, variance_factor)
 }
 
-/// Plays every variant of an experiment against its first in both engines. `on_run` hears of each run's end.
+/// Runs all variants of an experiment in both engines and compares each with the first one. `on_run` is called with the
+/// result of each run.
 pub fn trials(
     experiment: &Experiment,
-    ways: &RunnerOptions,
+    options: &RunnerOptions,
     seeds: SeedCounts,
     figure: &str,
     on_run: &(dyn Fn(&Result<Results, LabError>) + Sync),
 ) -> Result<Vec<Trial>, LabError> {
     let model_seeds = seeds.model.max(MIN_MODEL_SEEDS);
-    let model_ways = ways_of(ways, Engine::Simulated, model_seeds);
-    let loopback_ways = ways_of(ways, Engine::Loopback, seeds.loopback);
-    let model = runs::play_all(experiment, &model_ways, on_run)?;
-    let loopback = runs::play_all(experiment, &loopback_ways, on_run)?;
+    let model_options = engine_options(options, Engine::Simulated, model_seeds);
+    let loopback_options = engine_options(options, Engine::Loopback, seeds.loopback);
+    let model = runs::play_all(experiment, &model_options, on_run)?;
+    let loopback = runs::play_all(experiment, &loopback_options, on_run)?;
     let variants = experiment.variants_or_default();
     let base = &variants[0].name;
     let mut trials = Vec::new();
@@ -106,12 +110,12 @@
     Ok(trials)
 }
 
-/// How an engine plays the first seeds.
-fn ways_of(ways: &RunnerOptions, engine: Engine, seed_count: usize) -> RunnerOptions {
+/// The options for runs of one engine with the seeds from 1 to `seed_count`, at least one.
+fn engine_options(options: &RunnerOptions, engine: Engine, seed_count: usize) -> RunnerOptions {
     RunnerOptions {
         engine: Some(engine),
         seeds: Some((1..=seed_count.max(1) as u64).collect()),
-        ..ways.clone()
+        ..options.clone()
     }
 }
 
