--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -1,4 +1,5 @@
-//! The errors of the laboratory. Each names the place; its cause is its source, and [`ErrorChain`] prints both.
+//! The errors of the laboratory. Each names the file or operation that failed; its cause is its source, and
+//! [`ErrorChain`] prints both.
 
 use crate::decision_engine::DecisionEngineError;
 use crate::experiment::{ExperimentError, InvalidVariant};
@@ -10,46 +11,46 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Why a run, a recording or a file of results could not be made or read.
+/// Why a run failed to execute, or a file of the laboratory could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
     /// A file, folder or program could not be opened, written or started.
     #[error("{}", path.display())]
     File {
-        /// The path that was tried.
+        /// The path.
         path: PathBuf,
-        /// What the system said.
+        /// The operating system's error.
         #[source]
         source: io::Error,
     },
-    /// The system refused something that is about no file.
+    /// An operation of the operating system failed that concerns no file.
     #[error("{operation}")]
     System {
-        /// What was tried.
+        /// The operation that failed.
         operation: &'static str,
-        /// What the system said.
+        /// The operating system's error.
         #[source]
         source: io::Error,
     },
-    /// An address can't be listened at.
-    #[error("{address}")]
+    /// A socket can't listen on an address.
+    #[error("cannot listen on {address}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The operating system's error.
         #[source]
         source: io::Error,
     },
-    /// The gateways of a run on loopback did not start.
+    /// The gateways of a loopback run did not become ready.
     #[error(transparent)]
     GatewaysNotReady(#[from] NotReady),
-    /// The decisions of a simulated run could not be had.
+    /// The decision engine of a simulated run failed.
     #[error(transparent)]
     DecisionEngine(#[from] DecisionEngineError),
-    /// A recording can't be replayed.
+    /// A recording can't be read.
     #[error("{}", path.display())]
     Recording {
-        /// The file.
+        /// Path of the recording.
         path: PathBuf,
         /// What is wrong with it.
         #[source]
@@ -58,17 +59,17 @@
     /// A recording names a route or plan that the experiment does not have.
     #[error("{}: the experiment has no {kind} '{name}'", path.display())]
     UnknownName {
-        /// The recording.
+        /// Path of the recording.
         path: PathBuf,
-        /// What is named: a route or a plan.
+        /// What the name is expected to be: `route` or `plan`.
         kind: &'static str,
-        /// The name.
+        /// The unknown name.
         name: String,
     },
-    /// A line of stored results can't be read.
+    /// A line of stored results can't be parsed.
     #[error("{}:{line}", path.display())]
     ResultsLine {
-        /// The file of results.
+        /// Path of the file of results.
         path: PathBuf,
         /// The line's number, counted from 1.
         line: usize,
@@ -76,49 +77,49 @@
         #[source]
         source: serde_json::Error,
     },
-    /// A file of results holds none.
-    #[error("{}: no results in it", path.display())]
+    /// A file of results is empty.
+    #[error("{}: the file is empty, expected one run's results per line", path.display())]
     NoResults {
-        /// The file.
+        /// Path of the file of results.
         path: PathBuf,
     },
-    /// A variant's overrides of settings can't be had as JSON.
-    #[error("told")]
+    /// A variant's overrides of settings can't be converted to JSON.
+    #[error("the variant's table 'told' cannot be converted to JSON")]
     SettingsOverrides(#[source] serde_json::Error),
-    /// A variant overrides a setting that the nodes' configuration does not have.
-    #[error("told: the configuration has no '{0}' there")]
+    /// A variant overrides a setting that the gateways' configuration does not have.
+    #[error("the variant's table 'told' names '{0}', which the gateways' settings do not have in that place")]
     UnknownSetting(String),
     /// A plot of a report could not be drawn.
-    #[error("plot '{title}'")]
+    #[error("cannot draw plot '{title}'")]
     Plot {
         /// Title of the plot.
         title: String,
-        /// What the plotting library said.
+        /// The plotting library's error.
         #[source]
         source: Box<dyn Error + Send + Sync>,
     },
-    /// An experiment can't be had from its file.
+    /// An experiment can't be loaded from its file.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
-    /// A variant leads to an experiment that can't be played.
+    /// A variant's changes don't lead to a valid experiment.
     #[error(transparent)]
     Variant(#[from] InvalidVariant),
 }
 
 impl LabError {
-    /// Makes an I/O error of a path into a [`LabError::File`].
+    /// Converts an I/O error that concerns a path into a [`LabError::File`].
     pub fn file(path: &Path) -> impl FnOnce(io::Error) -> LabError {
         let path = path.to_path_buf();
         move |source| LabError::File { path, source }
     }
 
-    /// Makes an I/O error of something without a path into a [`LabError::System`].
+    /// Converts an I/O error of an operation without a path into a [`LabError::System`].
     pub fn system(operation: &'static str) -> impl FnOnce(io::Error) -> LabError {
         move |source| LabError::System { operation, source }
     }
 }
 
-/// Prints an error and its causes in one line, parted by colons.
+/// Prints an error and its causes in one line, separated by colons.
 pub struct ErrorChain<'a>(
     /// The outermost error.
     pub &'a dyn Error,
--- a/lab/src/node_settings.rs
+++ b/lab/src/node_settings.rs
@@ -1,26 +1,27 @@
-//! What a gateway is configured with, in the words of its file and of discovery: settings from an experiment,
-//! with what a variant puts in place of the truth laid over them, and the endpoint list.
+//! The configuration of emulated gateways in its external JSON format: settings derived from an experiment, with a
+//! variant's overrides applied, and the endpoint list as discovery sends it.
 
 use crate::error::LabError;
 use crate::experiment::{DeduplicationScope, Experiment, Idempotency, PlanConfig, RouteConfig};
 use serde_json::{json, Value};
 
-/// Resolution of a gateway's timers, in nanoseconds.
+/// Resolution of a gateway's timers: 4 ms.
 const TIMER_RESOLUTION_NS: u64 = 4_000_000;
-/// A gateway answers so much before the client timeout, in nanoseconds.
+/// Time before the client timeout by which a gateway answers: 16 ms.
 const ANSWER_SLACK_NS: u64 = 16_000_000;
-/// A gateway without news of the endpoint list asks for it within so long, in seconds.
-const REFETCH_WITHIN_SECONDS: f64 = 10.0;
-/// The least that a gateway may ask a client to wait at most, in seconds.
+/// Longest interval between two requests of a gateway for the endpoint list.
+const MAX_LIST_REFRESH_INTERVAL_SECONDS: f64 = 10.0;
+/// Lower bound of the longest wait that a gateway may ask of a client.
 const MIN_MAX_RETRY_AFTER_SECONDS: f64 = 30.0;
-/// Requests that a gateway may hold open: more than any experiment brings.
+/// Limit of a gateway's open requests, higher than any experiment reaches.
 const MAX_OPEN_REQUESTS: u64 = 100_000;
 
 fn nanos(seconds: f64) -> u64 {
     (seconds * 1e9).round() as u64
 }
 
-/// The settings of one gateway; `overrides` are laid over what is true in the experiment.
+/// The settings of one gateway as the experiment implies them, with `overrides` applied. An override of a setting that
+/// does not exist is an error.
 pub(crate) fn settings(
     experiment: &Experiment,
     gateway: usize,
@@ -41,14 +42,14 @@
             "shared_counter": experiment.counter.present, "units_top": f64::from(experiment.load.max_units),
         },
         "rules": {
-            "answer_slack_ns": ANSWER_SLACK_NS, "ask_within_ns": nanos(REFETCH_WITHIN_SECONDS),
+            "answer_slack_ns": ANSWER_SLACK_NS, "ask_within_ns": nanos(MAX_LIST_REFRESH_INTERVAL_SECONDS),
             "cold_from": fleet.slow_start_capacity, "cold_ns": nanos(fleet.slow_start),
             "fall_multiple": fleet.overload_factor, "overload_for_ns": nanos(fleet.overload_for),
             "stop_sending_within_ns": nanos(fleet.drain_grace),
         },
     });
     let overrides = serde_json::to_value(overrides).map_err(LabError::SettingsOverrides)?;
-    lay_over(&mut settings, &overrides)?;
+    apply_overrides(&mut settings, &overrides)?;
     Ok(settings)
 }
 
@@ -93,27 +94,28 @@
     })
 }
 
-/// The name of a zone.
+/// The name of a zone by its index.
 pub(crate) fn zone_name(zone: usize) -> String {
     format!("hall-{}", zone + 1)
 }
 
-/// Lays some values over others, field by field; a list of named things takes a table: name to values.
-fn lay_over(under: &mut Value, over: &Value) -> Result<(), LabError> {
-    let Value::Object(fields) = over else {
-        *under = over.clone();
+/// Replaces values by overrides, field by field. A list of named elements takes a table from an element's name to its
+/// overrides.
+fn apply_overrides(base: &mut Value, overrides: &Value) -> Result<(), LabError> {
+    let Value::Object(fields) = overrides else {
+        *base = overrides.clone();
         return Ok(());
     };
     for (name, value) in fields {
-        let Some(old) = named_value(under, name) else {
+        let Some(old) = named_value(base, name) else {
             return Err(LabError::UnknownSetting(name.clone()));
         };
-        lay_over(old, value)?;
+        apply_overrides(old, value)?;
     }
     Ok(())
 }
 
-/// The field of this name, or the item of a list that has it as its name.
+/// The field with this name of an object, or the element of a list whose field `name` has this value.
 fn named_value<'a>(value: &'a mut Value, name: &str) -> Option<&'a mut Value> {
     match value {
         Value::Object(fields) => fields.get_mut(name),
@@ -124,26 +126,26 @@
     }
 }
 
-/// A line of the endpoint list as discovery words it.
+/// An entry of the endpoint list in discovery's format.
 pub(crate) struct ListedServer<'a> {
     /// The server's name.
     pub(crate) uid: &'a str,
-    /// Its address.
+    /// Its address and port.
     pub(crate) endpoint: &'a str,
     /// Name of its zone.
     pub(crate) zone: &'a str,
     /// Name of its machine type.
     pub(crate) kind: &'a str,
-    /// Its cell.
+    /// Index of its cell.
     pub(crate) cell: u64,
-    /// `active`, `leaving` or `left`.
+    /// Its state: `active`, `leaving` or `left`.
     pub(crate) state: &'a str,
-    /// When its process started, in milliseconds since 1970; 0: unknown.
+    /// Start time of its process, in milliseconds since the Unix epoch; 0: unknown.
     pub(crate) started_ms: u64,
 }
 
 impl ListedServer<'_> {
-    /// The line as JSON.
+    /// The entry as JSON.
     pub(crate) fn json(&self) -> Value {
         json!({
             "uid": self.uid, "endpoint": self.endpoint, "az": self.zone, "model": self.kind,
@@ -152,9 +154,10 @@
     }
 }
 
-/// An endpoint list or changes of it, as discovery sends them; `whole`: the list replaces what was known.
-pub(crate) fn list(revision: u64, whole: bool, lines: Vec<Value>) -> Value {
-    json!({"rev": revision, "all": whole, "targets": lines})
+/// An update of the endpoint list as discovery sends it. If `is_full`, the entries replace the known list; otherwise
+/// they are changes of it.
+pub(crate) fn list(revision: u64, is_full: bool, entries: Vec<Value>) -> Value {
+    json!({"rev": revision, "all": is_full, "targets": entries})
 }
 
 #[cfg(test)]
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -1,10 +1,10 @@
-//! Recorded traffic: what clients requested and when, one line a request, compressed. The format is published
-//! here.
+//! Recordings of traffic: which requests clients sent and when. This is the specification of the file format.
 //!
-//! A file is zstd-compressed text (RFC 8878) of JSON lines. The first line is the header,
-//! `{"format":"wellcrank-asked","version":1}`; each further line is one request in the order of time:
-//! `{"at_ms":1520.25,"account":"00000000b4d65521","plan":"desk","route":"preview","units":2}`. `at_ms` counts from
-//! the first moment of the recording. A reader refuses other formats and versions, and lines out of order.
+//! A file is JSON Lines, compressed with zstd (RFC 8878). The first line is the header,
+//! `{"format":"wellcrank-asked","version":1}`; each further line is one request, ordered by time:
+//! `{"at_ms":1520.25,"account":"00000000b4d65521","plan":"desk","route":"preview","units":2}`. `at_ms` is in
+//! milliseconds since the start of the recording, `account` a hexadecimal number of up to 33 bits. A reader refuses
+//! other formats and versions, and lines out of order.
 
 use nanorand::{Rng, WyRand};
 use serde::{Deserialize, Serialize};
@@ -14,27 +14,30 @@
 const FORMAT: &str = "wellcrank-asked";
 const VERSION: u32 = 1;
 
-/// Level of the compression: the library's default, at which writing keeps up with any laboratory run.
+/// The zstd library's default, at which writing keeps up with any laboratory run.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// Names of accounts have so many bits on the wire.
+/// Size of an account's name on the wire.
 const ACCOUNT_BITS: u32 = 33;
 
-/// The last time that a line may bear: a year, in milliseconds.
+/// Largest time of a line: one year.
 const MAX_TIME_MS: f64 = 86_400e3 * 365.0;
 
-/// The most units that a line may bear.
+/// Largest number of units of a line.
 const MAX_UNITS: f64 = 1e6;
 
-/// Copies of a request come up to so many seconds after it.
+/// Largest delay of a copy of a request after the original.
 const MAX_COPY_DELAY_SECONDS: f64 = 0.2;
 
+/// Keeps the random numbers of [`scale`] apart from others that are drawn with the same seed.
+const SCALE_SEED_SALT: u64 = 0x5ca1e;
+
 /// One request of a recording.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordedRequest {
-    /// Since the first moment of the recording.
+    /// Time since the start of the recording.
     pub at: Duration,
-    /// The name of the account, of 33 bits.
+    /// The account's name, a number of up to 33 bits.
     pub account: u64,
     /// The plan's name.
     pub plan: String,
@@ -64,10 +67,10 @@
 /// Why a recording can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordingError {
-    /// The text is not compressed as expected.
-    #[error("the compression")]
+    /// The zstd decoder can't be created.
+    #[error("cannot start the zstd decoder")]
     Decompress(#[source] io::Error),
-    /// A line is not as the format has it.
+    /// A line is invalid.
     #[error("line {line}")]
     Line {
         /// The line's number, counted from 1.
@@ -81,29 +84,42 @@
 /// What is wrong with a line of a recording.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidLine {
-    /// It can't be read, as in a file that was cut off.
+    /// The line can't be read, for example because the file is truncated or not compressed with zstd.
     #[error(transparent)]
     Read(io::Error),
-    /// It is no JSON, or has other fields.
+    /// The line is not valid JSON, or its fields differ from the format's.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The header is that of another format or version.
-    #[error("expected {FORMAT} {VERSION}, found {format} {version}")]
+    /// The header states another format or version.
+    #[error("expected format {FORMAT} version {VERSION}, found format {format} version {version}")]
     Format {
         /// The format that the header states.
         format: String,
         /// The version that it states.
         version: u32,
     },
-    /// The account is no hexadecimal number of 33 bits.
-    #[error("no account: '{0}'")]
+    /// The account's name is not a hexadecimal number, or has too many bits.
+    #[error("expected an account of up to {ACCOUNT_BITS} bits in hexadecimal, found '{0}'")]
     Account(String),
-    /// The time or the units are negative, too large or no number.
-    #[error("expected a time and units that are not negative")]
-    Range,
-    /// It is earlier than the line before.
-    #[error("expected lines in the order of their time")]
-    Order,
+    /// The time or the units are negative or too large.
+    #[error(
+        "expected at_ms from 0 to {MAX_TIME_MS} and units from 0 to {MAX_UNITS}, \
+         found at_ms {at_ms} and units {units}"
+    )]
+    Range {
+        /// The time of the line, in milliseconds.
+        at_ms: f64,
+        /// The units of the line.
+        units: f64,
+    },
+    /// The request is earlier than that of the line before.
+    #[error("expected lines in the order of time, found {at:?} after {previous:?}")]
+    Order {
+        /// The time of the request.
+        at: Duration,
+        /// The time of the request before.
+        previous: Duration,
+    },
 }
 
 /// Writes a recording.
@@ -112,7 +128,7 @@
 }
 
 impl<W: Write> Recorder<W> {
-    /// Begins a recording with its header.
+    /// Starts a recording by writing its header.
     pub fn new(writer: W) -> io::Result<Recorder<W>> {
         let mut encoder = zstd::stream::write::Encoder::new(writer, COMPRESSION_LEVEL)?;
         let header = HeaderLine {
@@ -135,13 +151,13 @@
         writeln!(self.encoder, "{}", serde_json::to_string(&line)?)
     }
 
-    /// Ends the recording; without this it can't be read to its end.
+    /// Finishes the compressed stream; a recording without this is truncated.
     pub fn finish(self) -> io::Result<()> {
         self.encoder.finish()?.flush()
     }
 }
 
-/// Reads a recording.
+/// Reads all requests of a recording.
 pub fn read(reader: impl Read) -> Result<Vec<RecordedRequest>, RecordingError> {
     let decoder = zstd::stream::read::Decoder::new(reader).map_err(RecordingError::Decompress)?;
     let mut requests: Vec<RecordedRequest> = Vec::new();
@@ -158,7 +174,7 @@
     Ok(requests)
 }
 
-/// Reads the line of an index; none for the header.
+/// Parses the line at an index, counted from 0; none for the header. `last_time` is the time of the request before.
 fn read_line(
     index: usize,
     text: io::Result<String>,
@@ -170,8 +186,9 @@
         return Ok(None);
     }
     let request = parse_request(&text)?;
-    if last_time.is_some_and(|last_time| last_time > request.at) {
-        return Err(InvalidLine::Order);
+    if let Some(previous) = last_time.filter(|last_time| *last_time > request.at) {
+        let at = request.at;
+        return Err(InvalidLine::Order { at, previous });
     }
     Ok(Some(request))
 }
@@ -190,7 +207,8 @@
         return Err(InvalidLine::Account(line.account));
     };
     if !(0.0..=MAX_TIME_MS).contains(&line.at_ms) || !(0.0..=MAX_UNITS).contains(&line.units) {
-        return Err(InvalidLine::Range);
+        let RequestLine { at_ms, units, .. } = line;
+        return Err(InvalidLine::Range { at_ms, units });
     }
     Ok(RecordedRequest {
         at: Duration::from_secs_f64(line.at_ms / 1e3),
@@ -201,16 +219,17 @@
     })
 }
 
-/// An account's name, a hexadecimal number of 33 bits.
+/// Parses an account's name, a hexadecimal number of up to 33 bits.
 pub(crate) fn parse_account(text: &str) -> Option<u64> {
     let account = u64::from_str_radix(text, 16).ok()?;
     (account >> ACCOUNT_BITS == 0).then_some(account)
 }
 
-/// The same traffic times a factor: whole copies come from accounts of their own, a fraction by chance, each a
-/// little apart in time, so that quotas stay as full as they were.
+/// Multiplies traffic by a factor. Each copy of a request comes from an account of its own and a little later than the
+/// original, so that the factor does not change how far accounts use their quotas. The fraction of the factor applies
+/// to accounts drawn at random with `seed`.
 pub fn scale(requests: &[RecordedRequest], factor: f64, seed: u64) -> Vec<RecordedRequest> {
-    let mut rng = WyRand::new_seed(seed ^ 0x5ca1e);
+    let mut rng = WyRand::new_seed(seed ^ SCALE_SEED_SALT);
     let mut scaled = Vec::with_capacity((requests.len() as f64 * factor) as usize + 1);
     for request in requests {
         for copy in 0..copy_count(request.account, factor, seed) {
@@ -230,8 +249,8 @@
     scaled
 }
 
-/// How often the requests of an account are played. A fraction is a share of the accounts, not of each one's
-/// requests.
+/// Number of copies of each request of an account, the original included. The fraction of the factor is the share of
+/// accounts with one copy more, not a share of each account's requests.
 fn copy_count(account: u64, factor: f64, seed: u64) -> u64 {
     let drawn = WyRand::new_seed(account ^ seed).generate::<f64>();
     factor.floor() as u64 + u64::from(drawn < factor.fract())
--- a/lab/src/runs.rs
+++ b/lab/src/runs.rs
@@ -1,4 +1,4 @@
-//! Plays an experiment's variants on its seeds, several runs at a time, and keeps the results as JSON lines.
+//! Runs an experiment's variants with its seeds, several runs at a time, and stores the results as JSON Lines.
 
 use crate::error::LabError;
 use crate::experiment::{Engine, Experiment, Variant};
@@ -12,29 +12,29 @@
 use std::sync::{Mutex, PoisonError};
 use std::thread;
 
-/// The file that holds the results in a folder of them.
+/// Name of the file of results in a folder.
 const RESULTS_FILE: &str = "results.jsonl";
 
-/// How runs are played.
+/// Options of the runs of an experiment.
 #[derive(Clone, Default)]
 pub struct RunnerOptions {
-    /// The engine in place of the experiment's.
+    /// Replaces the engine of the experiment.
     pub engine: Option<Engine>,
-    /// Seeds in place of the experiment's.
+    /// Replaces the seeds of the experiment.
     pub seeds: Option<Vec<u64>>,
-    /// Runs that are played at a time; one at least.
+    /// Number of runs that are executed at a time; 0 counts as 1.
     pub jobs: usize,
-    /// The edge node that is played on loopback where a variant names none.
+    /// The gateway program for the loopback engine, for variants that name none.
     pub gateway_program: loopback::GatewayProgram,
-    /// A folder for the gateways' logs on loopback.
+    /// Folder for the gateways' logs of the loopback engine.
     pub log_dir: Option<PathBuf>,
-    /// How often a run is played again on which the laboratory itself was late.
+    /// Number of times that a loopback run is repeated if the laboratory itself was too late in it.
     pub max_reruns: usize,
-    /// The folder against which files that an experiment names are looked up.
+    /// Folder that the relative paths of files in an experiment refer to.
     pub base_dir: PathBuf,
 }
 
-/// Reads the recorded traffic that an experiment replays, scaled as it says; empty where it replays none.
+/// Reads the recording that an experiment replays, and scales it by the experiment's factor; empty if it replays none.
 pub fn load_replay(
     experiment: &Experiment,
     seed: u64,
@@ -50,13 +50,13 @@
         Err(source) => return Err(LabError::Recording { path, source }),
     };
     for request in &requests {
-        check_names(experiment, request, &path)?;
+        check_recorded_names(experiment, request, &path)?;
     }
     Ok(record::scale(&requests, experiment.load.replay_scale, seed))
 }
 
-/// Refuses a recorded request whose route or plan the experiment does not have.
-fn check_names(
+/// Checks that the experiment has the route and the plan of a recorded request.
+fn check_recorded_names(
     experiment: &Experiment,
     request: &RecordedRequest,
     path: &Path,
@@ -75,7 +75,7 @@
     Ok(())
 }
 
-/// Plays one run.
+/// Executes one run of a variant with a seed.
 pub fn play_one(
     experiment: &Experiment,
     variant: &Variant,
@@ -96,8 +96,8 @@
     }
 }
 
-/// Plays a run on loopback; again, if the laboratory itself was late on it. Of runs that were all late, the one counts
-/// on which it was late by the least, whatever came of it.
+/// Executes a run with the loopback engine, and repeats it if the laboratory itself was too late. If it was too late
+/// in every repetition, the results are those with the smallest worst lateness, whatever their figures are.
 fn play_on_loopback(
     experiment: &Experiment,
     variant: &Variant,
@@ -128,7 +128,8 @@
     Ok(results)
 }
 
-/// Whether the first says less of the laboratory and more of the program.
+/// Whether the laboratory was less late in one run than in the other: excessive lateness is compared first, then the
+/// worst lateness.
 fn is_less_late(one: &Lateness, other: &Lateness) -> bool {
     if one.excessive != other.excessive {
         return other.excessive;
@@ -136,8 +137,8 @@
     one.worst_ms < other.worst_ms
 }
 
-/// Plays all variants on all seeds. The results come in the order of variant and seed, whichever run ends first;
-/// `on_result` hears of each as it ends. After a run that can't be played no further one is begun.
+/// Executes all variants with all seeds. The results are in the order of variants and seeds, whichever run ends first.
+/// `on_result` is called with each result as its run ends. No further run is started after one that failed to execute.
 pub fn play_all(
     experiment: &Experiment,
     options: &RunnerOptions,
@@ -180,7 +181,8 @@
     Some((index, items.get(index)?))
 }
 
-/// Writes results, one a line, to a file that is put in place whole.
+/// Writes results to a file, one per line. They are written to a temporary file (`.part`) first, which then replaces
+/// the file, so that the file never holds a part of the results.
 pub fn write_results(path: &Path, results: &[Results]) -> Result<(), LabError> {
     if let Some(folder) = path.parent() {
         fs::create_dir_all(folder).map_err(LabError::file(folder))?;
