--- a/lab/src/capacity.rs
+++ b/lab/src/capacity.rs
@@ -1,53 +1,54 @@
-//! The capacity of one gateway: the rate up to which it serves within a latency, over servers that answer at
-//! once, and what it uses at rest. Arrivals wait for no answer; latency counts from the moment at which a
-//! request was meant to be sent.
+//! Measures the capacity of one gateway: the highest request rate at which it serves within a latency at p99, with
+//! servers that answer at once. The load is open-loop: requests are sent on schedule whether or not earlier ones were
+//! answered, and latency counts from the time at which a request was due to be sent.
 
 use crate::error::LabError;
 use crate::experiment::{Experiment, PlanConfig, RouteConfig, Variant};
 use crate::metrics::Results;
 use crate::runs::{self, RunnerOptions};
 
-/// The rate with which the search begins, in requests a second.
-const FIRST_RATE: f64 = 500.0;
-/// The search goes no higher than this, in requests a second.
-const MAX_RATE: f64 = 1e6;
-/// So many times the gap between a sustained rate and one that was not is halved.
-const HALVINGS: usize = 4;
-/// A rate is sustained if this share of the requests is served.
-const SERVED_SHARE: f64 = 0.99;
-/// A rate is tried so often before it counts as too high: a hiccup of the machine is no limit of the gateway.
-const TRIES: usize = 2;
+/// Initial rate of the search, in requests per second.
+const INITIAL_REQUEST_RATE: f64 = 500.0;
+/// Highest rate that the search tries, in requests per second.
+const MAX_REQUEST_RATE: f64 = 1e6;
+/// Bisection steps between the highest sustained rate and the lowest one that was not sustained.
+const BISECTION_STEPS: usize = 4;
+/// Smallest share of requests served at which a rate counts as sustained.
+const MIN_SERVED_SHARE: f64 = 0.99;
+/// Runs at a rate before it counts as not sustained: one run may fail because of a short disturbance of the machine.
+const MAX_RUNS_PER_RATE: usize = 2;
 
-/// What is asked of the gateway.
+/// The conditions of a capacity measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityTest {
-    /// The latency within which it has to serve at p99, in milliseconds.
+    /// The highest latency at p99 at which a rate counts as sustained, in milliseconds.
     pub p99_ms: f64,
-    /// Whether there is a shared counter.
+    /// Whether the gateway uses a shared counter.
     pub counter: bool,
-    /// Length of a run.
+    /// Length of each run, in seconds.
     pub seconds: f64,
 }
 
-/// One rate that was tried.
+/// One run of the search.
 pub struct Step {
-    /// Requests a second.
+    /// The request rate, in requests per second.
     pub rate: f64,
-    /// What the run has brought.
+    /// The results of the run.
     pub results: Results,
     /// Whether the gateway sustained the rate.
     pub sustained: bool,
 }
 
 impl CapacityTest {
-    /// What is played: one gateway, instant servers, quotas that nobody meets.
+    /// The experiment at a rate, in requests per second: one gateway, servers without work or delay, and quotas that no
+    /// customer reaches.
     pub fn experiment(&self, rate: f64) -> Experiment {
         let text = format!(
             "title = \"Capacity of one gateway\"\nseconds = {:?}\nwarm_up = 1.0\nengine = \"loopback\"",
             self.seconds
         );
         let mut experiment =
-            Experiment::parse("capacity", &text).unwrap_or_else(|complaint| panic!("{complaint}"));
+            Experiment::parse("capacity", &text).unwrap_or_else(|error| panic!("{error}"));
         let fleet = &mut experiment.fleet;
         fleet.gateways = 1;
         fleet.servers = 32;
@@ -80,17 +81,18 @@
         experiment
     }
 
-    /// Plays one rate; `on_step` hears of it.
-    fn is_sustained(
+    /// Runs a rate until it is sustained, [`MAX_RUNS_PER_RATE`] times at most, and returns whether it was. `on_step` is
+    /// called after each run.
+    fn test_rate(
         &self,
-        ways: &RunnerOptions,
+        options: &RunnerOptions,
         rate: f64,
         on_step: &mut dyn FnMut(&Step),
     ) -> Result<bool, LabError> {
-        for _ in 0..TRIES {
-            let results = runs::play_one(&self.experiment(rate), &Variant::default(), 1, ways)?;
+        for _ in 0..MAX_RUNS_PER_RATE {
+            let results = runs::play_one(&self.experiment(rate), &Variant::default(), 1, options)?;
             let totals = &results.totals;
-            let served = totals.succeeded as f64 >= totals.requests as f64 * SERVED_SHARE;
+            let served = totals.succeeded as f64 >= totals.requests as f64 * MIN_SERVED_SHARE;
             let in_time = results.succeeded_ms.p99 <= self.p99_ms;
             let step = Step {
                 rate,
@@ -105,25 +107,25 @@
         Ok(false)
     }
 
-    /// Doubles the rate until it is not sustained, then halves the gap a few times. Returns the highest rate
-    /// that was sustained.
+    /// Doubles the rate until it is not sustained, then bisects. Returns the highest rate that was sustained, in
+    /// requests per second; 0 if none was. `on_step` is called after each run.
     pub fn search(
         &self,
-        ways: &RunnerOptions,
+        options: &RunnerOptions,
         on_step: &mut dyn FnMut(&Step),
     ) -> Result<f64, LabError> {
         let mut sustained = 0.0;
-        let mut too_high = FIRST_RATE;
-        while self.is_sustained(ways, too_high, on_step)? {
+        let mut too_high = INITIAL_REQUEST_RATE;
+        while self.test_rate(options, too_high, on_step)? {
             sustained = too_high;
             too_high *= 2.0;
-            if too_high > MAX_RATE {
+            if too_high > MAX_REQUEST_RATE {
                 return Ok(sustained);
             }
         }
-        for _ in 0..HALVINGS {
+        for _ in 0..BISECTION_STEPS {
             let middle = (sustained + too_high) / 2.0;
-            if self.is_sustained(ways, middle, on_step)? {
+            if self.test_rate(options, middle, on_step)? {
                 sustained = middle;
             } else {
                 too_high = middle;
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,10 +1,11 @@
-//! wellcrank's laboratory: an emulated platform on which the gateways are played, and what is told of it.
+//! wellcrank's laboratory: runs gateways on an emulated platform, checks rules and measures.
 //!
-//! One model of the world (`world`: servers, counter, endpoint list, clients, network, faults) runs under two
-//! engines: [`simulated`] plays the decisions alone in simulated time, [`loopback`] the programs themselves on
-//! sockets. [`experiment`] is what is played, `rule_checker` judges it without any of the program's code,
-//! [`metrics`] is what comes of it, and [`runs`], [`stats`], [`validate`], [`capacity`] and [`report`] make
-//! comparisons and pages of that. [`events`] has the identifiers that all of them share.
+//! One model of the platform and its clients (`world`: servers, counter, endpoint list, clients, network, faults) runs
+//! under two engines: [`simulated`] runs only the gateways' decision logic, in simulated time; [`loopback`] runs the
+//! gateway processes on loopback sockets. An [`experiment`] describes a run. `rule_checker` checks the rules that
+//! gateways must keep, and shares no code with the gateway. [`runs`] executes runs and stores their results
+//! ([`metrics`]); [`stats`] compares results between variants, [`validate`] between engines, and [`report`] renders
+//! them. [`capacity`] measures one gateway. [`events`] defines the identifiers that all of them share.
 
 pub mod capacity;
 pub mod clock;
--- a/lab/src/report/charts.rs
+++ b/lab/src/report/charts.rs
@@ -1,30 +1,34 @@
-//! The charts of a report: counts over time, latency distributions, load of the servers.
+//! The charts of a report: counts over time, latency distributions, and the load of the servers.
 
 use super::plots::{self, Axes, Line, Point};
 use crate::error::LabError;
 use crate::metrics::{Quantiles, Results, SecondMetrics, CURVE_STEPS_PER_NINE};
 use crate::stats;
 
-/// Latencies below this are drawn as it, in milliseconds: the axis is logarithmic.
+/// Smaller latencies are drawn as this: the axis is logarithmic and has no 0.
 const MIN_DRAWN_MS: f64 = 0.001;
 
-/// A part of one second's counts and what it is a part of.
+/// The quotient of two quantities of one second. They are kept apart so that both can be summed over runs.
 struct Ratio {
-    part: f64,
-    whole: f64,
+    numerator: f64,
+    denominator: f64,
 }
 
 impl Ratio {
-    fn of(part: f64, whole: f64) -> Ratio {
-        Ratio { part, whole }
+    fn of(numerator: f64, denominator: f64) -> Ratio {
+        Ratio {
+            numerator,
+            denominator,
+        }
     }
 
-    fn each_second(count: u64) -> Ratio {
+    /// A count per second.
+    fn per_second(count: u64) -> Ratio {
         Ratio::of(count as f64, 1.0)
     }
 }
 
-/// A chart of something by second.
+/// A chart of a ratio over the seconds of a run.
 struct TimeChart {
     title: &'static str,
     unit: &'static str,
@@ -40,7 +44,7 @@
     TimeChart {
         title: "Requests",
         unit: "a second",
-        ratio: |second| Ratio::each_second(second.requests),
+        ratio: |second| Ratio::per_second(second.requests),
     },
     TimeChart {
         title: "Rejected",
@@ -50,7 +54,7 @@
     TimeChart {
         title: "Rejected with half of the quota unused",
         unit: "a second",
-        ratio: |second| Ratio::each_second(second.rejected_with_half_quota),
+        ratio: |second| Ratio::per_second(second.rejected_with_half_quota),
     },
     TimeChart {
         title: "Forwarded beyond quotas",
@@ -60,7 +64,7 @@
     TimeChart {
         title: "Counter calls",
         unit: "a second",
-        ratio: |second| Ratio::each_second(second.counter_calls),
+        ratio: |second| Ratio::per_second(second.counter_calls),
     },
     TimeChart {
         title: "New connections",
@@ -70,7 +74,7 @@
     TimeChart {
         title: "Unanswered, failed or with no gateway",
         unit: "a second",
-        ratio: |second| Ratio::each_second(second.all_failures()),
+        ratio: |second| Ratio::per_second(second.all_failures()),
     },
 ];
 
@@ -101,7 +105,7 @@
     runs: Vec<&'a Results>,
 }
 
-/// Appends all charts of one engine's runs to a page.
+/// Appends all charts of the runs of one engine to a page.
 pub(super) fn append_charts(page: &mut String, results: &[Results]) -> Result<(), LabError> {
     let names = stats::variants(results).into_iter();
     let variants: Vec<VariantRuns> = names
@@ -128,9 +132,9 @@
 
 fn draw_time_chart(chart: &TimeChart, variants: &[VariantRuns]) -> Result<String, LabError> {
     let axes = Axes {
-        across: "seconds",
-        up: chart.unit,
-        from_zero: true,
+        x_label: "seconds",
+        y_label: chart.unit,
+        y_from_zero: true,
     };
     let line = |variant: &VariantRuns| Line {
         name: variant.name.clone(),
@@ -140,21 +144,21 @@
     plots::draw_lines(chart.title, axes, &lines)
 }
 
-/// Mean over the runs of a variant, second by second.
+/// The ratio over all runs of a variant for each second. Seconds in which the denominator is 0 have no point.
 fn points_by_second(runs: &[&Results], ratio: fn(&SecondMetrics) -> Ratio) -> Vec<Point> {
     let longest = runs.iter().map(|run| run.by_second.len()).max();
     let mut points = Vec::new();
     for second in 0..longest.unwrap_or(0) {
         let mut sum = Ratio::of(0.0, 0.0);
         for counts in runs.iter().filter_map(|run| run.by_second.get(second)) {
-            let of_run = ratio(counts);
-            sum.part += of_run.part;
-            sum.whole += of_run.whole;
+            let run_ratio = ratio(counts);
+            sum.numerator += run_ratio.numerator;
+            sum.denominator += run_ratio.denominator;
         }
-        if sum.whole > 0.0 {
+        if sum.denominator > 0.0 {
             points.push(Point {
                 x: second as f64,
-                y: sum.part / sum.whole,
+                y: sum.numerator / sum.denominator,
             });
         }
     }
@@ -163,9 +167,9 @@
 
 fn draw_latency_chart(chart: &LatencyChart, variants: &[VariantRuns]) -> Result<String, LabError> {
     let axes = Axes {
-        across: "nines of the quantile (1: p90, 2: p99)",
-        up: "milliseconds, power of ten",
-        from_zero: false,
+        x_label: "nines of the quantile (1: p90, 2: p99)",
+        y_label: "milliseconds, power of ten",
+        y_from_zero: false,
     };
     let line = |variant: &VariantRuns| Line {
         name: variant.name.clone(),
@@ -175,7 +179,7 @@
     plots::draw_lines(chart.title, axes, &lines)
 }
 
-/// Mean latency over the runs of a variant, quantile by quantile.
+/// The mean latency over the runs of a variant at each quantile, as the logarithm to base 10 of milliseconds.
 fn latency_points(runs: &[&Results], quantiles: fn(&Results) -> &Quantiles) -> Vec<Point> {
     let curves: Vec<_> = runs.iter().map(|run| &quantiles(run).curve).collect();
     let longest = curves.iter().map(|curve| curve.len()).max();
@@ -194,9 +198,9 @@
 fn draw_load_chart(variant: &VariantRuns) -> Result<String, LabError> {
     let title = format!("Busy share of cores: {}, first seed", variant.name);
     let axes = Axes {
-        across: "seconds",
-        up: "share",
-        from_zero: true,
+        x_label: "seconds",
+        y_label: "share",
+        y_from_zero: true,
     };
     let lines = match variant.runs.first() {
         Some(run) => load_lines(run),
@@ -205,7 +209,7 @@
     plots::draw_lines(&title, axes, &lines)
 }
 
-/// The busiest, the middle and the least busy server, by second.
+/// The busy shares of the busiest, the median and the least busy server of each second.
 fn load_lines(run: &Results) -> Vec<Line> {
     let mut busiest = Line::new("busiest");
     let mut middle = Line::new("middle");
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -1,5 +1,5 @@
-//! One self-contained page: figures, differences with intervals, plots, broken rules, and where the laboratory
-//! itself ran late.
+//! Renders results as one self-contained HTML page: figures, differences with confidence intervals, plots, broken
+//! rules, and the runs in which the laboratory itself was too late.
 
 mod charts;
 mod plots;
@@ -9,18 +9,20 @@
 use crate::stats::{self, Comparison};
 use std::fmt::Write;
 
-/// So many broken rules of a run are shown; the rest are counted.
-const SHOWN_VIOLATIONS: usize = 20;
+/// Largest number of a run's broken rules that are listed; the page states how many there are in all.
+const MAX_SHOWN_VIOLATIONS: usize = 20;
 
 const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;max-width:1340px;margin:2em auto;padding:0 1em;color:#222}\
 table{border-collapse:collapse;margin:.6em 0}td,th{padding:.2em .8em;border-bottom:1px solid #ddd;text-align:right}\
 td:first-child,th:first-child{text-align:left}.plots{display:flex;flex-wrap:wrap;gap:12px}.bad{color:#a00}\
 svg{border:1px solid #eee}";
 
-const WHAT_IS_REAL: &str =
+/// States which parts of a run are simulated.
+const SIMULATION_NOTE: &str =
     "<p>App servers, counter, discovery and clients are simulated; on loopback the gateways are \
-     real processes, in simulated time they are their decisions alone.</p>";
+     real processes, in simulated time only their decision logic runs.</p>";
 
+/// Escapes text for HTML.
 fn escaped(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
@@ -35,13 +37,13 @@
     };
 }
 
-/// The page for the runs of one experiment.
+/// Renders the page for the runs of one experiment; `about` is its description.
 pub fn page(title: &str, about: &str, results: &[Results]) -> Result<String, LabError> {
     let mut page = String::new();
     append!(
         page,
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{0}</title><style>{STYLE}</style>\
-         <h1>{0}</h1><p>{1}</p>{WHAT_IS_REAL}",
+         <h1>{0}</h1><p>{1}</p>{SIMULATION_NOTE}",
         escaped(title),
         escaped(about)
     );
@@ -54,13 +56,13 @@
             append_comparison(&mut page, &comparison);
         }
         charts::append_charts(&mut page, &runs)?;
-        append_complaints(&mut page, &runs);
+        append_problems(&mut page, &runs);
     }
     page.push_str("</html>\n");
     Ok(page)
 }
 
-/// A table of the figures: a row for each, a column for each variant.
+/// Appends a table of the mean figures: a row for each figure, a column for each variant.
 fn append_figures(page: &mut String, results: &[Results]) {
     let variants = stats::variants(results);
     page.push_str("<h3>Figures</h3><table><tr><th>mean over seeds</th>");
@@ -81,7 +83,7 @@
     page.push_str("</table>");
 }
 
-/// A table of the differences of two variants.
+/// Appends a table of the differences between two variants.
 fn append_comparison(page: &mut String, comparison: &Comparison) {
     let base = escaped(&comparison.base);
     let other = escaped(&comparison.other);
@@ -111,19 +113,19 @@
     }
 }
 
-/// A list of what went wrong in the runs.
-fn append_complaints(page: &mut String, results: &[Results]) {
+/// Appends a list of the problems of the runs.
+fn append_problems(page: &mut String, results: &[Results]) {
     page.push_str("<h3>Rules, crashes, lateness</h3><ul>");
     let mut clean = true;
     for run in results {
-        for complaint in complaints(run) {
+        for problem in problems(run) {
             clean = false;
             append!(
                 page,
                 "<li class=\"bad\">{} seed {}: {}</li>",
                 escaped(&run.variant),
                 run.seed,
-                escaped(&complaint)
+                escaped(&problem)
             );
         }
     }
@@ -133,28 +135,28 @@
     page.push_str("</ul>");
 }
 
-/// What went wrong in a run.
-fn complaints(run: &Results) -> Vec<String> {
-    let shown = run.violations.iter().take(SHOWN_VIOLATIONS);
-    let mut complaints: Vec<String> = shown.map(ToString::to_string).collect();
-    if run.violation_count > SHOWN_VIOLATIONS as u64 {
-        complaints.push(format!("{} broken rules in all", run.violation_count));
+/// Describes the problems of a run: broken rules, crashes, misbehaving clients without an answer, excessive lateness.
+fn problems(run: &Results) -> Vec<String> {
+    let shown = run.violations.iter().take(MAX_SHOWN_VIOLATIONS);
+    let mut problems: Vec<String> = shown.map(ToString::to_string).collect();
+    if run.violation_count > MAX_SHOWN_VIOLATIONS as u64 {
+        problems.push(format!("{} broken rules in all", run.violation_count));
     }
-    complaints.extend(run.crashes.iter().cloned());
+    problems.extend(run.crashes.iter().cloned());
     let misbehaving = run.misbehaving_clients;
     if misbehaving.unanswered > 0 {
-        complaints.push(format!(
+        problems.push(format!(
             "{} of {} misbehaving clients got neither error nor close",
             misbehaving.unanswered, misbehaving.total
         ));
     }
     if run.lateness.excessive {
-        complaints.push(format!(
+        problems.push(format!(
             "the laboratory ran late: {:.1} ms at p99, {:.0} ms at worst; not compared",
             run.lateness.p99_ms, run.lateness.worst_ms
         ));
     }
-    complaints
+    problems
 }
 
 #[cfg(test)]
--- a/lab/src/report/plots.rs
+++ b/lab/src/report/plots.rs
@@ -1,4 +1,4 @@
-//! Line plots as SVG, drawn by `plotters`.
+//! Draws line plots as SVG with the `plotters` crate.
 
 use crate::error::LabError;
 use plotters::coord::types::RangedCoordf64;
@@ -8,9 +8,9 @@
 use std::ops::Range;
 
 /// Width and height of a plot, in pixels.
-const SIZE: (u32, u32) = (640, 280);
+const SIZE_PIXELS: (u32, u32) = (640, 280);
 
-/// Colours that stay apart for readers who tell few of them.
+/// Line colours that readers with colour blindness can tell apart: five of the Okabe-Ito palette and a dark grey.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -22,15 +22,15 @@
 
 /// A point of a line.
 pub(super) struct Point {
-    /// Its place on the horizontal axis.
+    /// The value on the horizontal axis.
     pub(super) x: f64,
-    /// Its place on the vertical axis.
+    /// The value on the vertical axis.
     pub(super) y: f64,
 }
 
-/// A line with its name.
+/// A line of a plot.
 pub(super) struct Line {
-    /// What the legend calls it.
+    /// The line's name in the legend.
     pub(super) name: String,
     /// Its points, from left to right.
     pub(super) points: Vec<Point>,
@@ -51,55 +51,62 @@
     }
 }
 
-/// What the axes show.
+/// The labels of the axes and the start of the vertical one.
 pub(super) struct Axes<'a> {
-    /// Name of the horizontal axis.
-    pub(super) across: &'a str,
-    /// Name of the vertical axis.
-    pub(super) up: &'a str,
-    /// The vertical axis begins at 0.
-    pub(super) from_zero: bool,
+    /// Label of the horizontal axis.
+    pub(super) x_label: &'a str,
+    /// Label of the vertical axis.
+    pub(super) y_label: &'a str,
+    /// Whether the vertical axis starts at 0, or lower for negative values, and not at the smallest value.
+    pub(super) y_from_zero: bool,
 }
 
 type DrawingError<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
 
-/// The span of a coordinate over all lines; none without a finite value.
-fn span(lines: &[Line], coordinate: fn(&Point) -> f64) -> Option<Range<f64>> {
+/// The range of a coordinate's finite values over all lines; none without one.
+fn value_range(lines: &[Line], coordinate: fn(&Point) -> f64) -> Option<Range<f64>> {
     let points = lines.iter().flat_map(|line| &line.points);
-    let mut span: Option<Range<f64>> = None;
+    let mut range: Option<Range<f64>> = None;
     for value in points.map(coordinate).filter(|value| value.is_finite()) {
-        let so_far = span.unwrap_or(value..value);
-        span = Some(so_far.start.min(value)..so_far.end.max(value));
+        let so_far = range.unwrap_or(value..value);
+        range = Some(so_far.start.min(value)..so_far.end.max(value));
     }
-    span
+    range
 }
 
-/// Draws lines as one SVG; an empty text where there is nothing to draw.
+/// Draws lines as an SVG image; an empty text if there is no point to draw.
 pub(super) fn draw_lines(title: &str, axes: Axes, lines: &[Line]) -> Result<String, LabError> {
-    let Some(across) = span(lines, |point| point.x) else {
+    let Some(x_range) = value_range(lines, |point| point.x) else {
         return Ok(String::new());
     };
-    let Some(up) = span(lines, |point| point.y) else {
+    let Some(y_range) = value_range(lines, |point| point.y) else {
         return Ok(String::new());
     };
-    let right = if across.end > across.start {
-        across.end
+    let right = if x_range.end > x_range.start {
+        x_range.end
     } else {
-        across.start + 1.0
+        x_range.start + 1.0
     };
-    let bottom = if axes.from_zero {
-        up.start.min(0.0)
+    let bottom = if axes.y_from_zero {
+        y_range.start.min(0.0)
     } else {
-        up.start
+        y_range.start
     };
-    let top = if up.end > bottom {
-        up.end + (up.end - bottom) * 0.05
+    let top = if y_range.end > bottom {
+        y_range.end + (y_range.end - bottom) * 0.05
     } else {
         bottom + 1.0
     };
     let mut svg = String::new();
-    let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-    let drawn = draw_chart(&area, title, &axes, lines, across.start..right, bottom..top);
+    let area = SVGBackend::with_string(&mut svg, SIZE_PIXELS).into_drawing_area();
+    let drawn = draw_chart(
+        &area,
+        title,
+        &axes,
+        lines,
+        x_range.start..right,
+        bottom..top,
+    );
     drawn.map_err(|error| LabError::Plot {
         title: title.to_string(),
         source: error.into(),
@@ -113,8 +120,8 @@
     title: &str,
     axes: &Axes,
     lines: &[Line],
-    across: Range<f64>,
-    up: Range<f64>,
+    x_range: Range<f64>,
+    y_range: Range<f64>,
 ) -> Result<(), DrawingError<'a>> {
     area.fill(&WHITE)?;
     let mut chart: ChartContext<_, Cartesian2d<RangedCoordf64, RangedCoordf64>> =
@@ -123,11 +130,11 @@
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(52)
-            .build_cartesian_2d(across, up)?;
+            .build_cartesian_2d(x_range, y_range)?;
     chart
         .configure_mesh()
-        .x_desc(axes.across)
-        .y_desc(axes.up)
+        .x_desc(axes.x_label)
+        .y_desc(axes.y_label)
         .light_line_style(WHITE)
         .draw()?;
     for (index, line) in lines.iter().enumerate() {
