--- a/lab/tests/lab_scenario/mod.rs
+++ b/lab/tests/lab_scenario/mod.rs
@@ -1,4 +1,4 @@
-//! The state of a laboratory scenario: an experiment, and what came of playing it.
+//! The state of a laboratory scenario: an experiment, and the results of its last run.
 
 mod step;
 
@@ -10,25 +10,25 @@
 use wellcrank_lab::metrics::Results;
 use wellcrank_lab::simulated::{self, RunOptions};
 
-/// What is played where a scenario names no experiment.
+/// The experiment of a scenario that names none.
 const DEFAULT_EXPERIMENT: &str = "title = \"default\"\nseconds = 10.0";
 
-/// So many broken rules are shown where none was expected.
-const SHOWN_VIOLATIONS: usize = 5;
+/// Largest number of violations in the failure message of a run that was expected to be sound.
+const MAX_SHOWN_VIOLATIONS: usize = 5;
 
-/// A run that was played.
+/// A finished run with its results.
 struct PlayedRun {
     run: Run,
     results: Results,
 }
 
-/// An experiment of a scenario, and the last run of it.
+/// The experiment of a scenario, and its last run.
 pub(crate) struct LabScenario {
     experiment: Experiment,
     variant: Variant,
     played: Option<PlayedRun>,
-    /// Why the last parsed experiment was refused.
-    refusal: String,
+    /// The error text of the last invalid experiment.
+    parse_error: String,
 }
 
 impl Scenario for LabScenario {
@@ -40,7 +40,7 @@
             experiment: Experiment::parse("default", DEFAULT_EXPERIMENT).expect("an experiment"),
             variant: Variant::default(),
             played: None,
-            refusal: String::new(),
+            parse_error: String::new(),
         }
     }
 
@@ -60,7 +60,7 @@
                 assert_eq!(self.experiment.problems(), []);
             }
             Step::OverrideSetting(assignment) => {
-                self.variant.settings_overrides = table(assignment);
+                self.variant.settings_overrides = toml_table(assignment);
             }
             Step::Play(run) => {
                 let results = self.play(*run);
@@ -75,8 +75,8 @@
                 bound,
             } => self.expect_figure(name, *comparison, *bound),
             Step::ParseInvalid { text } => {
-                let error = Experiment::parse("file", text).expect_err("it is invalid");
-                self.refusal = error.to_string();
+                let error = Experiment::parse("file", text).expect_err("the experiment is valid");
+                self.parse_error = error.to_string();
             }
             Step::ExpectProblem { position, text } => self.expect_problem(position, text),
         }
@@ -86,7 +86,7 @@
 impl LabScenario {
     fn set_field(&mut self, assignment: &Assignment) {
         let variant = Variant {
-            changes: table(assignment),
+            changes: toml_table(assignment),
             ..Variant::default()
         };
         let changed = self.experiment.with_variant(&variant);
@@ -103,13 +103,13 @@
     }
 
     fn played(&self) -> &PlayedRun {
-        self.played.as_ref().expect("'play' comes first")
+        self.played.as_ref().expect("no step 'play' before")
     }
 
     fn expect_sound(&self) {
         let results = &self.played().results;
         let violations = &results.violations;
-        let shown = &violations[..violations.len().min(SHOWN_VIOLATIONS)];
+        let shown = &violations[..violations.len().min(MAX_SHOWN_VIOLATIONS)];
         assert!(results.sound(), "{shown:?} {:?}", results.crashes);
     }
 
@@ -139,16 +139,16 @@
             Comparison::Above => value > bound,
             Comparison::Below => value < bound,
         };
-        assert!(is_met, "it is {value}");
+        assert!(is_met, "{name} is {value}");
     }
 
     fn expect_problem(&self, position: &str, text: &str) {
         let prefix = format!("file:{position}: ");
         let is_found = self
-            .refusal
+            .parse_error
             .lines()
             .any(|line| line.starts_with(&prefix) && line.contains(text));
-        assert!(is_found, "{}", self.refusal);
+        assert!(is_found, "{}", self.parse_error);
     }
 }
 
@@ -156,14 +156,15 @@
     serde_json::to_string(results).expect("JSON")
 }
 
-/// Whether a broken rule names its time and its request; a server is overloaded by no one request.
+/// Whether a violation names its time and its request. An overload of a server is not caused by a single request, so
+/// that it names none.
 fn is_named(violation: &RuleViolation) -> bool {
     let names_request = violation.request.is_some() || violation.rule == Rule::ColdServers;
     violation.at_seconds > 0.0 && names_request
 }
 
-/// A table that holds one value at a path.
-fn table(Assignment { path, value }: &Assignment) -> toml::Table {
+/// A TOML table that holds one value at a path.
+fn toml_table(Assignment { path, value }: &Assignment) -> toml::Table {
     let is_number = value.parse::<f64>().is_ok();
     let is_bool = value == "true" || value == "false";
     let toml_value = if is_number || is_bool || value.starts_with('[') {
--- a/lab/tests/lab_scenario/step.rs
+++ b/lab/tests/lab_scenario/step.rs
@@ -1,60 +1,59 @@
-//! The steps of the laboratory's scenarios, and how they are read. `lab/tests/scenarios.rs` describes the
-//! notation.
+//! The steps of the laboratory's scenarios, and their parser. `lab/tests/scenarios.rs` describes the notation.
 
 use crate::step_arguments::{invalid, Arguments, StepError};
 use wellcrank_lab::events::Rule;
 use wellcrank_lab::experiment::Fault;
 use wellcrank_lab::simulated::InjectedDefect;
 
-/// With the defect of lost answers, one of so many is lost.
+/// With the defect `loses-answers`, one answer of this many is lost.
 const LOST_ANSWER_INTERVAL: u64 = 40;
 
 /// One step of a scenario.
 #[derive(Debug)]
 pub(crate) enum Step {
-    /// Takes an experiment of the project.
+    /// Loads an experiment from `lab/experiments`.
     UseExperiment { name: String },
     /// Changes a field of the experiment.
     SetField(Assignment),
     /// Adds a fault to the experiment.
     AddFault(Box<Fault>),
-    /// Gives gateways a setting in place of the true one.
+    /// Overrides a setting of the gateways.
     OverrideSetting(Assignment),
-    /// Plays a run.
+    /// Executes a run in simulated time.
     Play(Run),
     /// Expects that the run broke no rule.
     ExpectSound,
     /// Expects that the run broke this rule and no other.
     ExpectViolation(Rule),
-    /// Expects the same results from another run.
+    /// Expects identical results from another run with the same seed and defect.
     ExpectReproducible,
-    /// Expects a figure within a bound.
+    /// Expects a figure, or a total count, above or below a bound.
     ExpectFigure {
         name: String,
         comparison: Comparison,
         bound: f64,
     },
-    /// Parses an experiment that is invalid.
+    /// Parses an experiment that has to be refused.
     ParseInvalid { text: String },
-    /// Expects that it is refused for this.
+    /// Expects that the refusal names this position and text.
     ExpectProblem { position: String, text: String },
 }
 
-/// A path of names, parted by dots, and the value to be set there.
+/// A path of names, separated by dots, and the value to be set there.
 #[derive(Debug)]
 pub(crate) struct Assignment {
     pub(crate) path: String,
     pub(crate) value: String,
 }
 
-/// What is played.
+/// The seed of a run, and the defect that is injected into the gateways, if any.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Run {
     pub(crate) seed: u64,
     pub(crate) defect: Option<InjectedDefect>,
 }
 
-/// On which side of its bound a figure is expected.
+/// The side of its bound on which a figure is expected.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum Comparison {
     Above,
@@ -62,7 +61,7 @@
 }
 
 impl Step {
-    /// Reads one line of a scenario.
+    /// Parses one line of a scenario.
     pub(crate) fn parse(line: &str) -> Result<Step, StepError> {
         let mut arguments = Arguments::new(line);
         let step = match arguments.word("step")? {
@@ -101,7 +100,7 @@
     })
 }
 
-/// Reads the name of a figure, which may have several words, and its bound.
+/// Parses the name of a figure, which may have several words, the comparison and the bound.
 fn parse_figure(arguments: &mut Arguments) -> Result<Step, StepError> {
     let mut words: Vec<&str> = arguments.words().collect();
     let bound = words.pop().ok_or(StepError::Missing("bound"))?;
@@ -124,7 +123,7 @@
     })
 }
 
-/// Reads the kind of a fault and its fields as pairs of name and value.
+/// Parses the kind of a fault and its fields, which are pairs of name and value.
 fn parse_fault(arguments: &mut Arguments) -> Result<Fault, StepError> {
     let kind = arguments.word("kind of fault")?;
     let mut text = format!("kind = {kind:?}\n");
@@ -135,7 +134,7 @@
     toml::from_str(&text).map_err(|_| invalid("fault", &text))
 }
 
-/// A field's value in TOML, which tells integers, floating-point numbers and texts apart.
+/// A field's value as TOML. TOML distinguishes integers, floating-point numbers and strings.
 fn fault_value(name: &str, value: &str) -> String {
     match value.parse::<f64>() {
         _ if name == "zone" || name == "empty" => value.to_string(),
