--- a/tool/src/error.rs
+++ b/tool/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command did not do what it should, and the exit code for it.
+//! Errors of the sub-commands and their exit codes.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,34 +6,39 @@
 use wellcrank_lab::experiment::{ExperimentError, Problem};
 use wellcrank_lab::stats::Interval;
 
-/// Why a command failed.
+/// Why a command failed. [`CommandError::exit_code`] gives the exit code.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// The command ran, and what came of it falls short of what was wanted.
-    #[error("fell short")]
+    /// A result of the command does not meet an expectation.
+    #[error("expectation not met")]
     Unmet(#[from] UnmetExpectation),
-    /// The laboratory could not play, read or write something.
+    /// The laboratory could not play an experiment, or could not read or write a file.
     #[error(transparent)]
     Lab(#[from] LabError),
-    /// The program that is to be played as edge node does not exist.
-    #[error("{}: no such program", .0.display())]
+    /// The path given with `--edge` is not a file.
+    #[error("{}: not a file, expected the program of an edge node", .0.display())]
     NoSuchProgram(PathBuf),
-    /// The options lead to an experiment that can't be played.
+    /// The command-line options result in an invalid experiment.
     #[error("{0}")]
     InvalidOptions(Problem),
-    /// An experiment has no variants to compare.
-    #[error("{}: expected two variants or more", .0.display())]
-    TooFewVariants(PathBuf),
-    /// Some of the files that were to be checked are no valid experiments; a line for each.
+    /// An experiment has too few variants for a comparison.
+    #[error("{}: expected at least 2 variants, found {count}", file.display())]
+    TooFewVariants {
+        /// The experiment file.
+        file: PathBuf,
+        /// The number of variants in the file.
+        count: usize,
+    },
+    /// Some of the checked files are not valid experiments. Holds one error message for each such file.
     #[error("{}", .0.join("\n"))]
     InvalidFiles(Vec<String>),
-    /// A result can't be written as JSON.
-    #[error("a trial can't be written as JSON")]
+    /// A trial of `lab validate` could not be serialized.
+    #[error("cannot serialize a trial as JSON")]
     Json(#[source] serde_json::Error),
 }
 
 impl CommandError {
-    /// What the process exits with.
+    /// The exit code of the process: 1 for an unmet expectation, 2 for every other error.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             CommandError::Unmet(_) => 1,
@@ -48,44 +53,59 @@
     }
 }
 
-/// What falls short of what was wanted.
+/// An expectation that the result of a command does not meet.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum UnmetExpectation {
-    /// Runs broke rules, or gateways crashed.
-    #[error("{0} broken rules and crashes")]
+    /// Runs broke rules, or gateways crashed. Holds the number of broken rules and crashes.
+    #[error("expected no broken rules and no crashes, found {0}")]
     Violations(u64),
-    /// All pairs of runs were left out, as the laboratory itself ran late.
-    #[error("nothing is left to compare")]
-    NothingToCompare,
-    /// A variant's net figure is too far below that of the first variant.
-    #[error("{variant}: net {difference} against {base}")]
+    /// Two variants have no pair of runs to compare: no seed was played with both on the same engine, or the laboratory
+    /// itself ran late in every pair.
+    #[error(
+        "no runs of {variant} to compare with {base}, expected at least one pair; \
+         pairs left out because the laboratory ran late: {late}"
+    )]
+    NothingToCompare {
+        /// Name of the variant.
+        variant: String,
+        /// Name of the first variant, the baseline.
+        base: String,
+        /// Pairs of runs left out because the laboratory ran late.
+        late: usize,
+    },
+    /// The `net` figure of a variant is too far below that of the first variant.
+    #[error(
+        "{variant}: net {difference} compared with {base}, expected a drop of at most {max_drop}"
+    )]
     NetDrop {
-        /// The variant.
+        /// Name of the variant.
         variant: String,
-        /// The first variant.
+        /// Name of the first variant, the baseline.
         base: String,
-        /// The difference of the net figures.
+        /// The difference of the net figures, variant minus baseline.
         difference: Interval,
+        /// The largest accepted drop of the net figure.
+        max_drop: f64,
     },
-    /// Too few of the model's predictions hold.
-    #[error("{held} of {trials} trials hold, {:.0}% wanted", wanted_share * 100.0)]
+    /// Too few of the predictions made in simulated time hold on loopback.
+    #[error("{held} of {trials} trials hold, expected at least {:.0}%", wanted_share * 100.0)]
     FewTrialsHold {
-        /// Trials that hold.
+        /// Number of trials that hold.
         held: usize,
-        /// All trials.
+        /// Number of all trials.
         trials: usize,
-        /// The share of them that is wanted.
+        /// The smallest accepted share of trials that hold, between 0 and 1.
         wanted_share: f64,
     },
 }
 
-/// Makes an I/O error of a path into a [`CommandError`].
+/// Returns a conversion of an I/O error on `path` into a [`CommandError`].
 pub(crate) fn file_error(path: &std::path::Path) -> impl FnOnce(io::Error) -> CommandError {
     let to_lab_error = LabError::file(path);
     move |source| CommandError::Lab(to_lab_error(source))
 }
 
-/// Makes an I/O error of something without a path into a [`CommandError`].
+/// Returns a conversion of an I/O error into a [`CommandError`] that names the failed operation.
 pub(crate) fn system_error(operation: &'static str) -> impl FnOnce(io::Error) -> CommandError {
     let to_lab_error = LabError::system(operation);
     move |source| CommandError::Lab(to_lab_error(source))
--- a/tool/src/lab/common.rs
+++ b/tool/src/lab/common.rs
@@ -1,4 +1,5 @@
-//! What several sub-commands need: experiments, the edge node's program, results, parallel runs, progress.
+//! Helpers that several sub-commands share: loading experiments and results, choosing the edge node program and the
+//! number of parallel runs, and showing progress.
 
 use crate::error::{system_error, CommandError};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -9,37 +10,40 @@
 use wellcrank_lab::metrics::Results;
 use wellcrank_lab::runs;
 
-/// Cores that the machine is taken to have where the system does not say.
+/// Number of cores to assume when the system does not report it.
 const DEFAULT_CORES: usize = 2;
-/// Cores of a run on loopback: one for the stand-ins, and up to two for the gateways.
+/// Cores that one run on loopback uses: one for the emulated servers, clients, counter and discovery, and up to two for
+/// the gateways.
 const CORES_PER_LOOPBACK_RUN: usize = 3;
 
-/// Reads an experiment's file.
+/// Reads an experiment file.
 pub(super) fn load_experiment(path: &Path) -> Result<Experiment, CommandError> {
     Ok(Experiment::load(&path.to_string_lossy())?)
 }
 
-/// The edge node that is played: the named program, or the one that is built into this command.
-pub(super) fn gateway_program(named: Option<&Path>) -> Result<GatewayProgram, CommandError> {
-    if let Some(path) = named {
+/// The edge node program to run: the one at `edge_path`, or the one built into this command. Fails if `edge_path` is not
+/// a file.
+pub(super) fn gateway_program(edge_path: Option<&Path>) -> Result<GatewayProgram, CommandError> {
+    if let Some(path) = edge_path {
         if !path.is_file() {
             return Err(CommandError::NoSuchProgram(path.to_path_buf()));
         }
         return Ok(GatewayProgram::at_path(path));
     }
-    let path = std::env::current_exe().map_err(system_error("the path of this command"))?;
+    let path = std::env::current_exe()
+        .map_err(system_error("cannot determine the path of this command"))?;
     Ok(GatewayProgram {
         arguments: vec!["edge".into()],
         ..GatewayProgram::at_path(path)
     })
 }
 
-/// The folder of a file: files that an experiment names are looked up there.
+/// The folder of an experiment file. A recording that the experiment replays is looked up there.
 pub(super) fn base_dir(file: &Path) -> PathBuf {
     file.parent().map(Path::to_path_buf).unwrap_or_default()
 }
 
-/// How many runs are played at a time, if the command line does not say.
+/// The number of parallel runs without `--jobs`.
 pub(super) fn default_jobs(engine: Engine) -> usize {
     let cores = available_parallelism().map_or(DEFAULT_CORES, |cores| cores.get());
     match engine {
@@ -48,7 +52,7 @@
     }
 }
 
-/// A progress bar for so many runs; hidden where standard error is no terminal.
+/// A progress bar for `runs` runs. It is hidden when standard error is not a terminal.
 pub(super) fn progress_bar(runs: usize) -> ProgressBar {
     let bar = ProgressBar::new(runs as u64);
     let template = "{bar:30} {pos}/{len} runs, {elapsed} elapsed, {eta} left {msg}";
@@ -56,7 +60,7 @@
     bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-/// Reads the results of several files or folders.
+/// Reads and concatenates the results of several files or folders.
 pub(super) fn read_all_results(paths: &[PathBuf]) -> Result<Vec<Results>, CommandError> {
     let mut results = Vec::new();
     for path in paths {
--- a/tool/src/lab/compare.rs
+++ b/tool/src/lab/compare.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab compare`: differences between the variants of stored results.
+//! `wellcrank lab compare`: compares the variants in stored results.
 
 use super::common::read_all_results;
 use super::output::{check_rules, print_comparisons};
@@ -13,10 +13,11 @@
 /// Arguments of `lab compare`.
 #[derive(Args)]
 pub(crate) struct CompareArgs {
-    /// Files or folders of results; all are taken together.
+    /// Files or folders of results, which are compared as one set.
     #[arg(required = true)]
     results: Vec<PathBuf>,
-    /// Falls short where a variant's net figure is below the first one's by more than this, interval and all.
+    /// The largest accepted drop of the net figure from the first variant. Exits with code 1 if the whole 95% interval of
+    /// a variant's drop is above it.
     #[arg(long, alias = "most-drop", allow_negative_numbers = true)]
     max_net_drop: Option<f64>,
 }
@@ -33,11 +34,15 @@
     Ok(())
 }
 
-/// An error if even the upper end of the net figure's interval is below `-max_drop`.
+/// Fails if the upper end of the interval of the net difference is below `-max_drop`, or if there is no net difference.
 fn check_net_drop(comparison: &Comparison, max_drop: f64) -> Result<(), UnmetExpectation> {
     let mut rows = comparison.rows.iter();
     let Some(net) = rows.find(|row| row.figure == NET_FIGURE) else {
-        return Err(UnmetExpectation::NothingToCompare);
+        return Err(UnmetExpectation::NothingToCompare {
+            variant: comparison.other.clone(),
+            base: comparison.base.clone(),
+            late: comparison.late,
+        });
     };
     let upper_end = net.difference.mean + net.difference.half_width.unwrap_or(0.0);
     if upper_end < -max_drop {
@@ -45,6 +50,7 @@
             variant: comparison.other.clone(),
             base: comparison.base.clone(),
             difference: net.difference,
+            max_drop,
         });
     }
     Ok(())
--- a/tool/src/lab/record.rs
+++ b/tool/src/lab/record.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab record`: records clients' requests as a proxy before a gateway.
+//! `wellcrank lab record`: a proxy in front of a gateway that records the requests of clients.
 
 use crate::error::{system_error, CommandError};
 use clap::Args;
@@ -11,22 +11,22 @@
 use std::time::Duration;
 use wellcrank_lab::loopback;
 
-/// The longest recording, in seconds; a longer time would not fit a duration.
+/// Upper limit of `--seconds`. `Duration::from_secs_f64` panics on a number of seconds that a `Duration` cannot hold.
 const MAX_SECONDS: f64 = 1e9;
 
 /// Arguments of `lab record`.
 #[derive(Args)]
 pub(crate) struct RecordArgs {
-    /// Where clients connect from now on.
+    /// Address at which the proxy accepts clients.
     #[arg(long)]
     listen: SocketAddr,
-    /// The gateway.
+    /// Address of the gateway.
     #[arg(long, alias = "to")]
     gateway: SocketAddr,
-    /// The recording.
+    /// File to write the recording to.
     #[arg(long)]
     out: PathBuf,
-    /// Ends by itself after so long.
+    /// Ends the recording after this number of seconds.
     #[arg(long)]
     seconds: Option<f64>,
 }
@@ -34,7 +34,8 @@
 pub(super) fn run(args: &RecordArgs, log: &Logger) -> Result<(), CommandError> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
-        signal_hook::flag::register(signal, stop.clone()).map_err(system_error("signals"))?;
+        signal_hook::flag::register(signal, stop.clone())
+            .map_err(system_error("cannot handle SIGINT and SIGTERM"))?;
     }
     slog::info!(log, "recording until Ctrl-C"; "listen" => %args.listen, "gateway" => %args.gateway);
     let max_duration = args
--- a/tool/src/lab/run.rs
+++ b/tool/src/lab/run.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab run`: plays an experiment.
+//! `wellcrank lab run`: plays an experiment and prints or stores its results.
 
 use super::common::{base_dir, default_jobs, gateway_program, load_experiment, progress_bar};
 use super::output::{check_rules, print_comparisons, print_summary, write_page};
@@ -11,12 +11,12 @@
 use wellcrank_lab::metrics::Results;
 use wellcrank_lab::runs::{self, RunnerOptions};
 
-/// An engine's name on the command line.
+/// An engine, as named on the command line.
 #[derive(Clone, Copy, ValueEnum)]
 enum EngineName {
-    /// The decisions alone, in simulated time.
+    /// The gateways' decisions alone, in simulated time.
     Simulated,
-    /// Edge nodes as processes, on sockets.
+    /// Edge nodes as processes that communicate over sockets.
     Loopback,
 }
 
@@ -32,27 +32,27 @@
 /// Arguments of `lab run`.
 #[derive(Args)]
 pub(crate) struct RunArgs {
-    /// The experiment.
+    /// Experiment file.
     file: PathBuf,
-    /// A folder for results.jsonl and report.html.
+    /// Folder to write results.jsonl and report.html to.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// The engine in place of the file's.
+    /// Engine to use in place of the one in the file.
     #[arg(long, value_enum)]
     engine: Option<EngineName>,
-    /// Seeds in place of the file's: 1,2,3.
+    /// Seeds to use in place of those in the file, such as 1,2,3.
     #[arg(long, value_delimiter = ',')]
     seeds: Vec<u64>,
-    /// Runs played at a time; on loopback each takes about two cores.
+    /// Number of parallel runs. On loopback each run uses about two cores.
     #[arg(long)]
     jobs: Option<usize>,
-    /// On loopback, a run on which the laboratory itself was late is played again, so many times at most.
+    /// How many times at most a run on loopback is repeated if the laboratory itself ran late.
     #[arg(long, alias = "again", default_value_t = 2)]
     max_reruns: usize,
-    /// Another edge node's program than the one built in.
+    /// Path of an edge node program to run in place of the built-in one.
     #[arg(long)]
     edge: Option<PathBuf>,
-    /// A folder for the gateways' logs.
+    /// Folder to write the gateways' logs to.
     #[arg(long)]
     logs: Option<PathBuf>,
 }
@@ -72,12 +72,12 @@
     let results = play_with_progress(&experiment, &options)?;
     println!("{} ({})", experiment.title, engine_title(engine));
     match results.as_slice() {
-        [one] => print_summary(one),
-        several => print_comparisons(several),
+        [single] => print_summary(single),
+        results => print_comparisons(results),
     }
     if let Some(out) = args.out {
         write_results(&out, &experiment, &results)?;
-        slog::info!(log, "written"; "folder" => %out.display());
+        slog::info!(log, "results written"; "folder" => %out.display());
     }
     check_rules(&results)?;
     Ok(())
@@ -101,7 +101,7 @@
     }
 }
 
-/// Writes the results and their page to a folder.
+/// Writes the results and their HTML report to a folder.
 fn write_results(
     out: &Path,
     experiment: &Experiment,
--- a/tool/src/lab/validate.rs
+++ b/tool/src/lab/validate.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab validate`: does simulated time predict what loopback measures?
+//! `wellcrank lab validate`: checks that simulated time predicts what loopback measures.
 
 use super::common::{base_dir, default_jobs, gateway_program, load_experiment, progress_bar};
 use crate::error::{file_error, CommandError, UnmetExpectation};
@@ -9,15 +9,15 @@
 use wellcrank_lab::runs::RunnerOptions;
 use wellcrank_lab::validate::{self, SeedCounts, Trial};
 
-/// How often a run is played again on which the laboratory itself was late.
+/// How many times at most a run is repeated if the laboratory itself ran late.
 const MAX_RERUNS: usize = 2;
-/// Names of trials are cut to this length.
-const MAX_NAME: usize = 44;
+/// Trial names in the table are cut to this number of characters.
+const MAX_TRIAL_NAME_CHARS: usize = 44;
 
 /// Arguments of `lab validate`.
 #[derive(Args)]
 pub(crate) struct ValidateArgs {
-    /// Experiments of two variants or more.
+    /// Experiment files, each with at least two variants.
     #[arg(required = true)]
     files: Vec<PathBuf>,
     /// Number of seeds in simulated time.
@@ -26,19 +26,19 @@
     /// Number of seeds on loopback.
     #[arg(long, default_value_t = 2)]
     seeds: usize,
-    /// The figure that is compared.
+    /// Name of the figure to compare.
     #[arg(long, default_value = "net")]
     figure: String,
-    /// Runs played at a time.
+    /// Number of parallel runs.
     #[arg(long)]
     jobs: Option<usize>,
-    /// Another edge node's program than the one built in.
+    /// Path of an edge node program to run in place of the built-in one.
     #[arg(long)]
     edge: Option<PathBuf>,
-    /// Falls short where a smaller share of the trials holds.
+    /// The smallest accepted share of trials that hold, from 0 to 1. Exits with code 1 if fewer hold.
     #[arg(long, alias = "wanted", default_value_t = 0.9)]
     wanted_share: f64,
-    /// Writes the trials to this file, one a line.
+    /// File to write the trials to, one JSON object per line.
     #[arg(long)]
     out: Option<PathBuf>,
 }
@@ -65,7 +65,7 @@
     Ok(())
 }
 
-/// Plays the trials of one experiment.
+/// Plays the trials of one experiment: each variant compared with the first one.
 fn play_trials(
     file: &Path,
     args: &ValidateArgs,
@@ -74,7 +74,10 @@
     let experiment = load_experiment(file)?;
     let variants = experiment.variants_or_default().len();
     if variants < 2 {
-        return Err(CommandError::TooFewVariants(file.to_path_buf()));
+        return Err(CommandError::TooFewVariants {
+            file: file.to_path_buf(),
+            count: experiment.variants.len(),
+        });
     }
     let options = RunnerOptions {
         jobs: args.jobs.unwrap_or_else(|| default_jobs(Engine::Loopback)),
@@ -97,22 +100,22 @@
 fn print_trials(trials: &[Trial], figure: &str) {
     let title = format!("difference of {figure}");
     println!(
-        "{title:<MAX_NAME$} {:>18} {:>9} {:>6}",
+        "{title:<MAX_TRIAL_NAME_CHARS$} {:>18} {:>9} {:>6}",
         "model", "loopback", "holds"
     );
     for trial in trials {
         let full_name = format!("{}: {}", trial.experiment, trial.other);
-        let name: String = full_name.chars().take(MAX_NAME).collect();
+        let name: String = full_name.chars().take(MAX_TRIAL_NAME_CHARS).collect();
         let model = format!("{:+.3} ± {:.3}", trial.model, trial.tolerance);
         let holds = if trial.holds() { "yes" } else { "no" };
         println!(
-            "{name:<MAX_NAME$} {model:>18} {:>+9.3} {holds:>6}",
+            "{name:<MAX_TRIAL_NAME_CHARS$} {model:>18} {:>+9.3} {holds:>6}",
             trial.measured
         );
     }
 }
 
-/// Writes trials as JSON, one a line.
+/// Writes trials as JSON, one object per line.
 fn write_trials(file: &Path, trials: &[Trial]) -> Result<(), CommandError> {
     let mut text = String::new();
     for trial in trials {
--- a/tool/src/main.rs
+++ b/tool/src/main.rs
@@ -1,5 +1,5 @@
-//! `wellcrank`: the operators' command. Exit codes: 0 done, 1 fell short (a rule broken, a crash, a figure below
-//! what was wanted), 2 bad input.
+//! `wellcrank`: the operators' command. Exit codes: 0 success, 1 an expectation was not met (a rule was broken, a gateway
+//! crashed or a figure was below its limit), 2 invalid input or another error. `edge` exits with 1 if it fails.
 
 mod error;
 mod lab;
@@ -20,32 +20,33 @@
     max_term_width = 100
 )]
 #[command(
-    after_help = "Exit codes: 0 done; 1 fell short: a rule broken, a crash, a figure below what was wanted; \
-                        2 bad input."
+    after_help = "Exit codes: 0 success; 1 an expectation was not met: a rule was broken, a gateway crashed or a \
+                        figure was below its limit; 2 invalid input or another error. The command 'edge' exits with 1 if \
+                        it fails."
 )]
 struct CommandLine {
-    /// The form of log lines on standard error.
+    /// Format of log lines on standard error.
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     log_format: LogFormat,
     #[command(subcommand)]
     command: Command,
 }
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, ValueEnum)]
 enum LogFormat {
     /// Plain text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// The laboratory: an emulated platform, experiments, comparisons, reports.
+    /// The laboratory: runs an emulated platform and experiments, and compares and reports their results.
     #[command(subcommand)]
     Lab(lab::LabCommand),
-    /// Runs one gateway, as wellcrank-edge does; BALANCER_CONFIG names its file.
+    /// Runs one gateway, as wellcrank-edge does. BALANCER_CONFIG names its configuration file.
     Edge,
 }
 
@@ -82,8 +83,8 @@
         return ExitCode::SUCCESS;
     };
     match &error {
-        // It ran to its end: what it found belongs to its log.
-        CommandError::Unmet(unmet) => slog::error!(log, "fell short"; "why" => %unmet),
+        // An unmet expectation is a result of the command, so it goes to the log in the chosen format.
+        CommandError::Unmet(unmet) => slog::error!(log, "expectation not met"; "why" => %unmet),
         other => eprintln!("wellcrank: {}", ErrorChain(other)),
     }
     ExitCode::from(error.exit_code())
