--- a/tool/src/lab/capacity.rs
+++ b/tool/src/lab/capacity.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab capacity`: the rate that one gateway sustains, and what it uses at rest.
+//! `wellcrank lab capacity`: the request rate that one gateway sustains, and the resources it uses when idle.
 
 use super::common::gateway_program;
 use crate::error::CommandError;
@@ -8,22 +8,22 @@
 use wellcrank_lab::experiment::Variant;
 use wellcrank_lab::runs::{self, RunnerOptions};
 
-/// The seed of the run at rest.
-const REST_SEED: u64 = 1;
+/// The seed of the run without requests.
+const IDLE_SEED: u64 = 1;
 
 /// Arguments of `lab capacity`.
 #[derive(Args)]
 pub(crate) struct CapacityArgs {
-    /// The latency at p99 within which the gateway has to serve, in milliseconds.
+    /// The highest accepted latency at the 99th percentile, in milliseconds.
     #[arg(long, default_value_t = 5.0)]
     p99_ms: f64,
-    /// Without a counter: what decisions and forwarding alone cost.
+    /// Runs without a shared counter, to measure the cost of decisions and forwarding alone.
     #[arg(long)]
     no_counter: bool,
-    /// Length of each run.
+    /// Length of each run in seconds.
     #[arg(long, default_value_t = 6.0)]
     seconds: f64,
-    /// Another edge node's program than the one built in.
+    /// Path of an edge node program to run in place of the built-in one.
     #[arg(long)]
     edge: Option<PathBuf>,
 }
@@ -43,10 +43,10 @@
         "{:>10} {:>8} {:>9} {:>9} {:>11} {:>10} {:>9}",
         "requests/s", "served", "p50 ms", "p99 ms", "cpu/request", "lab late", "sustained"
     );
-    let at_rest = runs::play_one(
+    let idle = runs::play_one(
         &test.experiment(0.0),
         &Variant::default(),
-        REST_SEED,
+        IDLE_SEED,
         &options,
     )?;
     let sustained_rate = test.search(&options, &mut print_step)?;
@@ -56,8 +56,8 @@
     );
     println!(
         "at rest: {:.2}% of a core, {:.1} MB",
-        100.0 * at_rest.gateway_cpu_seconds / at_rest.wall_seconds.max(1.0),
-        at_rest.gateway_mb
+        100.0 * idle.gateway_cpu_seconds / idle.wall_seconds.max(1.0),
+        idle.gateway_mb
     );
     Ok(())
 }
--- a/tool/src/lab/check.rs
+++ b/tool/src/lab/check.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab check`: are these files whole experiments?
+//! `wellcrank lab check`: checks experiment files without playing them.
 
 use super::common::{base_dir, load_experiment};
 use crate::error::CommandError;
@@ -7,31 +7,31 @@
 use wellcrank_lab::error::ErrorChain;
 use wellcrank_lab::runs;
 
-/// The seed with which recorded traffic is scaled when it is checked.
+/// The seed for scaling recorded traffic during a check.
 const REPLAY_SEED: u64 = 1;
 
 /// Arguments of `lab check`.
 #[derive(Args)]
 pub(crate) struct CheckArgs {
-    /// The experiments.
+    /// Experiment files.
     files: Vec<PathBuf>,
 }
 
 pub(super) fn run(args: &CheckArgs) -> Result<(), CommandError> {
-    let mut complaints = Vec::new();
+    let mut messages = Vec::new();
     for file in &args.files {
         if let Err(error) = check(file) {
-            complaints.push(ErrorChain(&error).to_string());
+            messages.push(ErrorChain(&error).to_string());
         }
     }
-    if complaints.is_empty() {
+    if messages.is_empty() {
         Ok(())
     } else {
-        Err(CommandError::InvalidFiles(complaints))
+        Err(CommandError::InvalidFiles(messages))
     }
 }
 
-/// Checks one experiment and the recording that it names.
+/// Checks one experiment and, if it replays one, its recording.
 fn check(file: &Path) -> Result<(), CommandError> {
     let experiment = load_experiment(file)?;
     runs::load_replay(&experiment, REPLAY_SEED, &base_dir(file))?;
--- a/tool/src/lab/mod.rs
+++ b/tool/src/lab/mod.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab`: a module for each sub-command, and what they have in common.
+//! `wellcrank lab`: one module per sub-command, and the shared modules `common` and `output`.
 
 mod capacity;
 mod check;
@@ -16,28 +16,28 @@
 use clap::Subcommand;
 use slog::Logger;
 
-/// The sub-commands of the laboratory. Names of the version before are kept as aliases.
+/// The sub-commands of the laboratory. Renamed sub-commands keep their former name as an alias.
 #[derive(Subcommand)]
 pub(crate) enum LabCommand {
-    /// Starts a whole platform on loopback and shows each second what it does, until Ctrl-C.
+    /// Runs a whole platform on loopback and prints a line of metrics each second, until Ctrl-C.
     Up(up::UpArgs),
-    /// Plays an experiment: every variant on every seed.
+    /// Plays an experiment: every variant with every seed.
     Run(run::RunArgs),
-    /// Compares the variants of results, paired by seed, with 95% intervals.
+    /// Compares the variants in stored results, paired by seed, with 95% intervals.
     Compare(compare::CompareArgs),
-    /// Writes results as one self-contained HTML page with plots.
+    /// Writes stored results as one self-contained HTML page with plots.
     Report(report::ReportArgs),
     /// Checks experiment files without playing them.
     Check(check::CheckArgs),
-    /// Records what clients request of a gateway, as a proxy before it.
+    /// Runs a proxy in front of a gateway and records the requests of its clients.
     Record(record::RecordArgs),
-    /// Plays experiments in both engines: does simulated time predict what loopback measures?
+    /// Plays experiments in both engines and checks that simulated time predicts what loopback measures.
     #[command(alias = "agree")]
     Validate(validate::ValidateArgs),
-    /// Finds the rate that one gateway sustains within a latency, over servers that answer at once.
+    /// Finds the request rate that one gateway sustains within a latency, with servers that answer at once.
     #[command(alias = "bears")]
     Capacity(capacity::CapacityArgs),
-    /// Plays fleets of growing size in simulated time, and prints what each costs to play.
+    /// Plays fleets of several sizes in simulated time and prints how long each run took.
     #[command(alias = "grow")]
     Scaling(scaling::ScalingArgs),
 }
--- a/tool/src/lab/output.rs
+++ b/tool/src/lab/output.rs
@@ -1,4 +1,4 @@
-//! What sub-commands print of results, and the pages that they write.
+//! Prints results and comparisons, and writes report pages.
 
 use crate::error::{file_error, CommandError, UnmetExpectation};
 use std::path::Path;
@@ -6,12 +6,12 @@
 use wellcrank_lab::report;
 use wellcrank_lab::stats::{self, Comparison, Interval};
 
-/// The most broken rules that are printed of one run.
+/// The largest number of broken rules printed for one run.
 const MAX_PRINTED_VIOLATIONS: usize = 10;
-/// Names of variants are cut to this length above the columns of a table.
-const MAX_COLUMN_TITLE: usize = 10;
+/// Variant names in column titles are cut to this number of characters.
+const MAX_COLUMN_TITLE_CHARS: usize = 10;
 
-/// Prints what one run has brought.
+/// Prints the figures, totals and resource use of one run.
 pub(super) fn print_summary(results: &Results) {
     println!();
     for Figure { name, value } in results.figures() {
@@ -34,13 +34,14 @@
     );
     if results.lateness.excessive {
         println!(
-            "{:>22}  the laboratory itself ran late ({:.1} ms at p99): these figures are not to be compared",
+            "{:>22}  the laboratory itself ran late ({:.1} ms at p99): do not compare these figures",
             "late", results.lateness.p99_ms
         );
     }
 }
 
-/// Prints each figure by variant, and the differences from the first variant.
+/// Prints the figures of each variant and their differences from the first variant. Prints the means if there is only
+/// one variant.
 pub(super) fn print_comparisons(results: &[Results]) {
     let comparisons = stats::compare(results);
     if comparisons.is_empty() {
@@ -51,7 +52,7 @@
     }
 }
 
-/// Prints the mean of each figure over all runs, of results that have no second variant.
+/// Prints the mean of each figure over all runs, for results of a single variant.
 fn print_means(results: &[Results]) {
     let names = stats::variants(results).join(", ");
     let Some(first) = results.first() else {
@@ -92,10 +93,10 @@
 }
 
 fn column_title(variant: &str) -> String {
-    variant.chars().take(MAX_COLUMN_TITLE).collect()
+    variant.chars().take(MAX_COLUMN_TITLE_CHARS).collect()
 }
 
-/// Prints broken rules and crashes; an error if there are any.
+/// Prints broken rules and crashes, at most [`MAX_PRINTED_VIOLATIONS`] broken rules per run. Fails if there are any.
 pub(super) fn check_rules(results: &[Results]) -> Result<(), UnmetExpectation> {
     let mut violations = 0;
     for run in results {
@@ -113,7 +114,7 @@
     Ok(())
 }
 
-/// Writes results as a page.
+/// Writes results as an HTML report.
 pub(super) fn write_page(
     file: &Path,
     title: &str,
--- a/tool/src/lab/report.rs
+++ b/tool/src/lab/report.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab report`: stored results as a page.
+//! `wellcrank lab report`: writes stored results as an HTML page.
 
 use super::common::read_all_results;
 use super::output::write_page;
@@ -10,10 +10,10 @@
 /// Arguments of `lab report`.
 #[derive(Args)]
 pub(crate) struct ReportArgs {
-    /// Files or folders of results; all are taken together.
+    /// Files or folders of results, which go into one report.
     #[arg(required = true)]
     results: Vec<PathBuf>,
-    /// The page.
+    /// File to write the HTML page to.
     #[arg(long, default_value = "report.html")]
     html: PathBuf,
 }
--- a/tool/src/lab/scaling.rs
+++ b/tool/src/lab/scaling.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab scaling`: what fleets of growing size cost to play in simulated time.
+//! `wellcrank lab scaling`: how long fleets of several sizes take to play in simulated time.
 
 use super::output::check_rules;
 use crate::error::CommandError;
@@ -7,26 +7,27 @@
 use wellcrank_lab::experiment::{Experiment, Variant};
 use wellcrank_lab::runs::{self, RunnerOptions};
 
-/// The part of the requests that accounts make inside their quotas.
+/// Share of the requests that are inside the quotas.
 const SHARE_INSIDE_QUOTAS: f64 = 0.5;
-/// An account uses a tenth of the gateways, up to this number.
+/// The requests of an account arrive at a tenth of the gateways, and at no more than this number.
 const MAX_GATEWAYS_PER_ACCOUNT: usize = 30;
-/// Counter calls a second for each gateway, and the least that the counter bears in all.
-const COUNTER_CALLS_PER_GATEWAY: usize = 10;
-const MIN_COUNTER_CAPACITY: usize = 500;
-/// The seed of the runs.
+/// Capacity of the counter for each gateway, in calls a second.
+const COUNTER_CALLS_PER_SECOND_PER_GATEWAY: usize = 10;
+/// Smallest capacity of the counter, in calls a second.
+const MIN_COUNTER_CALLS_PER_SECOND: usize = 500;
+/// The seed of every run.
 const SEED: u64 = 1;
 
 /// Arguments of `lab scaling`.
 #[derive(Args)]
 pub(crate) struct ScalingArgs {
-    /// Numbers of gateways; there are two thirds as many servers.
+    /// Numbers of gateways to play, one run for each. A fleet has two thirds as many servers as gateways.
     #[arg(long, value_delimiter = ',', default_values_t = [10, 100, 300, 1000])]
     gateways: Vec<usize>,
-    /// Requests a second at each gateway.
+    /// Requests per second at each gateway.
     #[arg(long, alias = "calls", default_value_t = 10.0)]
     request_rate: f64,
-    /// Length of each run.
+    /// Length of each run in simulated seconds.
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
 }
@@ -41,20 +42,20 @@
         let clock = Clock::start();
         let options = RunnerOptions::default();
         let results = runs::play_one(&experiment, &Variant::default(), SEED, &options)?;
-        let took = clock.now().as_secs_f64();
+        let elapsed_seconds = clock.now().as_secs_f64();
         let requests: u64 = results.by_second.iter().map(|second| second.requests).sum();
         println!(
-            "{gateways:>9} {:>8} {requests:>9} {took:>8.2} s {:>14.3} s {:>11.1} us",
+            "{gateways:>9} {:>8} {requests:>9} {elapsed_seconds:>8.2} s {:>14.3} s {:>11.1} us",
             experiment.fleet.servers,
-            took / args.seconds,
-            took / requests.max(1) as f64 * 1e6
+            elapsed_seconds / args.seconds,
+            elapsed_seconds / requests.max(1) as f64 * 1e6
         );
         check_rules(&[results])?;
     }
     Ok(())
 }
 
-/// A fleet of so many gateways, and a load and a counter to match.
+/// An experiment with `gateways` gateways, and servers, load and counter capacity in proportion.
 fn experiment(args: &ScalingArgs, gateways: usize) -> Result<Experiment, CommandError> {
     let text = format!("title = \"Scaling\"\nseconds = {:?}", args.seconds);
     let mut experiment = Experiment::parse("scaling", &text)?;
@@ -63,7 +64,7 @@
     experiment.load.request_rate = args.request_rate * gateways as f64 * SHARE_INSIDE_QUOTAS;
     experiment.load.gateways_per_account = (gateways / 10).clamp(1, MAX_GATEWAYS_PER_ACCOUNT);
     experiment.counter.capacity =
-        (gateways * COUNTER_CALLS_PER_GATEWAY).max(MIN_COUNTER_CAPACITY) as f64;
+        (gateways * COUNTER_CALLS_PER_SECOND_PER_GATEWAY).max(MIN_COUNTER_CALLS_PER_SECOND) as f64;
     match experiment.problems().into_iter().next() {
         Some(problem) => Err(CommandError::InvalidOptions(problem)),
         None => Ok(experiment),
--- a/tool/src/lab/up.rs
+++ b/tool/src/lab/up.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab up`: one run on loopback, shown second by second.
+//! `wellcrank lab up`: one run on loopback, with a line of metrics printed each second.
 
 use super::common::{base_dir, gateway_program, load_experiment};
 use super::output::{check_rules, print_summary, write_page};
@@ -12,42 +12,43 @@
 use wellcrank_lab::metrics::SecondMetrics;
 use wellcrank_lab::runs;
 
-/// The head of the table is printed again after so many lines.
-const LINES_PER_HEAD: u64 = 20;
-/// What is played where no file is named.
+/// The table header is printed again after this number of rows.
+const ROWS_PER_HEADER: u64 = 20;
+/// The experiment that is played when no file is named: default values for one hour.
 const DEFAULT_EXPERIMENT: &str =
-    "title = \"A usual day\"\nabout = \"What `wellcrank lab up` plays.\"\nseconds = 3600.0";
+    "title = \"Default experiment\"\nabout = \"Played by `wellcrank lab up` without a file.\"\nseconds = 3600.0";
 
 /// Arguments of `lab up`.
 #[derive(Args)]
 pub(crate) struct UpArgs {
-    /// An experiment, of which the first variant is played; else a usual day.
+    /// Experiment file, of which the first variant is played. Without a file, an experiment with default values is played
+    /// for an hour.
     file: Option<PathBuf>,
-    /// Number of gateways, each a process.
+    /// Number of gateways. Each gateway is a process.
     #[arg(long)]
     gateways: Option<usize>,
-    /// Number of servers, which are simulated.
+    /// Number of simulated servers.
     #[arg(long)]
     servers: Option<usize>,
-    /// Requests a second inside the quotas.
+    /// Requests per second inside the quotas, over all gateways.
     #[arg(long, alias = "calls")]
     request_rate: Option<f64>,
-    /// Ends by itself after so long; else after the length that the file gives.
+    /// Length of the run in seconds, in place of the length in the file.
     #[arg(long)]
     seconds: Option<f64>,
     /// The seed of the run.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Another edge node's program than the one built in.
+    /// Path of an edge node program to run in place of the built-in one.
     #[arg(long)]
     edge: Option<PathBuf>,
-    /// A folder for the gateways' logs.
+    /// Folder to write the gateways' logs to.
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// Records what clients request in this file, for replay.
+    /// File to record the requests of clients in, for replay.
     #[arg(long)]
     record: Option<PathBuf>,
-    /// Writes the report to this file.
+    /// File to write the HTML report to.
     #[arg(long)]
     report: Option<PathBuf>,
 }
@@ -57,7 +58,7 @@
     let variant = experiment.variants_or_default().remove(0);
     slog::info!(log, "starting"; "gateways" => experiment.fleet.gateways,
         "simulated servers" => experiment.fleet.servers, "seconds" => experiment.seconds);
-    println!("Ctrl-C ends the run and prints what it has brought.\n");
+    println!("Ctrl-C ends the run and prints its results.\n");
     let base_dir = args.file.as_deref().map(base_dir).unwrap_or_default();
     let options = loopback::RunOptions {
         gateway_program: gateway_program(args.edge.as_deref())?,
@@ -77,11 +78,11 @@
     Ok(())
 }
 
-/// The experiment that the arguments name, with their values laid over it.
+/// Loads the experiment that the arguments name and applies the values of the other arguments to it.
 fn experiment(args: &UpArgs) -> Result<Experiment, CommandError> {
     let mut experiment = match &args.file {
         Some(file) => load_experiment(file)?,
-        None => Experiment::parse("the usual day", DEFAULT_EXPERIMENT)?,
+        None => Experiment::parse("the default experiment", DEFAULT_EXPERIMENT)?,
     };
     let fleet = &mut experiment.fleet;
     fleet.gateways = args.gateways.unwrap_or(fleet.gateways);
@@ -96,9 +97,9 @@
     }
 }
 
-/// Prints one second of the run as a line of a table.
+/// Prints the metrics of one second as a row of a table.
 fn print_second(second: u64, metrics: &SecondMetrics) {
-    if second.is_multiple_of(LINES_PER_HEAD) {
+    if second.is_multiple_of(ROWS_PER_HEADER) {
         println!(
             "{:>6} {:>8} {:>8} {:>8} {:>8} {:>9} {:>10} {:>9} {:>8}",
             "second",
