--- a/tool/tests/command_scenario/mod.rs
+++ b/tool/tests/command_scenario/mod.rs
@@ -1,4 +1,4 @@
-//! A scenario of the command: its folder, the last command that ended and the one that is running.
+//! The state of one scenario: its folder, the running command and the outcome of the last command that ended.
 
 mod recording;
 mod running_command;
@@ -17,33 +17,33 @@
 use std::time::{Duration, Instant};
 use step::Step;
 
-/// The longest wait for something that has to happen.
+/// The longest wait for an expected condition.
 const WAIT_LIMIT: Duration = Duration::from_secs(60);
-/// How often it is looked for.
+/// The pause between two checks of an expected condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// So much of a file is printed that lacks what was expected.
-const PRINTED_PREFIX: usize = 500;
+/// When a file lacks an expected text, this number of its first characters is printed.
+const MAX_PRINTED_CHARS: usize = 500;
 
-/// How a command has ended.
+/// The outcome of a command that has ended.
 struct CommandOutcome {
-    /// The exit code; none after a signal.
+    /// The exit code; none if a signal ended the command.
     exit_code: Option<i32>,
-    /// Output and errors.
+    /// Standard output, followed by standard error after a `run` step.
     output: String,
 }
 
 /// The state of one scenario.
 pub(crate) struct CommandScenario {
     folder: PathBuf,
-    /// The file that the next lines are written to.
-    open_file: Option<PathBuf>,
+    /// The file that `|` lines are appended to.
+    current_file: Option<PathBuf>,
     running: Option<RunningCommand>,
     outcome: Option<CommandOutcome>,
-    /// Processes that the interrupted command had started.
+    /// Ids of the child processes of the interrupted command.
     children: Vec<u32>,
 }
 
-/// Looks for something until it is there; panics with `describe` after [`WAIT_LIMIT`].
+/// Calls `find` until it returns a value; panics with the text of `describe` after [`WAIT_LIMIT`].
 fn wait_until<T>(mut find: impl FnMut() -> Option<T>, describe: impl Fn() -> String) -> T {
     let start = Instant::now();
     loop {
@@ -55,8 +55,8 @@
     }
 }
 
-/// Has the command start with the system's own handling of SIGINT. A shell that runs the tests in the background has
-/// them ignore it, and the command would too until it handles the signal itself.
+/// Makes the command start with the default action for SIGINT. A shell that runs the tests in the background makes them
+/// ignore SIGINT, and the command would inherit that until it installs its own handler.
 #[allow(unsafe_code)]
 fn reset_interrupt(command: &mut Command) {
     // SAFETY: between fork and exec only calls are allowed that are safe in a signal handler; signal(2) is one.
@@ -69,7 +69,7 @@
 }
 
 impl CommandScenario {
-    /// The built command with these arguments, in the scenario's folder.
+    /// The built `wellcrank` command with these arguments, run in the scenario's folder.
     fn command(&self, arguments: &[String]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_wellcrank"));
         command
@@ -81,24 +81,27 @@
     }
 
     fn write_line(&self, line: &str) {
-        let path = self.open_file.as_ref().expect("'file' comes first");
+        let path = self
+            .current_file
+            .as_ref()
+            .expect("a 'file' step before '|'");
         let mut file = OpenOptions::new()
             .append(true)
             .open(path)
-            .expect("the file");
-        writeln!(file, "{line}").expect("a line is written");
+            .expect("the current file opens");
+        writeln!(file, "{line}").expect("a line is appended");
     }
 
     fn copy_experiment(&self, name: &str) {
         let source = Path::new("../lab/experiments").join(name);
-        fs::copy(source, self.folder.join(name)).expect("an experiment");
+        fs::copy(source, self.folder.join(name)).expect("the experiment is copied");
     }
 
     fn run_to_end(&mut self, arguments: &[String]) {
-        let ended = self.command(arguments).output().expect("the command runs");
-        let output = [ended.stdout, ended.stderr].concat();
+        let process_output = self.command(arguments).output().expect("the command runs");
+        let output = [process_output.stdout, process_output.stderr].concat();
         self.outcome = Some(CommandOutcome {
-            exit_code: ended.status.code(),
+            exit_code: process_output.status.code(),
             output: String::from_utf8_lossy(&output).into_owned(),
         });
     }
@@ -108,11 +111,15 @@
     }
 
     fn running(&self) -> &RunningCommand {
-        self.running.as_ref().expect("'start' comes first")
+        self.running
+            .as_ref()
+            .expect("a 'start' step before this one")
     }
 
     fn outcome(&self) -> &CommandOutcome {
-        self.outcome.as_ref().expect("a command has ended")
+        self.outcome
+            .as_ref()
+            .expect("a command that has ended before this step")
     }
 
     fn expect_exit(&self, code: i32) {
@@ -122,17 +129,21 @@
 
     fn expect_printed(&self, text: &str, expected: bool) {
         let output = &self.outcome().output;
-        assert_eq!(output.contains(text), expected, "{text:?} in: {output}");
+        assert_eq!(
+            output.contains(text),
+            expected,
+            "whether {text:?} is in: {output}"
+        );
     }
 
     fn expect_in_file(&self, name: &str, text: &str) {
-        let content = fs::read_to_string(self.folder.join(name)).expect("a file");
-        let beginning: String = content.chars().take(PRINTED_PREFIX).collect();
+        let content = fs::read_to_string(self.folder.join(name)).expect("the file is readable");
+        let beginning: String = content.chars().take(MAX_PRINTED_CHARS).collect();
         assert!(content.contains(text), "{text:?} is not in: {beginning}");
     }
 
     fn interrupt(&mut self) {
-        let mut command = self.running.take().expect("'start' comes first");
+        let mut command = self.running.take().expect("a 'start' step before this one");
         self.children = command.children();
         self.outcome = Some(command.interrupt());
     }
@@ -140,7 +151,7 @@
     fn expect_children_ended(&self, min_count: usize) {
         assert!(
             self.children.len() >= min_count,
-            "it had started {} processes",
+            "expected at least {min_count} child processes, found {}",
             self.children.len()
         );
         let left: Vec<&u32> = self
@@ -148,7 +159,10 @@
             .iter()
             .filter(|id| Path::new(&format!("/proc/{id}")).exists())
             .collect();
-        assert!(left.is_empty(), "processes are left: {left:?}");
+        assert!(
+            left.is_empty(),
+            "child processes that are still running: {left:?}"
+        );
     }
 }
 
@@ -161,10 +175,10 @@
         let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
         let name = format!("wellcrank-tool-{}-{number}", std::process::id());
         let folder = std::env::temp_dir().join(name);
-        fs::create_dir_all(&folder).expect("a folder");
+        fs::create_dir_all(&folder).expect("the scenario's folder is created");
         CommandScenario {
             folder,
-            open_file: None,
+            current_file: None,
             running: None,
             outcome: None,
             children: Vec::new(),
@@ -179,29 +193,31 @@
         match step {
             Step::File(name) => {
                 let path = self.folder.join(name);
-                fs::write(&path, "").expect("a file is written");
-                self.open_file = Some(path);
+                fs::write(&path, "").expect("an empty file is written");
+                self.current_file = Some(path);
             }
             Step::Line(line) => self.write_line(line),
             Step::Experiment(name) => self.copy_experiment(name),
             Step::Run(arguments) => self.run_to_end(arguments),
             Step::Exit(code) => self.expect_exit(*code),
             Step::Prints(text) => self.expect_printed(text, true),
-            Step::Lacks(text) => self.expect_printed(text, false),
+            Step::DoesNotPrint(text) => self.expect_printed(text, false),
             Step::Contains { file, text } => self.expect_in_file(file, text),
-            Step::Absent(name) => assert!(!self.folder.join(name).exists()),
+            Step::Absent(name) => {
+                assert!(!self.folder.join(name).exists(), "{name} exists");
+            }
             Step::Start(arguments) => self.start(arguments),
             Step::WaitFor(text) => self.running().wait_for(text),
             Step::Interrupt => self.interrupt(),
             Step::ChildrenEnded(min_count) => self.expect_children_ended(*min_count),
-            Step::Record(requests) => self.record(*requests),
+            Step::RecordRequests(count) => self.record_requests(*count),
         }
     }
 }
 
 impl Drop for CommandScenario {
     fn drop(&mut self) {
-        // The command that is still running is ended before its folder goes.
+        // Kills a command that is still running before its folder is removed.
         self.running = None;
         let _ = fs::remove_dir_all(&self.folder);
     }
--- a/tool/tests/command_scenario/running_command.rs
+++ b/tool/tests/command_scenario/running_command.rs
@@ -1,4 +1,4 @@
-//! A command that is running, its output as far as it has come, and its child processes.
+//! A running command, the output it has printed so far, and its child processes.
 
 use super::{wait_until, CommandOutcome};
 use std::fs;
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::spawn;
 
-/// A started command; killed when it is dropped.
+/// A started command. It is killed when the value is dropped.
 pub(super) struct RunningCommand {
     child: Child,
     output: Arc<Mutex<String>>,
@@ -20,7 +20,7 @@
             .stderr(Stdio::null())
             .spawn()
             .expect("the command starts");
-        let stdout = child.stdout.take().expect("its output");
+        let stdout = child.stdout.take().expect("the standard output is piped");
         let output = Arc::new(Mutex::new(String::new()));
         let collected = output.clone();
         spawn(move || collect_output(stdout, &collected));
@@ -28,7 +28,7 @@
     }
 
     fn output(&self) -> String {
-        self.output.lock().expect("the output").clone()
+        self.output.lock().expect("the collected output").clone()
     }
 
     /// Waits until the output contains the text.
@@ -39,24 +39,29 @@
         );
     }
 
-    /// The processes that the command has started.
+    /// The ids of the command's child processes.
     pub(super) fn children(&self) -> Vec<u32> {
-        let entries = fs::read_dir("/proc").expect("the processes").flatten();
+        let entries = fs::read_dir("/proc").expect("/proc is readable").flatten();
         entries
             .filter_map(|entry| entry.file_name().to_str()?.parse().ok())
             .filter(|id| parent(*id) == Some(self.child.id()))
             .collect()
     }
 
-    /// Sends SIGINT to the command, and waits for its end.
+    /// Sends SIGINT to the command and waits for its end. The outcome holds the standard output only.
     pub(super) fn interrupt(&mut self) -> CommandOutcome {
         let id = self.child.id().to_string();
         let sent = Command::new("kill").args(["-INT", &id]).status();
-        assert!(sent.expect("kill runs").success());
+        assert!(sent.expect("kill runs").success(), "kill -INT {id} failed");
         let output = self.output.clone();
         let status = wait_until(
             || self.child.try_wait().expect("the command's state"),
-            || format!("it goes on: {}", output.lock().expect("the output")),
+            || {
+                format!(
+                    "the command did not end after SIGINT: {}",
+                    output.lock().expect("the collected output")
+                )
+            },
         );
         CommandOutcome {
             exit_code: status.code(),
@@ -76,14 +81,14 @@
     let mut bytes = [0; 4096];
     while let Ok(count @ 1..) = stdout.read(&mut bytes) {
         let text = String::from_utf8_lossy(&bytes[..count]);
-        output.lock().expect("the output").push_str(&text);
+        output.lock().expect("the collected output").push_str(&text);
     }
 }
 
-/// The parent of a process.
+/// The id of a process's parent; none if the process does not exist.
 fn parent(id: u32) -> Option<u32> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-    // The program's name may contain spaces and stands in parentheses; state and parent follow.
+    // The program name is in parentheses and may contain spaces; the state and the parent id follow it.
     let after_name = stat.rsplit(')').next()?;
     after_name.split_whitespace().nth(1)?.parse().ok()
 }
--- a/tool/tests/command_scenario/step.rs
+++ b/tool/tests/command_scenario/step.rs
@@ -5,43 +5,43 @@
 /// One step.
 #[derive(Debug)]
 pub(crate) enum Step {
-    /// Begins a file of this name.
+    /// Creates an empty file of this name.
     File(String),
-    /// A line of the file that was begun last.
+    /// Appends a line to the file created last.
     Line(String),
-    /// Copies an experiment of this name.
+    /// Copies the file of this name from `lab/experiments`.
     Experiment(String),
     /// Runs the command with these arguments to its end.
     Run(Vec<String>),
-    /// Expects the exit code.
+    /// Expects this exit code of the last command.
     Exit(i32),
-    /// Expects the text in the output or the errors.
+    /// Expects the text in the standard output or standard error of the last command.
     Prints(String),
-    /// Expects the text in neither.
-    Lacks(String),
+    /// Expects the text in neither of them.
+    DoesNotPrint(String),
     /// Expects a text in a file.
     Contains {
         /// The file's name.
         file: String,
-        /// The text.
+        /// The expected text.
         text: String,
     },
     /// Expects that there is no such file.
     Absent(String),
-    /// Starts the command with these arguments.
+    /// Starts the command with these arguments and leaves it running.
     Start(Vec<String>),
-    /// Waits until the output of the running command contains the text.
+    /// Waits until the standard output of the running command contains the text.
     WaitFor(String),
-    /// Interrupts the running command and waits for its end.
+    /// Sends SIGINT to the running command and waits for its end.
     Interrupt,
-    /// Expects that so many processes at least had been started, and that none is left.
+    /// Expects that the interrupted command had at least this number of child processes, and that none is left.
     ChildrenEnded(usize),
-    /// Sends so many requests through a recording proxy.
-    Record(usize),
+    /// Starts a recording proxy and sends this number of requests through it.
+    RecordRequests(usize),
 }
 
 impl Step {
-    /// Reads one line of a scenario. Texts keep the spaces that they begin with.
+    /// Parses one line of a scenario. Texts keep their leading spaces.
     pub(crate) fn parse(line: &str) -> Result<Step, StepError> {
         if let Some(content) = line.strip_prefix('|') {
             let content = content.strip_prefix(' ').unwrap_or(content);
@@ -51,7 +51,7 @@
         let mut arguments = Arguments::new(rest);
         let step = match word {
             "prints" => return Ok(Step::Prints(text(rest)?)),
-            "lacks" => return Ok(Step::Lacks(text(rest)?)),
+            "does_not_print" => return Ok(Step::DoesNotPrint(text(rest)?)),
             "wait_for" => return Ok(Step::WaitFor(text(rest)?)),
             "contains" => {
                 let (file, content) = rest.split_once(' ').ok_or(StepError::Missing("text"))?;
@@ -68,7 +68,7 @@
             "start" => Step::Start(arguments.words().map(str::to_string).collect()),
             "interrupt" => Step::Interrupt,
             "children_ended" => Step::ChildrenEnded(arguments.value("number of processes")?),
-            "record" => Step::Record(arguments.value("number of requests")?),
+            "record_requests" => Step::RecordRequests(arguments.value("number of requests")?),
             unknown => return Err(StepError::UnknownStep(unknown.to_string())),
         };
         arguments.end()?;
@@ -76,7 +76,7 @@
     }
 }
 
-/// A text that a step needs.
+/// The required text of a step; an error if it is empty.
 fn text(rest: &str) -> Result<String, StepError> {
     if rest.is_empty() {
         return Err(StepError::Missing("text"));
--- a/tool/tests/scenarios.rs
+++ b/tool/tests/scenarios.rs
@@ -1,19 +1,21 @@
-//! Runs every scenario in `tool/tests/scenarios` with the built command, each in an empty folder of its own. A scenario
-//! is a text file of steps, one a line:
+//! Runs every scenario in `tool/tests/scenarios` with the built command, each in its own empty folder. A scenario is a
+//! text file with one step per line; `#` begins a comment:
 //!
 //! ```text
-//! file run.toml            a file, of the lines that follow and begin with '|'
-//! experiment calm.toml     copies a file of lab/experiments
-//! run lab check run.toml   runs the command to its end
-//! exit 2                   its exit code
-//! prints TEXT              its output or its errors contain the text; 'lacks TEXT': neither does
-//! contains page.html TEXT  a file contains the text
-//! absent FILE              there is no such file
-//! start lab up             starts the command and leaves it running
-//! wait_for TEXT            waits until its output contains the text
-//! interrupt                Ctrl-C, as a terminal sends it to the command alone; waits for its end
-//! children_ended 3         of the processes that it had started, so many at least, none is left
-//! record 3                 sends so many requests through 'lab record' to a gateway that rejects them
+//! file run.toml              creates an empty file in the scenario's folder
+//! | title = "Title"          appends the text after '| ' as a line to the file created last
+//! experiment calm.toml       copies a file from lab/experiments
+//! run lab check run.toml     runs the command with these arguments to its end
+//! exit 2                     expects this exit code of the last command
+//! prints TEXT                expects the text in the standard output or standard error of the last command
+//! does_not_print TEXT        expects the text in neither of them
+//! contains page.html TEXT    expects the text in a file
+//! absent FILE                expects that there is no such file
+//! start lab up               starts the command with these arguments and leaves it running
+//! wait_for TEXT              waits until the standard output of the running command contains the text
+//! interrupt                  sends SIGINT to the running command, but not to its child processes, and waits for its end
+//! children_ended 3           expects that the interrupted command had at least 3 child processes and none is left
+//! record_requests 3          starts 'lab record' in front of a gateway that rejects every request, sends 3 requests
 //! ```
 
 mod command_scenario;
