--- a/tool/tests/soak.rs
+++ b/tool/tests/soak.rs
@@ -1,8 +1,10 @@
-//! A soak: runs drawn from seeds are played on loopback with the built command's edge nodes, and the rule checker judges
-//! them. Beside the run's faults the nodes' system calls fail, their reads and writes are short, they stall, and their
-//! wall clock is stepped. Clients use open connections until the earliest kill.
+//! Soak test: plays randomly drawn runs on loopback with the edge nodes of the built command and expects that the rule
+//! checker finds no broken rule. In addition to the faults of a run, system calls of the nodes fail, reads and writes
+//! are short, writes stall, and the wall clock is stepped. Clients keep using open connections to a stopping gateway
+//! until it closes them or is killed.
 //!
-//! `SOAK_SEEDS=1..60` plays those seeds in place of a few; `SOAK_LOGS=FOLDER` keeps what the nodes log.
+//! `SOAK_SEEDS=1..60` plays the seeds from 1 up to but not including 60 in place of the default ones.
+//! `SOAK_LOGS=FOLDER` keeps the logs of the nodes, in a folder for each seed.
 
 mod drawn_run;
 #[path = "../../fault-injection/src/injector.rs"]
@@ -22,31 +24,33 @@
 use wellcrank_lab::loopback::{self, GatewayProgram};
 use wellcrank_lab::metrics::Results;
 
-/// Seeds that are played in CI.
+/// The seeds that are played without `SOAK_SEEDS`, as in CI.
 const DEFAULT_SEEDS: Range<u64> = 1..21;
-/// So many runs are played at a time.
+/// Number of runs that are played at a time.
 const PARALLEL_RUNS: usize = 4;
-/// Where the laboratory itself was later than this, in milliseconds, a broken rule says nothing of the program.
+/// If the laboratory itself was later than this in a run, a broken rule may be due to the laboratory, not to the
+/// program.
 const MAX_LATENESS_MS: f64 = 100.0;
-/// A run on which the laboratory was late is played so often at the most, until it is one that says something.
+/// The largest number of times that the run of a seed is played while its result is inconclusive.
 const MAX_PLAYS: u32 = 3;
-/// The most broken rules that are printed of one run.
+/// The largest number of broken rules printed for one run.
 const MAX_PRINTED_VIOLATIONS: usize = 6;
 
-/// The pause between two system call failures, in milliseconds.
+/// The pause between two injected failures, in milliseconds.
 const FAILURE_PAUSE_MS: Range<u64> = 60..300;
-/// So many calls fail at a time.
+/// Number of successive calls that an injected failure makes fail.
 const FAILED_CALLS: Range<i64> = 1..4;
-/// The most bytes that a limited read or write moves.
-const SHORT_TRANSFER: Range<i64> = 1..90;
-/// Every so many failures one write stalls, for so many milliseconds.
+/// The largest number of bytes that a limited read or write transfers.
+const SHORT_TRANSFER_BYTES: Range<i64> = 1..90;
+/// Number of injected failures for each stalled write.
 const FAILURES_PER_STALL: u32 = 8;
+/// How long a stalled write takes, in milliseconds.
 const STALL_MS: i64 = 150;
-/// The wall clock is right for so many failures, then off for as many.
+/// Number of injected failures between two steps of the wall clock, away from the true time or back to it.
 const FAILURES_PER_CLOCK_STEP: u32 = 10;
 
-/// System calls and the errors with which they fail for a moment.
-const FAILURES: [(SystemCall, i32); 14] = [
+/// System calls that fail for a moment, with the error number.
+const SYSTEM_CALL_ERRORS: [(SystemCall, i32); 14] = [
     (SystemCall::Accept, libc::ECONNABORTED),
     (SystemCall::Accept, libc::EPROTO),
     (SystemCall::Accept, libc::ENFILE),
@@ -63,26 +67,31 @@
     (SystemCall::Write, libc::ENOBUFS),
 ];
 
-/// Has something fail every now and then, until the run is over.
-fn inject_failures(injector: &FaultInjector, seed: u64, clock_step: i64, is_over: &AtomicBool) {
+/// Injects failures in the nodes at random intervals until the run is over.
+fn inject_failures(
+    injector: &FaultInjector,
+    seed: u64,
+    clock_step_seconds: i64,
+    is_over: &AtomicBool,
+) {
     let mut rng = WyRand::new_seed(!seed);
     let mut failures = 0;
     while !is_over.load(Ordering::Relaxed) {
         sleep(Duration::from_millis(rng.generate_range(FAILURE_PAUSE_MS)));
         failures += 1;
-        let (call, error) = FAILURES[rng.generate_range(0..FAILURES.len())];
+        let (call, error) = SYSTEM_CALL_ERRORS[rng.generate_range(0..SYSTEM_CALL_ERRORS.len())];
         injector.fail_calls(call, error, rng.generate_range(FAILED_CALLS));
         let is_limited = rng.generate_range(0..3u32) == 0;
         injector.limit_transfers(if is_limited {
-            rng.generate_range(SHORT_TRANSFER)
+            rng.generate_range(SHORT_TRANSFER_BYTES)
         } else {
             0
         });
         let stalls = failures % FAILURES_PER_STALL == 0;
         injector.stall_writes(STALL_MS, i64::from(stalls));
-        // There and back, and there again: a node that is started anew goes on under another clock.
+        // The clock is stepped back and forth, so a restarted node may start under another wall clock.
         let is_stepped = failures / FAILURES_PER_CLOCK_STEP % 2 == 1;
-        injector.step_wall_clock(if is_stepped { clock_step } else { 0 });
+        injector.step_wall_clock(if is_stepped { clock_step_seconds } else { 0 });
     }
 }
 
@@ -102,15 +111,15 @@
     };
     let is_over = AtomicBool::new(false);
     scope(|threads| {
-        threads.spawn(|| inject_failures(&injector, seed, run.clock_step, &is_over));
+        threads.spawn(|| inject_failures(&injector, seed, run.clock_step_seconds, &is_over));
         let results = loopback::play(&run.experiment, &Variant::default(), seed, options);
         is_over.store(true, Ordering::Relaxed);
         results
     })
 }
 
-/// What is wrong with the results of a run, if anything.
-fn complaint(results: &Results) -> Option<String> {
+/// Describes broken rules, crashes and unanswered misbehaving clients in the results of a run; none if there are none.
+fn describe_problems(results: &Results) -> Option<String> {
     let clients = results.misbehaving_clients;
     if results.sound() && clients.unanswered == 0 {
         return None;
@@ -125,10 +134,11 @@
     ))
 }
 
-/// Plays the run of a seed; what is wrong, if anything. A run with broken rules on which the laboratory was late says
-/// nothing of the program, and is played again; on a machine that is never in time it counts as it is. A misbehaving
-/// client that got no answer counts at once.
-fn failure(seed: u64) -> Option<String> {
+/// Plays the run of a seed and describes its problems; none if there are none. A run with broken rules or crashes in
+/// which the laboratory was late is inconclusive and is played again; the last of [`MAX_PLAYS`] plays counts in any
+/// case, so the test also ends on a machine that is always late. If the only problem is a misbehaving client that got
+/// no answer, it counts at once.
+fn play_until_conclusive(seed: u64) -> Option<String> {
     let mut plays = 0;
     loop {
         plays += 1;
@@ -136,17 +146,21 @@
             Ok(results) => results,
             Err(error) => return Some(format!("seed {seed}: not played: {}", ErrorChain(&error))),
         };
-        let complaint = complaint(&results)?;
+        let problems = describe_problems(&results)?;
         let was_late = results.lateness.worst_ms > MAX_LATENESS_MS;
-        let says_nothing = was_late && !results.sound();
-        if !says_nothing || plays == MAX_PLAYS {
-            return Some(format!("seed {seed}: {complaint}"));
+        let is_inconclusive = was_late && !results.sound();
+        if !is_inconclusive || plays == MAX_PLAYS {
+            return Some(format!("seed {seed}: {problems}"));
         }
-        println!("seed {seed}: the laboratory was late, the run is played again");
+        println!(
+            "seed {seed}: the laboratory was {:.1} ms late, expected at most {MAX_LATENESS_MS} ms; \
+             playing the run again",
+            results.lateness.worst_ms
+        );
     }
 }
 
-/// The seeds that the environment names, or the default ones.
+/// The seeds in `SOAK_SEEDS`, or the default ones; panics if `SOAK_SEEDS` is not a range of numbers.
 fn seeds() -> Range<u64> {
     let Ok(text) = std::env::var("SOAK_SEEDS") else {
         return DEFAULT_SEEDS;
@@ -154,13 +168,16 @@
     let bounds = text
         .split_once("..")
         .and_then(|(first, end)| Some(first.parse().ok()?..end.parse().ok()?));
-    bounds.unwrap_or_else(|| panic!("SOAK_SEEDS is {text:?}, expected such as 1..60"))
+    bounds.unwrap_or_else(|| panic!("SOAK_SEEDS is {text:?}, expected a range such as 1..60"))
 }
 
 #[test]
 fn no_rule_is_broken_while_system_calls_fail() {
     let seeds = seeds();
-    assert!(!seeds.is_empty(), "no seed to play");
+    assert!(
+        !seeds.is_empty(),
+        "SOAK_SEEDS is the empty range {seeds:?}, expected at least one seed"
+    );
     let next_seed = AtomicU64::new(seeds.start);
     let failures = Mutex::new(Vec::new());
     scope(|threads| {
@@ -170,7 +187,7 @@
                 if seed >= seeds.end {
                     return;
                 }
-                let failure = failure(seed);
+                let failure = play_until_conclusive(seed);
                 failures.lock().unwrap().extend(failure);
             });
         }
