--- a/tool/src/lab/common.rs
+++ b/tool/src/lab/common.rs
@@ -21,8 +21,8 @@
     Ok(Experiment::load(&path.to_string_lossy())?)
 }
 
-/// The edge node program to run: the one at `edge_path`, or the one built into this command. Fails if `edge_path` is not
-/// a file.
+/// The edge node program to run: the one at `edge_path`, or the one built into this command. Fails if `edge_path` is
+/// not a file.
 pub(super) fn gateway_program(edge_path: Option<&Path>) -> Result<GatewayProgram, CommandError> {
     if let Some(path) = edge_path {
         if !path.is_file() {
--- a/tool/src/lab/compare.rs
+++ b/tool/src/lab/compare.rs
@@ -16,8 +16,8 @@
     /// Files or folders of results, which are compared as one set.
     #[arg(required = true)]
     results: Vec<PathBuf>,
-    /// The largest accepted drop of the net figure from the first variant. Exits with code 1 if the whole 95% interval of
-    /// a variant's drop is above it.
+    /// The largest accepted drop of the net figure from the first variant. Exits with code 1 if the whole 95%
+    /// interval of a variant's drop is above it.
     #[arg(long, alias = "most-drop", allow_negative_numbers = true)]
     max_net_drop: Option<f64>,
 }
--- a/tool/src/lab/up.rs
+++ b/tool/src/lab/up.rs
@@ -21,8 +21,8 @@
 /// Arguments of `lab up`.
 #[derive(Args)]
 pub(crate) struct UpArgs {
-    /// Experiment file, of which the first variant is played. Without a file, an experiment with default values is played
-    /// for an hour.
+    /// Experiment file, of which the first variant is played. Without a file, an experiment with default values is
+    /// played for an hour.
     file: Option<PathBuf>,
     /// Number of gateways. Each gateway is a process.
     #[arg(long)]
--- a/tool/src/main.rs
+++ b/tool/src/main.rs
@@ -1,5 +1,5 @@
-//! `wellcrank`: the operators' command. Exit codes: 0 success, 1 an expectation was not met (a rule was broken, a gateway
-//! crashed or a figure was below its limit), 2 invalid input or another error. `edge` exits with 1 if it fails.
+//! `wellcrank`: the operators' command. Exit codes: 0 success, 1 an expectation was not met (a rule was broken, a
+//! gateway crashed or a figure was below its limit), 2 invalid input or another error. `edge` exits with 1 if it fails.
 
 mod error;
 mod lab;
@@ -20,9 +20,9 @@
     max_term_width = 100
 )]
 #[command(
-    after_help = "Exit codes: 0 success; 1 an expectation was not met: a rule was broken, a gateway crashed or a \
-                        figure was below its limit; 2 invalid input or another error. The command 'edge' exits with 1 if \
-                        it fails."
+    after_help = "Exit codes: 0 success; 1 an expectation was not met: a rule was broken, a gateway crashed or \
+                  a figure was below its limit; 2 invalid input or another error. The command 'edge' exits with 1 \
+                  if it fails."
 )]
 struct CommandLine {
     /// Format of log lines on standard error.
--- a/tool/tests/command_scenario/recording.rs
+++ b/tool/tests/command_scenario/recording.rs
@@ -52,8 +52,8 @@
     listener.local_addr().expect("an address")
 }
 
-/// Rejects each request after the whole request has arrived, as a gateway does. An earlier response would let the client
-/// continue before the proxy has seen the end of the request.
+/// Rejects each request after the whole request has arrived, as a gateway does. An earlier response would let the
+/// client continue before the proxy has seen the end of the request.
 fn reject_requests(mut connection: TcpStream) -> io::Result<()> {
     let mut lines = BufReader::new(connection.try_clone()?).lines();
     loop {
--- a/tool/tests/scenarios.rs
+++ b/tool/tests/scenarios.rs
@@ -13,7 +13,7 @@
 //! absent FILE                expects that there is no such file
 //! start lab up               starts the command with these arguments and leaves it running
 //! wait_for TEXT              waits until the standard output of the running command contains the text
-//! interrupt                  sends SIGINT to the running command, but not to its child processes, and waits for its end
+//! interrupt                  sends SIGINT to the running command, not to its child processes, and waits for its end
 //! children_ended 3           expects that the interrupted command had at least 3 child processes and none is left
 //! record_requests 3          starts 'lab record' in front of a gateway that rejects every request, sends 3 requests
 //! ```
