--- a/edge/src/client.rs
+++ b/edge/src/client.rs
@@ -255,9 +255,9 @@
                 self.has_sent_request = true;
                 "+PONG\r\n"
             }
-            b"PING" => "-ERR no server list yet\r\n",
+            b"PING" => "-ERR gateway not ready: no endpoint list received from discovery yet\r\n",
             b"CLIENT" | b"SELECT" => "+OK\r\n",
-            _ => "-ERR unknown command\r\n",
+            _ => "-ERR unknown command: expected SVC.QUERY, SVC.SUBMIT, PING, CLIENT or SELECT\r\n",
         }
     }
 
--- a/edge/src/requests/command.rs
+++ b/edge/src/requests/command.rs
@@ -4,7 +4,9 @@
 //! The words are the command's name, the customer, the client's id for the request, the parameters (see
 //! [`super::parameters`]) and, except for a query, a body.
 
-use super::parameters::{Parameters, TIMEOUT};
+use super::parameters::{
+    Parameters, MAX_LIST_BYTES, MAX_NUMBER_LENGTH, MAX_TIMEOUT_MS, MIN_POSITIVE_NUMBER, TIMEOUT,
+};
 use super::OpenRequests;
 use crate::resp::{self, Words};
 use std::time::Duration;
@@ -34,50 +36,87 @@
 /// The maximum number of units of a request if the settings state none.
 const DEFAULT_MAX_UNITS: f64 = 1e6;
 
-/// Why a command for a request is invalid. The texts are part of the protocol: clients receive them in error lines.
+/// Why a command for a request is invalid. Clients receive the text as the explanation in an error line. It holds
+/// nothing of the client's input.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub(crate) enum InvalidCommand {
     /// The command does not have `QUERY_WORDS` or `SUBMIT_WORDS` words.
-    #[error("wrong number of words")]
+    #[error(
+        "wrong number of words: expected {} for SVC.QUERY or {} for SVC.SUBMIT",
+        QUERY_WORDS,
+        SUBMIT_WORDS
+    )]
     WordCount,
     /// The customer is not 16 hex digits, or its number has more than `CUSTOMER_BITS` bits.
-    #[error("no customer")]
+    #[error(
+        "invalid customer: expected 16 hex digits of a number below 2^{}",
+        CUSTOMER_BITS
+    )]
     Customer,
     /// The id is not 16 hex digits.
-    #[error("no id")]
+    #[error("invalid request id: expected 16 hex digits")]
     Id,
     /// An open request has the same id.
-    #[error("the id of an open call")]
+    #[error("request id already in use: expected an id that no open request has")]
     IdInUse,
     /// The list of parameters is too long or holds characters other than visible ASCII.
-    #[error("an unreadable list")]
+    #[error(
+        "invalid parameter list: expected at most {} bytes of visible ASCII characters",
+        MAX_LIST_BYTES
+    )]
     UnreadableParameters,
-    /// An item of the list has no `=`.
-    #[error("not a list of names and values")]
+    /// An item of the list has no `=`, or the list is not UTF-8.
+    #[error("invalid parameter list: expected pairs of the form name=value, separated by commas")]
     ParameterWithoutValue,
     /// A parameter is given twice.
-    #[error("a name twice")]
+    #[error("duplicate parameter: expected each name at most once")]
     DuplicateParameter,
-    /// A number is not in plain decimal digits, or out of its range.
-    #[error("a wrong number")]
-    InvalidNumber,
+    /// The timeout is not in plain decimal digits, or out of its range.
+    #[error(
+        "invalid parameter d: expected a timeout from {} to {} ms, as a plain decimal of at most {} characters",
+        MIN_POSITIVE_NUMBER,
+        MAX_TIMEOUT_MS,
+        MAX_NUMBER_LENGTH
+    )]
+    InvalidTimeout,
+    /// The number of units is not in plain decimal digits, or out of its range.
+    #[error(
+        "invalid parameter units: expected a plain decimal of at most {} characters from {} to the gateway's maximum",
+        MAX_NUMBER_LENGTH,
+        MIN_POSITIVE_NUMBER
+    )]
+    InvalidUnits,
+    /// The index of the first gateway is not in plain decimal digits, or out of its range.
+    #[error(
+        "invalid parameter first: expected a whole number below the number of gateways, in at most {} digits",
+        MAX_NUMBER_LENGTH
+    )]
+    InvalidFirstGateway,
+    /// The count of gateways is not in plain decimal digits, or out of its range.
+    #[error(
+        "invalid parameter spread: expected a whole number from 1 to the number of gateways, in at most {} digits",
+        MAX_NUMBER_LENGTH
+    )]
+    InvalidGatewayCount,
     /// The settings have no route of this name.
-    #[error("no such route")]
+    #[error("unknown route: expected parameter c to name a route of the gateway's settings")]
     UnknownRoute,
     /// A query for a route that is not idempotent, or a submit for one that is.
-    #[error("not the command for this route")]
+    #[error(
+        "wrong command for this route: expected SVC.QUERY if it is idempotent, otherwise SVC.SUBMIT"
+    )]
     WrongCommandForRoute,
     /// The route needs an idempotency key and the command has none.
-    #[error("no key")]
+    #[error("missing idempotency key: expected a non-empty parameter k for this route")]
     MissingIdempotencyKey,
     /// The settings have no plan of this name.
-    #[error("no such plan")]
+    #[error("unknown plan: expected parameter t to name a plan of the gateway's settings")]
     UnknownPlan,
     /// The command states no timeout.
-    #[error("no time to answer")]
+    #[error("missing timeout: expected parameter d in milliseconds")]
     MissingTimeout,
-    /// The number of the first gateway or the count of gateways is not a whole number.
-    #[error("no set of gateways")]
+    /// The index of the first gateway or the count of gateways is not a whole number.
+    #[error("fractional parameter: expected first and spread to be whole numbers")]
     FractionalGatewaySet,
 }
 
--- a/edge/src/requests/command/tests.rs
+++ b/edge/src/requests/command/tests.rs
@@ -5,6 +5,30 @@
 const CUSTOMER: &str = "000000000000000a";
 const ID: &str = "00000000000000ff";
 
+// The expected error texts of invalid commands.
+const WORD_COUNT_TEXT: &str = "wrong number of words: expected 4 for SVC.QUERY or 5 for SVC.SUBMIT";
+const CUSTOMER_TEXT: &str = "invalid customer: expected 16 hex digits of a number below 2^33";
+const LIST_CHARACTERS_TEXT: &str =
+    "invalid parameter list: expected at most 1024 bytes of visible ASCII characters";
+const LIST_FORM_TEXT: &str =
+    "invalid parameter list: expected pairs of the form name=value, separated by commas";
+const TIMEOUT_TEXT: &str =
+    "invalid parameter d: expected a timeout from 0.001 to 600000 ms, as a plain decimal of at most 16 characters";
+const UNITS_TEXT: &str =
+    "invalid parameter units: expected a plain decimal of at most 16 characters from 0.001 to the gateway's maximum";
+const FIRST_GATEWAY_TEXT: &str =
+    "invalid parameter first: expected a whole number below the number of gateways, in at most 16 digits";
+const GATEWAY_COUNT_TEXT: &str =
+    "invalid parameter spread: expected a whole number from 1 to the number of gateways, in at most 16 digits";
+const UNKNOWN_ROUTE_TEXT: &str =
+    "unknown route: expected parameter c to name a route of the gateway's settings";
+const ROUTE_COMMAND_TEXT: &str =
+    "wrong command for this route: expected SVC.QUERY if it is idempotent, otherwise SVC.SUBMIT";
+const IDEMPOTENCY_KEY_TEXT: &str =
+    "missing idempotency key: expected a non-empty parameter k for this route";
+const UNKNOWN_PLAN_TEXT: &str =
+    "unknown plan: expected parameter t to name a plan of the gateway's settings";
+
 fn settings() -> Settings {
     wellcrank_settings::decode(&json!({
         "balancers": 4,
@@ -55,19 +79,19 @@
 #[test]
 fn a_command_without_the_words_of_a_request_is_refused_with_what_is_missing() {
     let cases = [
-        (parse(&["SVC.QUERY", CUSTOMER, ID]), "wrong number of words"),
+        (parse(&["SVC.QUERY", CUSTOMER, ID]), WORD_COUNT_TEXT),
         (
             parse(&["SVC.SUBMIT", CUSTOMER, ID, "c=stamp"]),
-            "wrong number of words",
+            WORD_COUNT_TEXT,
         ),
-        (parse(&["SVC.QUERY", "a", ID, "c=read"]), "no customer"),
+        (parse(&["SVC.QUERY", "a", ID, "c=read"]), CUSTOMER_TEXT),
         (
             parse(&["SVC.QUERY", "f00000000000000a", ID, "c=read"]),
-            "no customer",
+            CUSTOMER_TEXT,
         ),
         (
             parse(&["SVC.QUERY", CUSTOMER, "+0000000000000ff", "c=read"]),
-            "no id",
+            "invalid request id: expected 16 hex digits",
         ),
     ];
     assert_refused(&cases);
@@ -77,30 +101,33 @@
 fn invalid_parameters_are_refused_with_what_is_wrong() {
     let too_long = format!("c=read,t=basic,d=1,x={}", "y".repeat(1024));
     let cases = [
-        (query("c=read, t=basic"), "an unreadable list"),
-        (query(&too_long), "an unreadable list"),
-        (query(""), "not a list of names and values"),
-        (query("c=read,t"), "not a list of names and values"),
-        (query("c=read,c=order"), "a name twice"),
-        (query("c=read,t=basic,d=0"), "a wrong number"),
-        (query("c=read,t=basic,d=600001"), "a wrong number"),
-        (query("c=read,t=basic,d=1e3"), "a wrong number"),
-        (query("c=read,t=basic,d=1,units=0"), "a wrong number"),
-        (query("c=read,t=basic,d=1,first=4"), "a wrong number"),
-        (query("c=read,t=basic,d=1,spread=5"), "a wrong number"),
-        (query("c=none,t=basic,d=1"), "no such route"),
+        (query("c=read, t=basic"), LIST_CHARACTERS_TEXT),
+        (query(&too_long), LIST_CHARACTERS_TEXT),
+        (query(""), LIST_FORM_TEXT),
+        (query("c=read,t"), LIST_FORM_TEXT),
+        (
+            query("c=read,c=order"),
+            "duplicate parameter: expected each name at most once",
+        ),
+        (query("c=read,t=basic,d=0"), TIMEOUT_TEXT),
+        (query("c=read,t=basic,d=600001"), TIMEOUT_TEXT),
+        (query("c=read,t=basic,d=1e3"), TIMEOUT_TEXT),
+        (query("c=read,t=basic,d=1,units=0"), UNITS_TEXT),
+        (query("c=read,t=basic,d=1,first=4"), FIRST_GATEWAY_TEXT),
+        (query("c=read,t=basic,d=1,spread=5"), GATEWAY_COUNT_TEXT),
+        (query("c=none,t=basic,d=1"), UNKNOWN_ROUTE_TEXT),
+        (query("c=order,t=basic,d=1"), ROUTE_COMMAND_TEXT),
+        (submit("c=read,t=basic,d=1"), ROUTE_COMMAND_TEXT),
+        (submit("c=order,t=basic,d=1"), IDEMPOTENCY_KEY_TEXT),
+        (query("c=read,t=none,d=1"), UNKNOWN_PLAN_TEXT),
         (
-            query("c=order,t=basic,d=1"),
-            "not the command for this route",
+            query("c=read,t=basic"),
+            "missing timeout: expected parameter d in milliseconds",
         ),
         (
-            submit("c=read,t=basic,d=1"),
-            "not the command for this route",
+            query("c=read,t=basic,d=1,first=0.5"),
+            "fractional parameter: expected first and spread to be whole numbers",
         ),
-        (submit("c=order,t=basic,d=1"), "no key"),
-        (query("c=read,t=none,d=1"), "no such plan"),
-        (query("c=read,t=basic"), "no time to answer"),
-        (query("c=read,t=basic,d=1,first=0.5"), "no set of gateways"),
     ];
     assert_refused(&cases);
 }
--- a/edge/src/requests/parameters.rs
+++ b/edge/src/requests/parameters.rs
@@ -13,17 +13,17 @@
 const GATEWAY_COUNT: &str = "spread";
 
 /// The maximum length of a list, in bytes.
-const MAX_LIST_BYTES: usize = 1024;
+pub(super) const MAX_LIST_BYTES: usize = 1024;
 
 /// The maximum length of a number in characters, including a decimal point.
-const MAX_NUMBER_LENGTH: usize = 16;
+pub(super) const MAX_NUMBER_LENGTH: usize = 16;
 
 /// The longest timeout that a client may state, in milliseconds. It bounds how long the gateway keeps the state of a
 /// request that nothing else ends.
-const MAX_TIMEOUT_MS: f64 = 600_000.0;
+pub(super) const MAX_TIMEOUT_MS: f64 = 600_000.0;
 
 /// The lower bound of timeouts, in milliseconds, and of units: both must be above zero.
-const MIN_POSITIVE_NUMBER: f64 = 1e-3;
+pub(super) const MIN_POSITIVE_NUMBER: f64 = 1e-3;
 
 /// The parameters in a list, with defaults for those that it leaves out. Numbers that are given are within their
 /// ranges.
@@ -86,20 +86,31 @@
             ROUTE => self.route = value,
             PLAN => self.plan = value,
             IDEMPOTENCY_KEY => self.idempotency_key = value,
-            TIMEOUT => self.timeout_ms = parse_within(value, MIN_POSITIVE_NUMBER, MAX_TIMEOUT_MS)?,
+            TIMEOUT => {
+                self.timeout_ms = parse_within(value, MIN_POSITIVE_NUMBER, MAX_TIMEOUT_MS)
+                    .ok_or(InvalidCommand::InvalidTimeout)?;
+            }
             UNITS => {
-                self.units = parse_within(value, MIN_POSITIVE_NUMBER, max_request_units(settings))?;
+                self.units = parse_within(value, MIN_POSITIVE_NUMBER, max_request_units(settings))
+                    .ok_or(InvalidCommand::InvalidUnits)?;
+            }
+            FIRST_GATEWAY => {
+                self.first_gateway = parse_within(value, 0.0, total_gateways - 1.0)
+                    .ok_or(InvalidCommand::InvalidFirstGateway)?;
+            }
+            GATEWAY_COUNT => {
+                self.gateway_count = parse_within(value, 1.0, total_gateways)
+                    .ok_or(InvalidCommand::InvalidGatewayCount)?;
             }
-            FIRST_GATEWAY => self.first_gateway = parse_within(value, 0.0, total_gateways - 1.0)?,
-            GATEWAY_COUNT => self.gateway_count = parse_within(value, 1.0, total_gateways)?,
             _ => (),
         }
         Ok(())
     }
 }
 
-/// Parses a number in plain decimal digits, without a sign or an exponent, from `min` to `max`.
-fn parse_within(value: &str, min: f64, max: f64) -> Result<f64, InvalidCommand> {
+/// Parses a number in plain decimal digits, without a sign or an exponent, from `min` to `max`. Returns `None`
+/// for any other text.
+fn parse_within(value: &str, min: f64, max: f64) -> Option<f64> {
     let is_plain = value.len() <= MAX_NUMBER_LENGTH
         && value
             .bytes()
@@ -108,5 +119,4 @@
         .parse()
         .ok()
         .filter(|number: &f64| is_plain && (min..=max).contains(number))
-        .ok_or(InvalidCommand::InvalidNumber)
 }
--- a/edge/src/resp.rs
+++ b/edge/src/resp.rs
@@ -1,6 +1,7 @@
 //! The wire protocol RESP2. Parses one command of a client or one reply of an endpoint from the front of a buffer, and
 //! writes arrays and bulk strings.
 
+use crate::client::MAX_IDLE;
 use std::io::Write;
 use std::ops::Range;
 use thiserror::Error;
@@ -17,46 +18,55 @@
 /// The maximum size of one message, in bytes: room for its words, one of which is a body or a value.
 pub(crate) const MAX_MESSAGE_BYTES: usize = MAX_VALUE_BYTES + MAX_WORDS * MAX_LINE_BYTES;
 
-/// Why bytes are not a message that is accepted. The texts of errors in commands are part of the protocol: clients
-/// receive them in error lines.
+/// Why bytes are not a message that is accepted. Clients receive the text of an error in a command as the explanation
+/// in an error line. It holds nothing of the client's input.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Error)]
 pub(crate) enum ProtocolError {
     /// A line ends with LF without CR.
-    #[error("a line without CRLF")]
+    #[error("line ends with LF alone: expected CRLF")]
     LineWithoutCrlf,
     /// A line exceeds `MAX_LINE_BYTES`.
-    #[error("too long a line")]
+    #[error(
+        "line too long: expected at most {} bytes including CRLF",
+        MAX_LINE_BYTES
+    )]
     LineTooLong,
     /// The length of an array or of a bulk string is not a number, or exceeds its maximum.
-    #[error("not a length")]
+    #[error(
+        "invalid length: expected a whole number, at most {} for an array or {} for a bulk string",
+        MAX_WORDS,
+        MAX_VALUE_BYTES
+    )]
     InvalidLength,
     /// An element of an array is not a bulk string.
-    #[error("expected '$'")]
+    #[error("array element is not a bulk string: expected '$' as its first byte")]
     ExpectedBulkString,
     /// A command is not an array.
-    #[error("expected '*'")]
+    #[error("command is not an array: expected '*' as its first byte")]
     ExpectedArray,
     /// A bulk string is not followed by CRLF.
-    #[error("a value without CRLF")]
+    #[error(
+        "bulk string of another length than stated: expected CRLF after the stated number of bytes"
+    )]
     ValueWithoutCrlf,
     /// A word of a command is the null bulk string.
-    #[error("a null in a command")]
+    #[error("null bulk string in a command: expected a length of at least 0")]
     NullInCommand,
     /// A command exceeds `MAX_MESSAGE_BYTES`.
-    #[error("too long a command")]
+    #[error("command too long: expected at most {} bytes", MAX_MESSAGE_BYTES)]
     CommandTooLong,
-    /// The rest of an incomplete command has not arrived in time.
-    #[error("too slow a command")]
+    /// The rest of an incomplete command has not arrived within `MAX_IDLE`.
+    #[error("incomplete command: expected its remaining bytes within {} s", MAX_IDLE.as_secs())]
     CommandTooSlow,
-    #[error("the error line is not UTF-8")]
+    #[error("error line is not valid text: expected UTF-8")]
     ErrorNotUtf8,
-    #[error("the error line does not begin with an upper-case code")]
+    #[error("error line without a code: expected a first word of upper-case ASCII letters")]
     ErrorWithoutCode,
-    #[error("the reply does not have three parts")]
+    #[error("wrong number of parts in the reply: expected 3 (value, usage and load)")]
     ReplyPartCount,
-    #[error("the value of the reply is null")]
+    #[error("null value in the reply: expected a bulk string")]
     ReplyWithoutValue,
-    #[error("the reply is neither an error line nor an array")]
+    #[error("reply is neither an error line nor an array: expected '-' or '*' as its first byte")]
     NotAReply,
 }
 
