--- a/lab/src/capacity.rs
+++ b/lab/src/capacity.rs
@@ -90,7 +90,7 @@
         on_step: &mut dyn FnMut(&Step),
     ) -> Result<bool, LabError> {
         for _ in 0..MAX_RUNS_PER_RATE {
-            let results = runs::play_one(&self.experiment(rate), &Variant::default(), 1, options)?;
+            let results = runs::run_one(&self.experiment(rate), &Variant::default(), 1, options)?;
             let totals = &results.totals;
             let served = totals.succeeded as f64 >= totals.requests as f64 * MIN_SERVED_SHARE;
             let in_time = results.succeeded_ms.p99 <= self.p99_ms;
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -105,6 +105,6 @@
     );
     let mut run = LoopbackRun::new(world, variant, seed, &options)?;
     run.start_gateways()?;
-    run.execute(options.on_second.as_deref_mut())?;
+    run.run_to_end(options.on_second.as_deref_mut())?;
     run.into_results(&experiment.title, &variant.name, seed)
 }
--- a/lab/src/loopback/run.rs
+++ b/lab/src/loopback/run.rs
@@ -160,8 +160,11 @@
         Ok(())
     }
 
-    /// Executes the run until its end, or until a signal stops it.
-    pub(super) fn execute(&mut self, mut on_second: Option<&mut OnSecond>) -> Result<(), LabError> {
+    /// Processes the events of the run until its end, or until a signal stops it.
+    pub(super) fn run_to_end(
+        &mut self,
+        mut on_second: Option<&mut OnSecond>,
+    ) -> Result<(), LabError> {
         let mut events = Events::with_capacity(EVENT_BATCH_SIZE);
         while !self.is_stopped {
             self.now = self.clock.now();
--- a/lab/src/runs.rs
+++ b/lab/src/runs.rs
@@ -22,7 +22,7 @@
     pub engine: Option<Engine>,
     /// Replaces the seeds of the experiment.
     pub seeds: Option<Vec<u64>>,
-    /// Number of runs that are executed at a time; 0 counts as 1.
+    /// Number of runs at a time; 0 counts as 1.
     pub jobs: usize,
     /// The gateway program for the loopback engine, for variants that name none.
     pub gateway_program: loopback::GatewayProgram,
@@ -75,8 +75,8 @@
     Ok(())
 }
 
-/// Executes one run of a variant with a seed.
-pub fn play_one(
+/// Runs a variant with a seed.
+pub fn run_one(
     experiment: &Experiment,
     variant: &Variant,
     seed: u64,
@@ -92,13 +92,13 @@
             };
             simulated::run_experiment(experiment, variant, seed, &simulated_options)
         }
-        Engine::Loopback => play_on_loopback(experiment, variant, seed, options, &replay),
+        Engine::Loopback => run_on_loopback(experiment, variant, seed, options, &replay),
     }
 }
 
-/// Executes a run with the loopback engine, and repeats it if the laboratory itself was too late. If it was too late
-/// in every repetition, the results are those with the smallest worst lateness, whatever their figures are.
-fn play_on_loopback(
+/// Runs a variant with the loopback engine, and repeats the run if the laboratory itself was too late. If it was too
+/// late in every repetition, the results are those with the smallest worst lateness, whatever their figures are.
+fn run_on_loopback(
     experiment: &Experiment,
     variant: &Variant,
     seed: u64,
@@ -106,7 +106,7 @@
     replay: &[RecordedRequest],
 ) -> Result<Results, LabError> {
     let run_name = format!("{}-{seed}", variant.name);
-    let play = || {
+    let run_once = || {
         let loopback_options = loopback::RunOptions {
             gateway_program: options.gateway_program.clone(),
             replay: replay.to_vec(),
@@ -115,12 +115,12 @@
         };
         loopback::run_experiment(experiment, variant, seed, loopback_options)
     };
-    let mut results = play()?;
+    let mut results = run_once()?;
     for _ in 0..options.max_reruns {
         if !results.lateness.excessive {
             break;
         }
-        let rerun = play()?;
+        let rerun = run_once()?;
         if is_less_late(&rerun.lateness, &results.lateness) {
             results = rerun;
         }
@@ -137,9 +137,9 @@
     one.worst_ms < other.worst_ms
 }
 
-/// Executes all variants with all seeds. The results are in the order of variants and seeds, whichever run ends first.
-/// `on_result` is called with each result as its run ends. No further run is started after one that failed to execute.
-pub fn play_all(
+/// Runs all variants with all seeds. The results are in the order of variants and seeds, whichever run ends first.
+/// `on_result` is called with each result as its run ends. No further run is started after one that returned an error.
+pub fn run_all(
     experiment: &Experiment,
     options: &RunnerOptions,
     on_result: &(dyn Fn(&Result<Results, LabError>) + Sync),
@@ -152,9 +152,9 @@
         .collect();
     let next_run = AtomicUsize::new(0);
     let finished = Mutex::new(Vec::new());
-    let play_remaining = || {
+    let run_remaining = || {
         while let Some((index, (variant, seed))) = take_next(&runs, &next_run) {
-            let result = play_one(experiment, variant, *seed, options);
+            let result = run_one(experiment, variant, *seed, options);
             on_result(&result);
             if result.is_err() {
                 next_run.store(runs.len(), Ordering::SeqCst);
@@ -165,7 +165,7 @@
     };
     thread::scope(|scope| {
         for _ in 0..options.jobs.clamp(1, runs.len().max(1)) {
-            scope.spawn(play_remaining);
+            scope.spawn(run_remaining);
         }
     });
     let mut results = finished
--- a/lab/src/simulated/mod.rs
+++ b/lab/src/simulated/mod.rs
@@ -60,6 +60,6 @@
         replay,
     );
     let mut run = SimulatedRun::new(world, engine, variant, seed, options.defect);
-    run.execute()?;
+    run.run_to_end()?;
     Ok(run.into_results(&experiment.title, &variant.name, seed))
 }
--- a/lab/src/simulated/run.rs
+++ b/lab/src/simulated/run.rs
@@ -89,8 +89,8 @@
         self.world.results("simulated", title, variant, seed)
     }
 
-    /// Executes the run from its start to its end.
-    pub(super) fn execute(&mut self) -> Result<(), LabError> {
+    /// Processes the events of the run from its start to its end.
+    pub(super) fn run_to_end(&mut self) -> Result<(), LabError> {
         self.world.begin_run();
         for gateway in 0..self.gateways.len() {
             self.start_gateway(gateway)?;
--- a/lab/src/validate.rs
+++ b/lab/src/validate.rs
@@ -86,8 +86,8 @@
     let model_seeds = seeds.model.max(MIN_MODEL_SEEDS);
     let model_options = engine_options(options, Engine::Simulated, model_seeds);
     let loopback_options = engine_options(options, Engine::Loopback, seeds.loopback);
-    let model = runs::play_all(experiment, &model_options, on_run)?;
-    let loopback = runs::play_all(experiment, &loopback_options, on_run)?;
+    let model = runs::run_all(experiment, &model_options, on_run)?;
+    let loopback = runs::run_all(experiment, &loopback_options, on_run)?;
     let variants = experiment.variants_or_default();
     let base = &variants[0].name;
     let mut trials = Vec::new();
--- a/lab/tests/lab_scenario/mod.rs
+++ b/lab/tests/lab_scenario/mod.rs
@@ -17,7 +17,7 @@
 const MAX_SHOWN_VIOLATIONS: usize = 5;
 
 /// A finished run with its results.
-struct PlayedRun {
+struct FinishedRun {
     run: Run,
     results: Results,
 }
@@ -26,7 +26,7 @@
 pub(crate) struct LabScenario {
     experiment: Experiment,
     variant: Variant,
-    played: Option<PlayedRun>,
+    last_run: Option<FinishedRun>,
     /// The error text of the last invalid experiment.
     parse_error: String,
 }
@@ -39,7 +39,7 @@
         LabScenario {
             experiment: Experiment::parse("default", DEFAULT_EXPERIMENT).expect("an experiment"),
             variant: Variant::default(),
-            played: None,
+            last_run: None,
             parse_error: String::new(),
         }
     }
@@ -62,9 +62,9 @@
             Step::OverrideSetting(assignment) => {
                 self.variant.settings_overrides = toml_table(assignment);
             }
-            Step::Play(run) => {
-                let results = self.play(*run);
-                self.played = Some(PlayedRun { run: *run, results });
+            Step::Run(run) => {
+                let results = self.run_experiment(*run);
+                self.last_run = Some(FinishedRun { run: *run, results });
             }
             Step::ExpectSound => self.expect_sound(),
             Step::ExpectViolation(rule) => self.expect_violation(*rule),
@@ -93,7 +93,7 @@
         self.experiment = changed.expect("a valid experiment");
     }
 
-    fn play(&self, run: Run) -> Results {
+    fn run_experiment(&self, run: Run) -> Results {
         let options = RunOptions {
             defect: run.defect,
             ..RunOptions::default()
@@ -103,19 +103,19 @@
         results.expect("a run")
     }
 
-    fn played(&self) -> &PlayedRun {
-        self.played.as_ref().expect("no step 'play' before")
+    fn last_run(&self) -> &FinishedRun {
+        self.last_run.as_ref().expect("no step 'run' before")
     }
 
     fn expect_sound(&self) {
-        let results = &self.played().results;
+        let results = &self.last_run().results;
         let violations = &results.violations;
         let shown = &violations[..violations.len().min(MAX_SHOWN_VIOLATIONS)];
         assert!(results.sound(), "{shown:?} {:?}", results.crashes);
     }
 
     fn expect_violation(&self, rule: Rule) {
-        let results = &self.played().results;
+        let results = &self.last_run().results;
         assert!(results.violation_count > 0, "no rule was broken");
         let other = results
             .violations
@@ -127,12 +127,12 @@
     }
 
     fn expect_reproducible(&self) {
-        let PlayedRun { run, results } = self.played();
-        assert_eq!(to_json(results), to_json(&self.play(*run)));
+        let FinishedRun { run, results } = self.last_run();
+        assert_eq!(to_json(results), to_json(&self.run_experiment(*run)));
     }
 
     fn expect_figure(&self, name: &str, comparison: Comparison, bound: f64) {
-        let results = &self.played().results;
+        let results = &self.last_run().results;
         let totals = serde_json::to_value(&results.totals).expect("JSON");
         let count = totals[name].as_f64();
         let value = results.figure(name).or(count).expect("a figure");
--- a/lab/tests/lab_scenario/step.rs
+++ b/lab/tests/lab_scenario/step.rs
@@ -19,8 +19,8 @@
     AddFault(Box<Fault>),
     /// Overrides a setting of the gateways.
     OverrideSetting(Assignment),
-    /// Executes a run in simulated time.
-    Play(Run),
+    /// Runs the experiment in simulated time.
+    Run(Run),
     /// Expects that the run broke no rule.
     ExpectSound,
     /// Expects that the run broke this rule and no other.
@@ -71,7 +71,7 @@
             "set" => Step::SetField(parse_assignment(&mut arguments)?),
             "fault" => Step::AddFault(Box::new(parse_fault(&mut arguments)?)),
             "override" => Step::OverrideSetting(parse_assignment(&mut arguments)?),
-            "play" => Step::Play(Run {
+            "run" => Step::Run(Run {
                 seed: arguments.value("seed")?,
                 defect: arguments.optional_word().map(parse_defect).transpose()?,
             }),
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -5,7 +5,7 @@
 //! set fleet.gateways 2               changes a field by its name in experiment files; list elements go by their names
 //! fault servers-slow at 2 for 5 share 0.3 factor 4 route preview      adds a fault
 //! override contracts.premiere.never_over_rate 0                       overrides a setting of the gateways
-//! play 3 [DEFECT]                    executes the run of seed 3; injects a defect into the gateways: loses-answers,
+//! run 3 [DEFECT]                     runs the experiment with seed 3; injects a defect into the gateways: loses-answers,
 //!                                    duplicates-attempts, retries-unsafely, ignores-endpoint-updates,
 //!                                    prefers-newest-server, undercounts-units
 //! expect sound                       no rule was broken and nothing crashed
--- a/tool/src/error.rs
+++ b/tool/src/error.rs
@@ -12,7 +12,7 @@
     /// A result of the command does not meet an expectation.
     #[error("expectation not met")]
     Unmet(#[from] UnmetExpectation),
-    /// The laboratory could not play an experiment, or could not read or write a file.
+    /// The laboratory could not run an experiment, or could not read or write a file.
     #[error(transparent)]
     Lab(#[from] LabError),
     /// The path given with `--edge` is not a file.
@@ -59,7 +59,7 @@
     /// Runs broke rules, or gateways crashed. Holds the number of broken rules and crashes.
     #[error("expected no broken rules and no crashes, found {0}")]
     Violations(u64),
-    /// Two variants have no pair of runs to compare: no seed was played with both on the same engine, or the laboratory
+    /// Two variants have no pair of runs to compare: no seed was run with both on the same engine, or the laboratory
     /// itself ran late in every pair.
     #[error(
         "no runs of {variant} to compare with {base}, expected at least one pair; \
--- a/tool/src/lab/capacity.rs
+++ b/tool/src/lab/capacity.rs
@@ -43,7 +43,7 @@
         "{:>10} {:>8} {:>9} {:>9} {:>11} {:>10} {:>9}",
         "requests/s", "served", "p50 ms", "p99 ms", "cpu/request", "lab late", "sustained"
     );
-    let idle = runs::play_one(
+    let idle = runs::run_one(
         &test.experiment(0.0),
         &Variant::default(),
         IDLE_SEED,
--- a/tool/src/lab/check.rs
+++ b/tool/src/lab/check.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab check`: checks experiment files without playing them.
+//! `wellcrank lab check`: checks experiment files without running them.
 
 use super::common::{base_dir, load_experiment};
 use crate::error::CommandError;
--- a/tool/src/lab/mod.rs
+++ b/tool/src/lab/mod.rs
@@ -21,23 +21,23 @@
 pub(crate) enum LabCommand {
     /// Runs a whole platform on loopback and prints a line of metrics each second, until Ctrl-C.
     Up(up::UpArgs),
-    /// Plays an experiment: every variant with every seed.
+    /// Runs an experiment: every variant with every seed.
     Run(run::RunArgs),
     /// Compares the variants in stored results, paired by seed, with 95% intervals.
     Compare(compare::CompareArgs),
     /// Writes stored results as one self-contained HTML page with plots.
     Report(report::ReportArgs),
-    /// Checks experiment files without playing them.
+    /// Checks experiment files without running them.
     Check(check::CheckArgs),
     /// Runs a proxy in front of a gateway and records the requests of its clients.
     Record(record::RecordArgs),
-    /// Plays experiments in both engines and checks that simulated time predicts what loopback measures.
+    /// Runs experiments in both engines and checks that simulated time predicts what loopback measures.
     #[command(alias = "agree")]
     Validate(validate::ValidateArgs),
     /// Finds the request rate that one gateway sustains within a latency, with servers that answer at once.
     #[command(alias = "bears")]
     Capacity(capacity::CapacityArgs),
-    /// Plays fleets of several sizes in simulated time and prints how long each run took.
+    /// Runs fleets of several sizes in simulated time and prints how long each run took.
     #[command(alias = "grow")]
     Scaling(scaling::ScalingArgs),
 }
--- a/tool/src/lab/run.rs
+++ b/tool/src/lab/run.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab run`: plays an experiment and prints or stores its results.
+//! `wellcrank lab run`: runs an experiment and prints or stores its results.
 
 use super::common::{base_dir, default_jobs, gateway_program, load_experiment, progress_bar};
 use super::output::{check_rules, print_comparisons, print_summary, write_page};
@@ -69,7 +69,7 @@
         max_reruns: args.max_reruns,
         base_dir: base_dir(&args.file),
     };
-    let results = play_with_progress(&experiment, &options)?;
+    let results = run_with_progress(&experiment, &options)?;
     println!("{} ({})", experiment.title, engine_title(engine));
     match results.as_slice() {
         [single] => print_summary(single),
@@ -83,13 +83,13 @@
     Ok(())
 }
 
-fn play_with_progress(
+fn run_with_progress(
     experiment: &Experiment,
     options: &RunnerOptions,
 ) -> Result<Vec<Results>, LabError> {
     let seeds = options.seeds.as_ref().unwrap_or(&experiment.seeds);
     let bar = progress_bar(experiment.variants_or_default().len() * seeds.len());
-    let results = runs::play_all(experiment, options, &|_| bar.inc(1))?;
+    let results = runs::run_all(experiment, options, &|_| bar.inc(1))?;
     bar.finish_and_clear();
     Ok(results)
 }
--- a/tool/src/lab/scaling.rs
+++ b/tool/src/lab/scaling.rs
@@ -1,4 +1,4 @@
-//! `wellcrank lab scaling`: how long fleets of several sizes take to play in simulated time.
+//! `wellcrank lab scaling`: how long runs of fleets of several sizes take in simulated time.
 
 use super::output::check_rules;
 use crate::error::CommandError;
@@ -21,7 +21,7 @@
 /// Arguments of `lab scaling`.
 #[derive(Args)]
 pub(crate) struct ScalingArgs {
-    /// Numbers of gateways to play, one run for each. A fleet has two thirds as many servers as gateways.
+    /// Numbers of gateways, with one run for each. A fleet has two thirds as many servers as gateways.
     #[arg(long, value_delimiter = ',', default_values_t = [10, 100, 300, 1000])]
     gateways: Vec<usize>,
     /// Requests per second at each gateway.
@@ -41,7 +41,7 @@
         let experiment = experiment(args, *gateways)?;
         let clock = Clock::start();
         let options = RunnerOptions::default();
-        let results = runs::play_one(&experiment, &Variant::default(), SEED, &options)?;
+        let results = runs::run_one(&experiment, &Variant::default(), SEED, &options)?;
         let elapsed_seconds = clock.now().as_secs_f64();
         let requests: u64 = results.by_second.iter().map(|second| second.requests).sum();
         println!(
--- a/tool/src/lab/up.rs
+++ b/tool/src/lab/up.rs
@@ -14,15 +14,15 @@
 
 /// The table header is printed again after this number of rows.
 const ROWS_PER_HEADER: u64 = 20;
-/// The experiment that is played when no file is named: default values for one hour.
+/// The experiment that is run when no file is named: default values for one hour.
 const DEFAULT_EXPERIMENT: &str =
-    "title = \"Default experiment\"\nabout = \"Played by `wellcrank lab up` without a file.\"\nseconds = 3600.0";
+    "title = \"Default experiment\"\nabout = \"Run by `wellcrank lab up` without a file.\"\nseconds = 3600.0";
 
 /// Arguments of `lab up`.
 #[derive(Args)]
 pub(crate) struct UpArgs {
-    /// Experiment file, of which the first variant is played. Without a file, an experiment with default values is
-    /// played for an hour.
+    /// Experiment file, of which the first variant is run. Without a file, an experiment with default values is run
+    /// for an hour.
     file: Option<PathBuf>,
     /// Number of gateways. Each gateway is a process.
     #[arg(long)]
--- a/tool/src/lab/validate.rs
+++ b/tool/src/lab/validate.rs
@@ -47,7 +47,7 @@
     let program = gateway_program(args.edge.as_deref())?;
     let mut trials = Vec::new();
     for file in &args.files {
-        trials.extend(play_trials(file, args, &program)?);
+        trials.extend(run_trials(file, args, &program)?);
     }
     let held = trials.iter().filter(|trial| trial.holds()).count();
     print_trials(&trials, &args.figure);
@@ -65,8 +65,8 @@
     Ok(())
 }
 
-/// Plays the trials of one experiment: each variant compared with the first one.
-fn play_trials(
+/// Runs the trials of one experiment, in which each variant is compared with the first one.
+fn run_trials(
     file: &Path,
     args: &ValidateArgs,
     program: &GatewayProgram,
--- a/tool/tests/drawn_run/mod.rs
+++ b/tool/tests/drawn_run/mod.rs
@@ -35,7 +35,7 @@
     "kind = 'gateways-kill'\nshare = 0.5",
 ];
 
-/// More misbehaving clients than a node has sockets for, see [`FEW_SOCKETS`].
+/// More misbehaving clients than a gateway has sockets for, see [`FEW_SOCKETS`].
 const TOO_MANY_CLIENTS: &str = "kind = 'bad-clients'\nfactor = 300";
 
 /// Routes with short client timeouts, so that the kill soon follows the SIGTERM of a restart, and with a short
@@ -71,16 +71,16 @@
 const CLOCK_STEPS_SECONDS: [i64; 4] = [1, 3, 30, 3600];
 /// Timeouts for connecting to servers, in seconds.
 const CONNECT_TIMEOUTS_SECONDS: [f64; 3] = [0.1, 0.25, 1.0];
-/// Socket limit of a node in a run with [`TOO_MANY_CLIENTS`].
+/// Socket limit of a gateway in a run with [`TOO_MANY_CLIENTS`].
 const FEW_SOCKETS: u32 = 128;
-/// Socket limit of a node in every other run.
+/// Socket limit of a gateway in every other run.
 const MANY_SOCKETS: u32 = 512;
 
-/// The run of one seed.
+/// The experiment and the step of the wall clock that are drawn for one seed.
 pub(crate) struct DrawnRun {
     /// Fleet, load and faults.
     pub(crate) experiment: Experiment,
-    /// How far the wall clock of the nodes is stepped, in seconds; negative for a clock that is behind.
+    /// How far the wall clock of the gateways is stepped, in seconds; negative for a clock that is behind.
     pub(crate) clock_step_seconds: i64,
 }
 
--- a/tool/tests/soak.rs
+++ b/tool/tests/soak.rs
@@ -1,10 +1,10 @@
-//! Soak test: plays randomly drawn runs on loopback with the edge nodes of the built command and expects that the rule
-//! checker finds no broken rule. In addition to the faults of a run, system calls of the nodes fail, reads and writes
+//! Soak test: randomly drawn experiments run on loopback with gateways of the built command, and the rule checker must
+//! find no broken rule. In addition to the faults of an experiment, system calls of the gateways fail, reads and writes
 //! are short, writes stall, and the wall clock is stepped. Clients keep using open connections to a stopping gateway
 //! until it closes them or is killed.
 //!
-//! `SOAK_SEEDS=1..60` plays the seeds from 1 up to but not including 60 in place of the default ones.
-//! `SOAK_LOGS=FOLDER` keeps the logs of the nodes, in a folder for each seed.
+//! `SOAK_SEEDS=1..60` runs the seeds from 1 up to but not including 60 in place of the default ones.
+//! `SOAK_LOGS=FOLDER` keeps the logs of the gateways, in a folder for each seed.
 
 mod drawn_run;
 #[path = "../../fault-injection/src/injector.rs"]
@@ -24,15 +24,15 @@
 use wellcrank_lab::loopback::{self, GatewayProgram};
 use wellcrank_lab::metrics::Results;
 
-/// The seeds that are played without `SOAK_SEEDS`, as in CI.
+/// The seeds that are run without `SOAK_SEEDS`, as in CI.
 const DEFAULT_SEEDS: Range<u64> = 1..21;
-/// Number of runs that are played at a time.
+/// Number of runs at a time.
 const PARALLEL_RUNS: usize = 4;
 /// If the laboratory itself was later than this in a run, a broken rule may be due to the laboratory, not to the
 /// program.
 const MAX_LATENESS_MS: f64 = 100.0;
-/// The largest number of times that the run of a seed is played while its result is inconclusive.
-const MAX_PLAYS: u32 = 3;
+/// The largest number of runs of a seed: a run is repeated while its results are inconclusive.
+const MAX_RUNS_PER_SEED: u32 = 3;
 /// The largest number of broken rules printed for one run.
 const MAX_PRINTED_VIOLATIONS: usize = 6;
 
@@ -67,7 +67,7 @@
     (SystemCall::Write, libc::ENOBUFS),
 ];
 
-/// Injects failures in the nodes at random intervals until the run is over.
+/// Injects failures in the gateways at random intervals until the run is over.
 fn inject_failures(
     injector: &FaultInjector,
     seed: u64,
@@ -89,14 +89,14 @@
         });
         let stalls = failures % FAILURES_PER_STALL == 0;
         injector.stall_writes(STALL_MS, i64::from(stalls));
-        // The clock is stepped back and forth, so a restarted node may start under another wall clock.
+        // The clock is stepped back and forth, so a restarted gateway may start under another wall clock.
         let is_stepped = failures / FAILURES_PER_CLOCK_STEP % 2 == 1;
         injector.step_wall_clock(if is_stepped { clock_step_seconds } else { 0 });
     }
 }
 
-/// Plays the run of a seed once.
-fn play(seed: u64) -> Result<Results, LabError> {
+/// Runs the drawn experiment of a seed once.
+fn run_once(seed: u64) -> Result<Results, LabError> {
     let run = DrawnRun::new(seed);
     let injector = FaultInjector::create(&format!("soak-{seed}"));
     let logs = std::env::var_os("SOAK_LOGS").map(PathBuf::from);
@@ -134,27 +134,32 @@
     ))
 }
 
-/// Plays the run of a seed and describes its problems; none if there are none. A run with broken rules or crashes in
-/// which the laboratory was late is inconclusive and is played again; the last of [`MAX_PLAYS`] plays counts in any
-/// case, so the test also ends on a machine that is always late. If the only problem is a misbehaving client that got
-/// no answer, it counts at once.
-fn play_until_conclusive(seed: u64) -> Option<String> {
-    let mut plays = 0;
+/// Runs the drawn experiment of a seed and describes the problems; none if there are none. A run with broken rules or
+/// crashes in which the laboratory was late is inconclusive and is repeated; the last of [`MAX_RUNS_PER_SEED`] runs
+/// counts in any case, so the test also ends on a machine that is always late. If the only problem is a misbehaving
+/// client that got no answer, it counts at once.
+fn run_until_conclusive(seed: u64) -> Option<String> {
+    let mut runs = 0;
     loop {
-        plays += 1;
-        let results = match play(seed) {
+        runs += 1;
+        let results = match run_once(seed) {
             Ok(results) => results,
-            Err(error) => return Some(format!("seed {seed}: not played: {}", ErrorChain(&error))),
+            Err(error) => {
+                return Some(format!(
+                    "seed {seed}: the run failed: {}",
+                    ErrorChain(&error)
+                ))
+            }
         };
         let problems = describe_problems(&results)?;
         let was_late = results.lateness.worst_ms > MAX_LATENESS_MS;
         let is_inconclusive = was_late && !results.sound();
-        if !is_inconclusive || plays == MAX_PLAYS {
+        if !is_inconclusive || runs == MAX_RUNS_PER_SEED {
             return Some(format!("seed {seed}: {problems}"));
         }
         println!(
             "seed {seed}: the laboratory was {:.1} ms late, expected at most {MAX_LATENESS_MS} ms; \
-             playing the run again",
+             repeating the run",
             results.lateness.worst_ms
         );
     }
@@ -187,7 +192,7 @@
                 if seed >= seeds.end {
                     return;
                 }
-                let failure = play_until_conclusive(seed);
+                let failure = run_until_conclusive(seed);
                 failures.lock().unwrap().extend(failure);
             });
         }
