--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -1,5 +1,5 @@
-//! The errors of the laboratory. Each names the file or operation that failed; its cause is its source, and
-//! [`ErrorChain`] prints both.
+//! The errors of the laboratory. Each says what could not be done, and with which file if one is concerned. The cause
+//! of an error is its source; [`ErrorChain`] prints both.
 
 use crate::decision_engine::DecisionEngineError;
 use crate::experiment::{ExperimentError, InvalidVariant};
@@ -11,23 +11,25 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Why a run failed to execute, or a file of the laboratory could not be read or written.
+/// Why a run ended without results, or a file of the laboratory could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
     /// A file, folder or program could not be opened, written or started.
-    #[error("{}", path.display())]
+    #[error("{}: {failure}", path.display())]
     File {
-        /// The path.
+        /// Path of the file, folder or program.
         path: PathBuf,
+        /// What could not be done with it, such as `cannot be opened`.
+        failure: &'static str,
         /// The operating system's error.
         #[source]
         source: io::Error,
     },
     /// An operation of the operating system failed that concerns no file.
-    #[error("{operation}")]
+    #[error("{failure}")]
     System {
-        /// The operation that failed.
-        operation: &'static str,
+        /// What could not be done, such as `cannot wait for socket events`.
+        failure: &'static str,
         /// The operating system's error.
         #[source]
         source: io::Error,
@@ -35,7 +37,7 @@
     /// A socket can't listen on an address.
     #[error("cannot listen on {address}")]
     Listen {
-        /// The address.
+        /// Address and port on which the socket should listen.
         address: SocketAddr,
         /// The operating system's error.
         #[source]
@@ -48,7 +50,7 @@
     #[error(transparent)]
     DecisionEngine(#[from] DecisionEngineError),
     /// A recording can't be read.
-    #[error("{}", path.display())]
+    #[error("{}: cannot be read as a recording", path.display())]
     Recording {
         /// Path of the recording.
         path: PathBuf,
@@ -63,11 +65,11 @@
         path: PathBuf,
         /// What the name is expected to be: `route` or `plan`.
         kind: &'static str,
-        /// The unknown name.
+        /// The name in the recording.
         name: String,
     },
     /// A line of stored results can't be parsed.
-    #[error("{}:{line}", path.display())]
+    #[error("{}:{line}: cannot be read as one run's results", path.display())]
     ResultsLine {
         /// Path of the file of results.
         path: PathBuf,
@@ -107,21 +109,27 @@
 }
 
 impl LabError {
-    /// Converts an I/O error that concerns a path into a [`LabError::File`].
-    pub fn file(path: &Path) -> impl FnOnce(io::Error) -> LabError {
+    /// Returns a conversion of an I/O error on `path` into a [`LabError::File`]. `failure` says what could not be done
+    /// with the file, such as `cannot be opened`.
+    pub fn file(path: &Path, failure: &'static str) -> impl FnOnce(io::Error) -> LabError {
         let path = path.to_path_buf();
-        move |source| LabError::File { path, source }
+        move |source| LabError::File {
+            path,
+            failure,
+            source,
+        }
     }
 
-    /// Converts an I/O error of an operation without a path into a [`LabError::System`].
-    pub fn system(operation: &'static str) -> impl FnOnce(io::Error) -> LabError {
-        move |source| LabError::System { operation, source }
+    /// Returns a conversion of an I/O error that concerns no file into a [`LabError::System`]. `failure` says what could
+    /// not be done.
+    pub fn system(failure: &'static str) -> impl FnOnce(io::Error) -> LabError {
+        move |source| LabError::System { failure, source }
     }
 }
 
 /// Prints an error and its causes in one line, separated by colons.
 pub struct ErrorChain<'a>(
-    /// The outermost error.
+    /// The error that is printed first, before its causes.
     pub &'a dyn Error,
 );
 
--- a/lab/src/loopback/clients.rs
+++ b/lab/src/loopback/clients.rs
@@ -186,7 +186,7 @@
             route: experiment.routes[operation.route].name.clone(),
             units: operation.units,
         });
-        recorded.map_err(LabError::system("writing the recording"))
+        recorded.map_err(LabError::system("cannot write the recording"))
     }
 
     /// Sends a request to its gateway, on an idle connection, a new connection, or behind other requests.
--- a/lab/src/loopback/event_sources.rs
+++ b/lab/src/loopback/event_sources.rs
@@ -143,7 +143,9 @@
     pub(super) fn add_signals(&mut self, signals: &mut Signals) -> Result<(), LabError> {
         let token = Token(self.sources.insert(EventSource::Signals));
         let registered = self.registry.register(signals, token, Interest::READABLE);
-        registered.map_err(LabError::system("registering signal handlers"))
+        registered.map_err(LabError::system(
+            "cannot register the signal pipe with the event poll",
+        ))
     }
 
     /// Opens a listener on a free port of 127.0.0.1.
@@ -152,15 +154,15 @@
         gateway: usize,
         purpose: ListenerPurpose,
     ) -> Result<BoundSocket, LabError> {
-        const OPERATION: &str = "opening a listener on 127.0.0.1";
+        const FAILURE: &str = "cannot open a listener on 127.0.0.1";
         let mut socket =
-            TcpListener::bind(any_loopback_port()).map_err(LabError::system(OPERATION))?;
-        let address = socket.local_addr().map_err(LabError::system(OPERATION))?;
+            TcpListener::bind(any_loopback_port()).map_err(LabError::system(FAILURE))?;
+        let address = socket.local_addr().map_err(LabError::system(FAILURE))?;
         let entry = self.sources.vacant_entry();
         let key = entry.key();
         self.registry
             .register(&mut socket, Token(key), Interest::READABLE)
-            .map_err(LabError::system(OPERATION))?;
+            .map_err(LabError::system(FAILURE))?;
         entry.insert(EventSource::Listener(Listener {
             gateway,
             purpose,
@@ -175,15 +177,14 @@
         sender: usize,
         receiver: Option<usize>,
     ) -> Result<BoundSocket, LabError> {
-        const OPERATION: &str = "opening a datagram socket on 127.0.0.1";
-        let mut socket =
-            UdpSocket::bind(any_loopback_port()).map_err(LabError::system(OPERATION))?;
-        let address = socket.local_addr().map_err(LabError::system(OPERATION))?;
+        const FAILURE: &str = "cannot open a datagram socket on 127.0.0.1";
+        let mut socket = UdpSocket::bind(any_loopback_port()).map_err(LabError::system(FAILURE))?;
+        let address = socket.local_addr().map_err(LabError::system(FAILURE))?;
         let entry = self.sources.vacant_entry();
         let key = entry.key();
         self.registry
             .register(&mut socket, Token(key), Interest::READABLE)
-            .map_err(LabError::system(OPERATION))?;
+            .map_err(LabError::system(FAILURE))?;
         entry.insert(EventSource::Peer(PeerSocket {
             sender,
             receiver,
--- a/lab/src/loopback/gateway_host.rs
+++ b/lab/src/loopback/gateway_host.rs
@@ -77,7 +77,7 @@
 
 fn address_error(source: io::Error) -> LabError {
     LabError::System {
-        operation: "allocating a loopback address for gateways",
+        failure: "cannot allocate a loopback address for the gateways",
         source,
     }
 }
--- a/lab/src/loopback/gateway_process.rs
+++ b/lab/src/loopback/gateway_process.rs
@@ -34,7 +34,7 @@
         let run = RUN_COUNT.fetch_add(1, Ordering::SeqCst);
         let name = format!("wellcrank-lab-{}-{run}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        fs::create_dir_all(&path).map_err(LabError::file(&path))?;
+        fs::create_dir_all(&path).map_err(LabError::file(&path, "cannot be created"))?;
         Ok(RunFolder(path))
     }
 
@@ -75,7 +75,7 @@
         let log = match log_file {
             Some(path) => {
                 let file = fs::OpenOptions::new().create(true).append(true).open(path);
-                Stdio::from(file.map_err(LabError::file(path))?)
+                Stdio::from(file.map_err(LabError::file(path, "cannot be opened"))?)
             }
             None => Stdio::null(),
         };
@@ -88,7 +88,9 @@
             .stdout(Stdio::null())
             .stderr(log);
         end_with_laboratory(&mut command);
-        let child = command.spawn().map_err(LabError::file(&program.path))?;
+        let child = command
+            .spawn()
+            .map_err(LabError::file(&program.path, "cannot be started"))?;
         self.child = Some(child);
         Ok(())
     }
--- a/lab/src/loopback/gateways.rs
+++ b/lab/src/loopback/gateways.rs
@@ -125,7 +125,8 @@
             config["peers_all"] = json!(node.broadcast_socket.map(|socket| socket.address));
         }
         let path = self.folder.file(&format!("g{gateway}.json"));
-        replace_file(&path, &config.to_string()).map_err(LabError::file(&path))?;
+        replace_file(&path, &config.to_string())
+            .map_err(LabError::file(&path, "cannot be written"))?;
         Ok(path)
     }
 
--- a/lab/src/loopback/recording_proxy.rs
+++ b/lab/src/loopback/recording_proxy.rs
@@ -194,8 +194,8 @@
             address: listen,
             source,
         })?;
-    let writer = File::create(file).map_err(LabError::file(file))?;
-    let recorder = Recorder::new(writer).map_err(LabError::file(file))?;
+    let writer = File::create(file).map_err(LabError::file(file, "cannot be created"))?;
+    let recorder = Recorder::new(writer).map_err(LabError::file(file, "cannot be written"))?;
     let recording = Arc::new(Recording {
         clock: Clock::start(),
         recorder: Mutex::new(Some(recorder)),
@@ -211,5 +211,7 @@
             Err(_) => thread::sleep(ACCEPT_INTERVAL),
         }
     }
-    recording.finish().map_err(LabError::file(file))
+    recording
+        .finish()
+        .map_err(LabError::file(file, "cannot be written"))
 }
--- a/lab/src/loopback/run.rs
+++ b/lab/src/loopback/run.rs
@@ -40,7 +40,7 @@
 /// The maximum number of events that are taken from the poll at a time.
 const EVENT_BATCH_SIZE: usize = 1024;
 
-const CREATE_POLL: &str = "creating the event poll";
+const POLL_FAILURE: &str = "cannot create the event poll";
 
 /// The state of a run on loopback.
 pub(super) struct LoopbackRun {
@@ -98,14 +98,15 @@
         seed: u64,
         options: &RunOptions,
     ) -> Result<LoopbackRun, LabError> {
-        let poll = Poll::new().map_err(LabError::system(CREATE_POLL))?;
+        let poll = Poll::new().map_err(LabError::system(POLL_FAILURE))?;
         let registry = poll.registry().try_clone();
-        let mut sources = EventSources::new(registry.map_err(LabError::system(CREATE_POLL))?);
+        let mut sources = EventSources::new(registry.map_err(LabError::system(POLL_FAILURE))?);
         let mut signals = Signals::new([SIGINT, SIGTERM])
-            .map_err(LabError::system("registering signal handlers"))?;
+            .map_err(LabError::system("cannot handle SIGINT and SIGTERM"))?;
         sources.add_signals(&mut signals)?;
         if let Some(log_dir) = &options.log_dir {
-            std::fs::create_dir_all(log_dir).map_err(LabError::file(log_dir))?;
+            std::fs::create_dir_all(log_dir)
+                .map_err(LabError::file(log_dir, "cannot be created"))?;
         }
         Ok(LoopbackRun {
             poll,
@@ -220,7 +221,7 @@
         results.gateway_mb = max_bytes.unwrap_or(0) as f64 / f64::from(1 << 20);
         if let Some(recorder) = self.recorder {
             let finished = recorder.finish();
-            finished.map_err(LabError::system("writing the recording"))?;
+            finished.map_err(LabError::system("cannot write the recording"))?;
         }
         Ok(results)
     }
@@ -313,7 +314,7 @@
         let wait = self.next_wakeup().saturating_sub(self.clock.now());
         match self.poll.poll(events, Some(wait)) {
             Err(error) if error.kind() == ErrorKind::Interrupted => (),
-            polled => polled.map_err(LabError::system("waiting for events"))?,
+            polled => polled.map_err(LabError::system("cannot wait for events"))?,
         }
         self.now = self.clock.now();
         Ok(())
@@ -483,6 +484,6 @@
 }
 
 fn create_recorder(path: &Path) -> Result<Recorder<File>, LabError> {
-    let file = File::create(path).map_err(LabError::file(path))?;
-    Recorder::new(file).map_err(LabError::file(path))
+    let file = File::create(path).map_err(LabError::file(path, "cannot be created"))?;
+    Recorder::new(file).map_err(LabError::file(path, "cannot be written"))
 }
--- a/lab/src/runs.rs
+++ b/lab/src/runs.rs
@@ -44,7 +44,7 @@
         return Ok(Vec::new());
     };
     let path = base_dir.join(file);
-    let reader = File::open(&path).map_err(LabError::file(&path))?;
+    let reader = File::open(&path).map_err(LabError::file(&path, "cannot be opened"))?;
     let requests = match record::read(reader) {
         Ok(requests) => requests,
         Err(source) => return Err(LabError::Recording { path, source }),
@@ -185,11 +185,11 @@
 /// the file, so that the file never holds a part of the results.
 pub fn write_results(path: &Path, results: &[Results]) -> Result<(), LabError> {
     if let Some(folder) = path.parent() {
-        fs::create_dir_all(folder).map_err(LabError::file(folder))?;
+        fs::create_dir_all(folder).map_err(LabError::file(folder, "cannot be created"))?;
     }
     let partial = path.with_extension("part");
-    write_lines(&partial, results).map_err(LabError::file(&partial))?;
-    fs::rename(&partial, path).map_err(LabError::file(path))
+    write_lines(&partial, results).map_err(LabError::file(&partial, "cannot be written"))?;
+    fs::rename(&partial, path).map_err(LabError::file(path, "cannot be replaced"))
 }
 
 fn write_lines(path: &Path, results: &[Results]) -> std::io::Result<()> {
@@ -207,10 +207,10 @@
     } else {
         path.to_path_buf()
     };
-    let file = File::open(&path).map_err(LabError::file(&path))?;
+    let file = File::open(&path).map_err(LabError::file(&path, "cannot be opened"))?;
     let mut results = Vec::new();
     for (index, line) in BufReader::new(file).lines().enumerate() {
-        let text = line.map_err(LabError::file(&path))?;
+        let text = line.map_err(LabError::file(&path, "cannot be read"))?;
         let result = serde_json::from_str(&text).map_err(|source| LabError::ResultsLine {
             path: path.clone(),
             line: index + 1,
--- a/tool/src/error.rs
+++ b/tool/src/error.rs
@@ -99,14 +99,18 @@
     },
 }
 
-/// Returns a conversion of an I/O error on `path` into a [`CommandError`].
-pub(crate) fn file_error(path: &std::path::Path) -> impl FnOnce(io::Error) -> CommandError {
-    let to_lab_error = LabError::file(path);
+/// Returns a conversion of an I/O error on `path` into a [`CommandError`]. `failure` says what could not be done with the
+/// file, such as `cannot be written`.
+pub(crate) fn file_error(
+    path: &std::path::Path,
+    failure: &'static str,
+) -> impl FnOnce(io::Error) -> CommandError {
+    let to_lab_error = LabError::file(path, failure);
     move |source| CommandError::Lab(to_lab_error(source))
 }
 
-/// Returns a conversion of an I/O error into a [`CommandError`] that names the failed operation.
-pub(crate) fn system_error(operation: &'static str) -> impl FnOnce(io::Error) -> CommandError {
-    let to_lab_error = LabError::system(operation);
+/// Returns a conversion of an I/O error into a [`CommandError`]. `failure` says what could not be done.
+pub(crate) fn system_error(failure: &'static str) -> impl FnOnce(io::Error) -> CommandError {
+    let to_lab_error = LabError::system(failure);
     move |source| CommandError::Lab(to_lab_error(source))
 }
--- a/tool/src/lab/output.rs
+++ b/tool/src/lab/output.rs
@@ -122,5 +122,5 @@
     results: &[Results],
 ) -> Result<(), CommandError> {
     let page = report::page(title, about, results)?;
-    std::fs::write(file, page).map_err(file_error(file))
+    std::fs::write(file, page).map_err(file_error(file, "cannot be written"))
 }
--- a/tool/src/lab/validate.rs
+++ b/tool/src/lab/validate.rs
@@ -122,5 +122,5 @@
         text += &serde_json::to_string(trial).map_err(CommandError::Json)?;
         text.push('\n');
     }
-    std::fs::write(file, text).map_err(file_error(file))
+    std::fs::write(file, text).map_err(file_error(file, "cannot be written"))
 }
