--- a/lab/src/capacity.rs
+++ b/lab/src/capacity.rs
@@ -13,9 +13,10 @@
 const MAX_REQUEST_RATE: f64 = 1e6;
 /// Bisection steps between the highest sustained rate and the lowest one that was not sustained.
 const BISECTION_STEPS: usize = 4;
-/// Smallest share of requests served at which a rate counts as sustained.
+/// Smallest share of the requests that must be served for a rate to count as sustained, from 0 to 1.
 const MIN_SERVED_SHARE: f64 = 0.99;
-/// Runs at a rate before it counts as not sustained: one run may fail because of a short disturbance of the machine.
+/// Number of runs that must miss the limits before a rate counts as not sustained. A single run may miss them because of
+/// a short disturbance of the machine.
 const MAX_RUNS_PER_RATE: usize = 2;
 
 /// The conditions of a capacity measurement.
@@ -33,7 +34,7 @@
 pub struct Step {
     /// The request rate, in requests per second.
     pub rate: f64,
-    /// The results of the run.
+    /// Counts, latencies and resource use of the run.
     pub results: Results,
     /// Whether the gateway sustained the rate.
     pub sustained: bool,
@@ -69,7 +70,7 @@
         let plan = PlanConfig {
             rate: 20.0,
             burst: 100.0,
-            concurrency_cap: 50.0,
+            concurrency_limit: 50.0,
             ..experiment.plans[0].clone()
         };
         experiment.plans = vec![plan];
@@ -81,8 +82,8 @@
         experiment
     }
 
-    /// Runs a rate until it is sustained, [`MAX_RUNS_PER_RATE`] times at most, and returns whether it was. `on_step` is
-    /// called after each run.
+    /// Runs the experiment at a rate until a run sustains it, at most [`MAX_RUNS_PER_RATE`] times. Returns whether one
+    /// did. `on_step` is called after each run.
     fn test_rate(
         &self,
         options: &RunnerOptions,
--- a/lab/src/decision_engine/mod.rs
+++ b/lab/src/decision_engine/mod.rs
@@ -43,7 +43,7 @@
     },
     /// The shared counter has replied to the oldest pending call for a name, or that call has failed.
     CounterReply {
-        /// The name of the counter.
+        /// The name of the value on the counter that the call was for.
         name: CounterName,
         /// The reply, or what is known about a call that has failed.
         reply: CounterReply,
@@ -87,7 +87,7 @@
     },
     /// Adds an amount to a value on the shared counter.
     AddToCounter {
-        /// The name of the counter.
+        /// The name of the value.
         name: CounterName,
         /// The amount to add; negative amounts subtract.
         amount: f64,
@@ -103,7 +103,7 @@
     },
     /// Sends a datagram to one gateway, or to all other gateways.
     SendToPeer {
-        /// The number of the receiving gateway. `None` means all other gateways.
+        /// The index of the receiving gateway. `None` means all other gateways.
         peer: Option<u32>,
         /// The payload of the datagram.
         body: Vec<u8>,
@@ -113,9 +113,9 @@
 /// An action and the gateway that issued it.
 #[derive(Clone, Debug)]
 pub struct IssuedAction {
-    /// The number of the gateway.
+    /// The index of the gateway.
     pub gateway: usize,
-    /// The action.
+    /// What the gateway does.
     pub action: GatewayAction,
 }
 
@@ -139,7 +139,7 @@
     /// The settings of a gateway are invalid.
     #[error("the settings of gateway {gateway} are invalid")]
     Settings {
-        /// The number of the gateway.
+        /// The index of the gateway.
         gateway: usize,
         /// What is wrong with the settings.
         #[source]
--- a/lab/src/events.rs
+++ b/lab/src/events.rs
@@ -30,7 +30,7 @@
 pub enum AttemptEnd {
     /// The server sent a response other than a rejection.
     Answered,
-    /// The server rejected the attempt without running it.
+    /// The server rejected the attempt without executing it.
     Rejected,
     /// The gateway cancelled the attempt, or its connection was closed.
     Abandoned,
--- a/lab/src/experiment/config.rs
+++ b/lab/src/experiment/config.rs
@@ -132,7 +132,8 @@
     /// Share of the datagrams that is lost at random.
     #[serde(rename = "lost")]
     pub datagram_loss: f64,
-    /// Largest delay of a datagram in addition to the network delay; each one's is drawn between 0 and this.
+    /// Largest random delay of a datagram, drawn between 0 and this. The one-way delay within a zone is added to it, even
+    /// for a datagram to another zone.
     #[serde(rename = "peer_late_ms")]
     pub datagram_max_delay_ms: f64,
     /// Datagrams per second that a gateway receives; the excess is dropped.
@@ -215,7 +216,7 @@
     pub burst: f64,
     /// Attempts of a customer that may be in flight at a time; 0: unlimited.
     #[serde(default, rename = "cap")]
-    pub concurrency_cap: f64,
+    pub concurrency_limit: f64,
     /// Factor by which the billed value of a route is multiplied.
     #[serde(default = "super::defaults::one")]
     pub price: f64,
--- a/lab/src/experiment/defaults.rs
+++ b/lab/src/experiment/defaults.rs
@@ -153,14 +153,14 @@
     ]
 }
 
-/// A plan with only a quota, one with a concurrency cap as well, and one with a hard ceiling as well.
+/// A plan with only a quota, one with a concurrency limit as well, and one with a hard ceiling as well.
 pub(super) fn plans() -> Vec<PlanConfig> {
     let plan = |name: &str, share, rate, burst| PlanConfig {
         name: name.into(),
         share,
         rate,
         burst,
-        concurrency_cap: 0.0,
+        concurrency_limit: 0.0,
         price: 1.0,
         over_quota_cost: 1.0,
         ceiling_rate: 0.0,
@@ -170,7 +170,7 @@
     vec![
         plan("desk", 0.4, 4.0, 16.0),
         PlanConfig {
-            concurrency_cap: 12.0,
+            concurrency_limit: 12.0,
             ..plan("house", 0.4, 20.0, 50.0)
         },
         PlanConfig {
--- a/lab/src/experiment/fault.rs
+++ b/lab/src/experiment/fault.rs
@@ -63,7 +63,7 @@
     GatewaysKill,
     /// A `share` of the gateways is stopped gracefully and started again, one after another.
     GatewaysRestart,
-    /// A `share` of the gateways is notified of new addresses of counter and discovery.
+    /// Discovery and the counter move to new addresses for a `share` of the gateways.
     GatewaysMove,
     /// Gateways and servers of `zone` and those of other zones can't reach each other.
     ZoneCut,
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -23,7 +23,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The engine that executes a run.
+/// The engine of a run: which parts of a gateway it runs, and in which time.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Engine {
@@ -51,7 +51,7 @@
     /// Seeds of the runs: each variant has one run for each seed.
     #[serde(default = "defaults::seeds")]
     pub seeds: Vec<u64>,
-    /// The engine that executes its runs.
+    /// The engine of its runs.
     #[serde(default)]
     pub engine: Engine,
     /// The emulated gateways and servers.
--- a/lab/src/experiment/tests.rs
+++ b/lab/src/experiment/tests.rs
@@ -41,7 +41,7 @@
         .with_variant(&experiment.variants[0])
         .expect("a valid variant");
     assert_eq!(changed.load.request_rate, 30.0);
-    assert_eq!(changed.plans[0].concurrency_cap, 4.0);
+    assert_eq!(changed.plans[0].concurrency_limit, 4.0);
     assert_eq!(changed.fleet.slow_start, experiment.fleet.slow_start);
 }
 
--- a/lab/src/experiment/validation.rs
+++ b/lab/src/experiment/validation.rs
@@ -271,7 +271,7 @@
                 ("share", bounded(plan.share, 0.0, 1e6)),
                 ("rate", bounded(plan.rate, 0.0, 1e9)),
                 ("burst", bounded(plan.burst, min_burst, 1e9)),
-                ("cap", bounded(plan.concurrency_cap, 0.0, 1e6)),
+                ("cap", bounded(plan.concurrency_limit, 0.0, 1e6)),
                 ("price", bounded(plan.price, 0.0, 1e6)),
                 ("over_cost", bounded(plan.over_quota_cost, 0.0, 100.0)),
                 (
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -3,7 +3,7 @@
 //! One model of the platform and its clients (`world`: servers, counter, endpoint list, clients, network, faults) runs
 //! under two engines: [`simulated`] runs only the gateways' decision logic, in simulated time; [`loopback`] runs the
 //! gateway processes on loopback sockets. An [`experiment`] describes a run. `rule_checker` checks the rules that
-//! gateways must keep, and shares no code with the gateway. [`runs`] executes runs and stores their results
+//! gateways must keep, and shares no code with the gateway. [`runs`] runs experiments and stores their results
 //! ([`metrics`]); [`stats`] compares results between variants, [`validate`] between engines, and [`report`] renders
 //! them. [`capacity`] measures one gateway. [`events`] defines the identifiers that all of them share.
 
--- a/lab/src/loopback/mod.rs
+++ b/lab/src/loopback/mod.rs
@@ -32,7 +32,7 @@
 use std::time::Duration;
 
 /// The time that the rule checker allows for delays of a machine that runs the gateways and the laboratory.
-const CHECK_TOLERANCE: Duration = Duration::from_millis(250);
+const CHECK_SLACK: Duration = Duration::from_millis(250);
 
 /// A callback at the end of each second of a run. Its arguments are the number of the second, counted from 0, and the
 /// metrics of that second.
@@ -41,7 +41,7 @@
 /// The program of an edge node, with its arguments and environment.
 #[derive(Clone, Debug, Default)]
 pub struct GatewayProgram {
-    /// The path of the program.
+    /// The path of the executable.
     pub path: PathBuf,
     /// The command line arguments.
     pub arguments: Vec<String>,
@@ -100,7 +100,7 @@
         &changed,
         seed,
         ResponseDelay::AddedByWorld,
-        CHECK_TOLERANCE,
+        CHECK_SLACK,
         replay,
     );
     let mut run = LoopbackRun::new(world, variant, seed, &options)?;
--- a/lab/src/metrics.rs
+++ b/lab/src/metrics.rs
@@ -44,7 +44,7 @@
     /// Units of the requests that were forwarded to servers, counted at the first attempt.
     #[serde(alias = "units")]
     pub forwarded_units: f64,
-    /// Of these units, those of requests that exceeded their customer's quota.
+    /// The part of `forwarded_units` that belongs to requests beyond their customer's quota.
     #[serde(alias = "beyond")]
     pub over_quota_units: f64,
     /// Cost of the units beyond quotas: their value times the plan's `over_cost`.
@@ -106,22 +106,22 @@
     pub milliseconds: f64,
 }
 
-/// A latency distribution, in milliseconds.
+/// A latency distribution. All latencies are in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// Number of values.
+    /// Number of requests whose latency was recorded.
     pub count: u64,
-    /// The mean.
+    /// Mean latency.
     pub mean: f64,
-    /// The median.
+    /// Median latency.
     pub p50: f64,
-    /// The 90th percentile.
+    /// 90th percentile of the latency.
     pub p90: f64,
-    /// The 99th percentile.
+    /// 99th percentile of the latency.
     pub p99: f64,
-    /// The 99.9th percentile.
+    /// 99.9th percentile of the latency.
     pub p999: f64,
-    /// The largest value.
+    /// Largest latency.
     pub max: f64,
     /// The distribution as a curve for plots, with [`CURVE_STEPS_PER_NINE`] points for each nine of the quantile.
     pub curve: Vec<CurvePoint>,
@@ -133,7 +133,7 @@
 pub struct Lateness {
     /// The largest lateness, in milliseconds.
     pub worst_ms: f64,
-    /// The 99th percentile, in milliseconds.
+    /// The 99th percentile of the lateness, in milliseconds.
     pub p99_ms: f64,
     /// Whether the laboratory was so late that the run's figures reflect its own delays rather than the gateways'
     /// behaviour. Such a run is not compared.
--- a/lab/src/node_settings.rs
+++ b/lab/src/node_settings.rs
@@ -73,7 +73,7 @@
 
 fn plan_settings(plan: &PlanConfig) -> Value {
     json!({
-        "name": plan.name, "refill": plan.rate, "store_size": plan.burst, "parallel": plan.concurrency_cap,
+        "name": plan.name, "refill": plan.rate, "store_size": plan.burst, "parallel": plan.concurrency_limit,
         "value_factor": plan.price, "excess_cost": plan.over_quota_cost, "extra_worth": 0.0,
         "never_over_rate": plan.ceiling_rate, "cap_depth": plan.ceiling_burst,
         "hard_slack": plan.ceiling_slack,
--- a/lab/src/report/charts.rs
+++ b/lab/src/report/charts.rs
@@ -122,7 +122,7 @@
     for chart in LATENCY_CHARTS {
         page.push_str(&draw_latency_chart(chart, &variants)?);
     }
-    page.push_str("</div><h3>Load of app servers</h3><div class=\"plots\">");
+    page.push_str("</div><h3>Load of the servers</h3><div class=\"plots\">");
     for variant in &variants {
         page.push_str(&draw_load_chart(variant)?);
     }
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -17,9 +17,9 @@
 td:first-child,th:first-child{text-align:left}.plots{display:flex;flex-wrap:wrap;gap:12px}.bad{color:#a00}\
 svg{border:1px solid #eee}";
 
-/// States which parts of a run are simulated.
-const SIMULATION_NOTE: &str =
-    "<p>App servers, counter, discovery and clients are simulated; on loopback the gateways are \
+/// States which parts of a run are emulated.
+const EMULATION_NOTE: &str =
+    "<p>Servers, counter, discovery and clients are emulated; on loopback the gateways are \
      real processes, in simulated time only their decision logic runs.</p>";
 
 /// Escapes text for HTML.
@@ -43,7 +43,7 @@
     append!(
         page,
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{0}</title><style>{STYLE}</style>\
-         <h1>{0}</h1><p>{1}</p>{SIMULATION_NOTE}",
+         <h1>{0}</h1><p>{1}</p>{EMULATION_NOTE}",
         escaped(title),
         escaped(about)
     );
--- a/lab/src/simulated/defect.rs
+++ b/lab/src/simulated/defect.rs
@@ -14,6 +14,6 @@
     IgnoresEndpointUpdates,
     /// Every attempt goes to the active server that started most recently.
     PrefersNewestServer,
-    /// The controller is told that each request takes almost no units, so that it exceeds the quotas.
+    /// The controller receives each request with almost no units, so that it exceeds the quotas.
     UndercountsUnits,
 }
--- a/lab/src/simulated/mod.rs
+++ b/lab/src/simulated/mod.rs
@@ -26,7 +26,7 @@
 use std::time::Duration;
 
 /// The time that the rule checker allows for messages in transit.
-const CHECK_TOLERANCE: Duration = Duration::from_millis(50);
+const CHECK_SLACK: Duration = Duration::from_millis(50);
 
 /// The options of a simulated run.
 #[derive(Clone, Default)]
@@ -56,7 +56,7 @@
         &changed,
         seed,
         ResponseDelay::AddedByEngine,
-        CHECK_TOLERANCE,
+        CHECK_SLACK,
         replay,
     );
     let mut run = SimulatedRun::new(world, engine, variant, seed, options.defect);
--- a/lab/src/simulated/requests.rs
+++ b/lab/src/simulated/requests.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use wellcrank::port::{Request, RequestId};
 
-/// The units of each request as the controller is told them under [`InjectedDefect::UndercountsUnits`].
+/// The units that the controller receives for each request under [`InjectedDefect::UndercountsUnits`].
 const UNDERCOUNTED_UNITS: f64 = 0.001;
 
 /// The id of a client's request at the controllers.
--- a/lab/src/stats.rs
+++ b/lab/src/stats.rs
@@ -9,9 +9,9 @@
 /// A mean with its confidence interval of 95%.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Interval {
-    /// The mean.
+    /// The mean of the values, in their unit.
     pub mean: f64,
-    /// Half the width of the interval; none for fewer than two values.
+    /// Half the width of the interval, in the unit of the values; none for fewer than two values.
     pub half_width: Option<f64>,
 }
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Whether a value lies within the interval; never without a half width.
+    /// Whether a value lies within the interval. False if the half width is unknown.
     pub fn contains(&self, value: f64) -> bool {
         let tolerance = 1e-12;
         self.half_width
@@ -42,7 +42,7 @@
     }
 }
 
-/// The mean; 0 for no values.
+/// The mean of the values, or 0 if there are none.
 pub(crate) fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
--- a/lab/src/world/action.rs
+++ b/lab/src/world/action.rs
@@ -34,7 +34,7 @@
     StopGateway(usize),
     /// Start the process of the gateway with this index.
     StartGateway(usize),
-    /// Tell the gateway with this index new addresses of discovery and of the counter.
+    /// Move discovery and the counter to new addresses for the gateway with this index.
     MovePlatform(usize),
     /// Reset all connections to the counter.
     ResetCounterConnections,
--- a/lab/src/world/clients.rs
+++ b/lab/src/world/clients.rs
@@ -12,7 +12,7 @@
 /// The number of bits of a 64-bit random number that are dropped for an account name, which has 33 bits on the wire.
 const UNUSED_NAME_BITS: u32 = 31;
 
-/// The account of a customer.
+/// A customer's account: its quota, and the gateways that its requests are spread over.
 pub(crate) struct Account {
     /// Its name on the wire.
     pub(crate) name: u64,
--- a/lab/src/world/counter.rs
+++ b/lab/src/world/counter.rs
@@ -63,7 +63,7 @@
     NoAnswer,
 }
 
-/// The total of one name.
+/// The sum of the amounts that were added to one name, until the name expires.
 struct Count {
     total: f64,
     expires_at: Duration,
@@ -78,7 +78,7 @@
     call_count: u64,
 }
 
-/// The state of one counter.
+/// One of the two counters, with the mode that a fault has set and its shards.
 struct Counter {
     mode: CounterMode,
     shards: Vec<Shard>,
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -24,7 +24,7 @@
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 /// The smallest factor of a fault on the clients' patience.
 const MIN_PATIENCE_FACTOR: f64 = 0.05;
-/// The largest number of gateways by which a fault moves an account's busiest gateway on; the smallest is 1.
+/// A fault moves the busiest gateway of an account on by a random number of gateways between 1 and this.
 const MAX_GATEWAY_SHIFT: u32 = 7;
 
 /// The state of faults that have begun, needed for their later steps and their end.
@@ -425,7 +425,7 @@
         }
     }
 
-    /// Gives discovery and the counter new addresses for a share of the gateways.
+    /// Moves discovery and the counter to new addresses for a share of the gateways.
     fn move_gateways(&mut self, share: f64, actions: &mut Vec<Action>) {
         let moved = self.draw_gateways(share);
         actions.extend(moved.into_iter().map(Action::MovePlatform));
--- a/lab/src/world/requests.rs
+++ b/lab/src/world/requests.rs
@@ -144,7 +144,7 @@
     }
 
     /// Sends a request for an operation to the gateway that the load balancer routes it to. Sends none if the operation
-    /// is done or the clients' time is over.
+    /// is done, or after the time for which clients send requests.
     pub(super) fn send_request(
         &mut self,
         now: Duration,
@@ -347,7 +347,7 @@
         let rejected = &self.clients.operations[operation.0 as usize];
         let units = rejected.units;
         let account = &mut self.clients.accounts[rejected.account as usize];
-        let limit = self.experiment.plans[account.plan].concurrency_cap;
+        let limit = self.experiment.plans[account.plan].concurrency_limit;
         let has_room = account.has_room(now, units, limit);
         let has_half_room = account.has_half_room(now, units, limit);
         let second = self.metrics.second_at(now);
--- a/lab/src/world/server.rs
+++ b/lab/src/world/server.rs
@@ -30,7 +30,7 @@
 
 /// The work of one attempt at a server.
 pub(super) struct Task {
-    /// The attempt.
+    /// The attempt that the server executes the work for.
     pub(super) attempt: AttemptId,
     /// The work, in seconds on a core of speed 1.
     pub(super) work: f64,
@@ -71,7 +71,7 @@
 pub(crate) struct LoadReport {
     /// When the values were measured.
     reported_at: Duration,
-    /// The number of attempts that it executes or that wait.
+    /// The number of attempts that are being executed or wait for a core.
     pub(crate) in_flight: usize,
     /// The number of attempts that wait for a core.
     pub(crate) queued: usize,
@@ -104,7 +104,7 @@
 /// A task that has been taken from the queue and is being executed.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) struct StartedTask {
-    /// The attempt.
+    /// The attempt that is being executed.
     pub(super) attempt: AttemptId,
     /// When it will be finished.
     pub(super) done_at: Duration,
--- a/lab/src/world/token_bucket.rs
+++ b/lab/src/world/token_bucket.rs
@@ -6,9 +6,9 @@
 /// A token bucket of units.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
-    /// Units per second that flow in; 0 means that the bucket never runs out.
+    /// The refill rate, in units per second. A bucket with rate 0 never runs out.
     rate: f64,
-    /// The most units that it holds.
+    /// The largest number of units that it can hold.
     depth: f64,
     units_left: f64,
     /// When `units_left` was last updated.
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the most units that it holds.
+    /// Returns the largest number of units that it can hold.
     pub(super) fn depth(&self) -> f64 {
         self.depth
     }
--- a/tool/src/lab/run.rs
+++ b/tool/src/lab/run.rs
@@ -43,7 +43,7 @@
     /// Seeds to use in place of those in the file, such as 1,2,3.
     #[arg(long, value_delimiter = ',')]
     seeds: Vec<u64>,
-    /// Number of parallel runs. On loopback each run uses about two cores.
+    /// Number of parallel runs. On loopback each run uses up to three cores.
     #[arg(long)]
     jobs: Option<usize>,
     /// How many times at most a run on loopback is repeated if the laboratory itself ran late.
--- a/tool/src/lab/up.rs
+++ b/tool/src/lab/up.rs
@@ -27,7 +27,7 @@
     /// Number of gateways. Each gateway is a process.
     #[arg(long)]
     gateways: Option<usize>,
-    /// Number of simulated servers.
+    /// Number of emulated servers.
     #[arg(long)]
     servers: Option<usize>,
     /// Requests per second inside the quotas, over all gateways.
--- a/tool/src/lab/validate.rs
+++ b/tool/src/lab/validate.rs
@@ -20,7 +20,7 @@
     /// Experiment files, each with at least two variants.
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Number of seeds in simulated time.
+    /// Number of seeds in simulated time; at least 3 are run.
     #[arg(long, default_value_t = 20)]
     model_seeds: usize,
     /// Number of seeds on loopback.
--- a/tool/tests/command_scenario/mod.rs
+++ b/tool/tests/command_scenario/mod.rs
@@ -32,7 +32,7 @@
     output: String,
 }
 
-/// The state of one scenario.
+/// A scenario in progress, with its own folder and the commands that its steps have run or started.
 pub(crate) struct CommandScenario {
     folder: PathBuf,
     /// The file that `|` lines are appended to.
--- a/tool/tests/command_scenario/step.rs
+++ b/tool/tests/command_scenario/step.rs
@@ -2,7 +2,7 @@
 
 use crate::step_arguments::{Arguments, StepError};
 
-/// One step.
+/// One step of a scenario.
 #[derive(Debug)]
 pub(crate) enum Step {
     /// Creates an empty file of this name.
--- a/tool/tests/drawn_run/mod.rs
+++ b/tool/tests/drawn_run/mod.rs
@@ -4,7 +4,7 @@
 use nanorand::{Rng, WyRand};
 use wellcrank_lab::experiment::Experiment;
 
-/// All gateways are told new addresses of discovery and counter.
+/// Discovery and the counter move to new addresses for all gateways.
 const GATEWAYS_MOVE: &str = "kind = 'gateways-move'\nshare = 1.0";
 
 /// Faults that may be drawn, as fields of a `[[troubles]]` entry: the kind, with a share, a factor or other parameters.
