--- a/lab/src/loopback/gateways.rs
+++ b/lab/src/loopback/gateways.rs
@@ -17,8 +17,7 @@
 /// How often a starting gateway is probed for readiness.
 const PROBE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a gateway must have been ready before it is sent SIGHUP. The real platform does not send it
-/// earlier either.
+/// How long a gateway must have been ready before it is sent SIGHUP. The real platform does not send it earlier either.
 const MIN_READY_BEFORE_SIGHUP: Duration = Duration::from_secs(1);
 
 /// How long the old addresses of discovery and the counter stay open after a move.
--- a/tool/src/lab/run.rs
+++ b/tool/src/lab/run.rs
@@ -16,7 +16,7 @@
 enum EngineName {
     /// The gateways' decisions alone, in simulated time.
     Simulated,
-    /// Edge nodes as processes that communicate over sockets.
+    /// The gateways as processes that communicate over loopback sockets, in real time.
     Loopback,
 }
 
