--- a/src/control.rs
+++ b/src/control.rs
@@ -19,7 +19,7 @@
 //! | `load_balancer` | the state of the endpoints: `endpoints`, `failure_rate`, `latency`, `machine_types`, `throughput` |
 //! | `endpoint_picker` | which endpoint an attempt is sent to |
 //! | `slow_start` | how much may be sent to an endpoint that has just started |
-//! | `concurrency_limit`, `load_shedding` | how many attempts may be in flight, and which requests are shed under overload |
+//! | `concurrency_limit`, `load_shedding` | how many attempts this gateway may have in flight, and which requests are shed under overload |
 //! | `retries`, `retry_after` | whether a retry is safe, and when a rejected client is told to retry |
 //! | `timers`, `context` | the timer queue, and the settings, time and port that all modules use |
 
@@ -59,8 +59,8 @@
 };
 use crate::settings::{DiscoveryMode, Settings};
 use context::Context;
-use customer_quotas::{CustomerQuotas, GrantedLease, LeaseDenial, LeaseOutcome, Resumption};
-use leases::LeasePurpose;
+use customer_quotas::{CustomerQuotas, LeaseDenial, LeaseOutcome, QuotaDecision};
+use leases::{LeaseId, LeasePurpose};
 use load_balancer::LoadBalancer;
 use load_shedding::LoadShedder;
 use nanorand::{Rng, WyRand};
@@ -158,7 +158,7 @@
     pub fn on_request(&mut self, request: Request) {
         let id = request.id.clone();
         let customer = request.customer.clone();
-        let last_moment = request
+        let answer_by = request
             .deadline
             .saturating_sub(self.timer_slack())
             .max(self.context.now);
@@ -172,7 +172,7 @@
             return self.respond(&id, DEFAULT_RETRY_AFTER);
         }
         // Requests that are rejected at once need no timer, which would wake the gateway for nothing.
-        self.set_timer(last_moment, Timer::RequestDeadline(id.clone()));
+        self.set_timer(answer_by, Timer::RequestDeadline(id.clone()));
         self.acquire_lease(&id, LeasePurpose::FirstAttempt);
     }
 
@@ -201,13 +201,13 @@
     /// Handles the counter's reply to the oldest unanswered call with this name.
     pub fn on_counter_reply(&mut self, name: CounterName, reply: CounterReply) {
         match self.quotas.on_counter_reply(&mut self.context, name, reply) {
-            Some(Resumption::Lease {
+            Some(QuotaDecision::Lease {
                 request,
                 customer,
                 purpose,
                 outcome,
             }) => self.on_lease_outcome(&request, &customer, purpose, outcome),
-            Some(Resumption::Block {
+            Some(QuotaDecision::Block {
                 customer,
                 granted,
                 waiting,
@@ -315,7 +315,8 @@
     }
 
     /// Returns whether a request is shed. A random fraction of one attempt is added to the attempts in flight: where
-    /// the limit is only a few attempts, the share of requests that is shed then still grows gradually with the load.
+    /// the adaptive concurrency limit is only a few attempts, the share of requests that is shed then still grows
+    /// gradually with the load.
     fn should_shed(&mut self, id: &RequestId) -> bool {
         let Some(open) = self.requests.get(id) else {
             return false;
@@ -362,7 +363,7 @@
     }
 
     /// Reserves the units of a request, the second step of its first attempt.
-    fn reserve_units(&mut self, id: &RequestId, customer: &CustomerId, lease: GrantedLease) {
+    fn reserve_units(&mut self, id: &RequestId, customer: &CustomerId, lease: Option<LeaseId>) {
         let Some(open) = self.requests.get_mut(id) else {
             return self
                 .quotas
@@ -380,7 +381,7 @@
     }
 
     /// Releases the lease and ends the request, because its units could not be reserved.
-    fn reject_unreserved(&mut self, id: &RequestId, customer: &CustomerId, lease: GrantedLease) {
+    fn reject_unreserved(&mut self, id: &RequestId, customer: &CustomerId, lease: Option<LeaseId>) {
         self.quotas
             .release_lease(&mut self.context, customer, lease);
         self.respond(id, self.until_quota_refills(customer));
@@ -389,7 +390,7 @@
     /// Sends an attempt if the rules permit it, otherwise ends the request. All attempts pass through here, so this is
     /// where the rules on closed requests, repeated execution, draining endpoints, slow start and ceilings are
     /// enforced.
-    fn send_attempt(&mut self, id: &RequestId, customer: &CustomerId, lease: GrantedLease) {
+    fn send_attempt(&mut self, id: &RequestId, customer: &CustomerId, lease: Option<LeaseId>) {
         if !self.requests.contains_key(id) {
             return self
                 .quotas
@@ -413,21 +414,21 @@
         // The generator advances only if the attempt may be sent.
         let mut rng = self.rng.clone();
         let endpoint = self.balancer.pick(&self.context, &mut rng, open, &guard)?;
-        if !self.passes_ceiling(id) {
+        if !self.try_take_from_ceiling(id) {
             return None;
         }
         self.rng = rng;
         Some(AttemptTarget { endpoint, send_by })
     }
 
-    /// Returns whether the hard ceiling of the plan permits the request's next attempt. The first attempt takes the
-    /// request's units from the ceiling; retries take none.
-    fn passes_ceiling(&mut self, id: &RequestId) -> bool {
+    /// Takes the request's units from the hard ceiling of its plan before the first attempt; retries take none. Returns
+    /// whether the next attempt may be sent.
+    fn try_take_from_ceiling(&mut self, id: &RequestId) -> bool {
         let Some(open) = self.requests.get(id) else {
             return false;
         };
         open.attempts > 0
-            || self.quotas.try_pass_ceiling(
+            || self.quotas.try_take_from_ceiling(
                 &self.context,
                 &open.request,
                 open.is_uncounted,
@@ -436,8 +437,8 @@
     }
 
     /// Ends a request whose next attempt can't be sent: releases the attempt's lease and, if there was no earlier
-    /// attempt, gives the request's units back.
-    fn abandon_attempt(&mut self, id: &RequestId, customer: &CustomerId, lease: GrantedLease) {
+    /// attempt, refunds the request's units.
+    fn abandon_attempt(&mut self, id: &RequestId, customer: &CustomerId, lease: Option<LeaseId>) {
         self.quotas
             .release_lease(&mut self.context, customer, lease);
         if let Some(open) = self.requests.get(id).filter(|open| open.attempts == 0) {
@@ -448,7 +449,7 @@
     }
 
     /// Sends an attempt that has its target and its lease.
-    fn start_attempt(&mut self, id: &RequestId, target: &AttemptTarget, lease: GrantedLease) {
+    fn start_attempt(&mut self, id: &RequestId, target: &AttemptTarget, lease: Option<LeaseId>) {
         let Some(open) = self.requests.get_mut(id) else {
             return;
         };
@@ -472,14 +473,14 @@
             lease,
             units: open.request.units,
             is_uncounted: open.is_uncounted,
-            units_spent_before: open.units_spent,
+            was_delivered_before: open.was_delivered,
         };
         self.attempts.insert((id.clone(), number), attempt);
     }
 
     /// Settles the units of an attempt that has ended. If the result states the units that the request took, the
     /// difference from the estimate is charged. If the request has closed meanwhile and none of its attempts was
-    /// delivered to an endpoint, its units are given back.
+    /// delivered to an endpoint, its units are refunded.
     fn settle_attempt(
         &mut self,
         id: &RequestId,
@@ -493,8 +494,8 @@
         }
         let was_delivered = retries::was_delivered(result.outcome);
         match self.requests.get_mut(id) {
-            Some(open) => open.units_spent |= was_delivered,
-            None if !was_delivered && !attempt.units_spent_before => {
+            Some(open) => open.was_delivered |= was_delivered,
+            None if !was_delivered && !attempt.was_delivered_before => {
                 self.quotas
                     .settle_units(&attempt.customer, -attempt.units, attempt.is_uncounted)
             }
@@ -530,15 +531,15 @@
         }
     }
 
-    /// Closes a request and returns its record. Cancels the attempt in flight if the deployment permits that. If no
-    /// attempt is in flight and none was delivered to an endpoint, gives the units of the attempts back.
+    /// Closes a request and returns its record. Cancels the attempt in flight if the deployment permits that. Refunds the
+    /// request's units if attempts were started but none is in flight and none was delivered to an endpoint.
     fn close_request(&mut self, id: &RequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(id)?;
         match open.in_flight {
             Some(number) if self.context.settings.limits.may_cancel => {
                 self.context.port.cancel(id, number);
             }
-            None if open.attempts > 0 && !open.units_spent => {
+            None if open.attempts > 0 && !open.was_delivered => {
                 let units = open.request.units;
                 self.quotas
                     .settle_units(&open.request.customer, -units, open.is_uncounted);
@@ -562,7 +563,7 @@
         }
     }
 
-    /// Returns the retry delay for a customer whose attempts in flight have reached the limit of its plan.
+    /// Returns the retry-after for a customer whose attempts in flight have reached the concurrency limit of its plan.
     fn until_lease_is_free(&self, id: &RequestId, denial: &LeaseDenial) -> Duration {
         let baseline = self
             .requests
@@ -571,7 +572,7 @@
         retry_after::until_lease_is_free(baseline, denial.excess_attempts)
     }
 
-    /// Returns the retry delay for a customer whose rate quota is exhausted.
+    /// Returns the retry-after for a customer whose rate quota is exhausted.
     fn until_quota_refills(&self, customer: &CustomerId) -> Duration {
         let rejected_until = self.quotas.rejected_until(customer);
         retry_after::until_quota_refills(rejected_until, self.context.now)
--- a/src/control/ceiling.rs
+++ b/src/control/ceiling.rs
@@ -14,7 +14,7 @@
 impl Ceiling {
     /// Takes units from the ceiling of `plan` and returns whether they were available, which they always are if the plan has
     /// no ceiling. The bucket is assumed to have been empty when the gateway started (`started_at`), because a previous
-    /// process may have spent it.
+    /// process may have used it up.
     pub(super) fn try_take(
         &mut self,
         plan: &Plan,
--- a/src/control/concurrency_limit.rs
+++ b/src/control/concurrency_limit.rs
@@ -1,10 +1,11 @@
-//! The adaptive limit on this gateway's attempts in flight at all endpoints, adjusted by their latency.
+//! The adaptive concurrency limit: the limit on this gateway's attempts in flight at all endpoints, adjusted by their
+//! outcomes and latency. It is independent of the concurrency limits of the plans.
 
 use crate::port::{AttemptOutcome, AttemptResult};
 use std::time::Duration;
 
-/// The initial limit in attempts in flight per endpoint, from all gateways together.
-pub(super) const INITIAL_LIMIT_PER_ENDPOINT: f64 = 16.0;
+/// The initial limit on the attempts in flight per endpoint, from all gateways together.
+pub(super) const INITIAL_ATTEMPTS_PER_ENDPOINT: f64 = 16.0;
 
 /// A response within this share of the latency target is fast.
 const FAST_LATENCY_RATIO: f64 = 0.25;
@@ -30,7 +31,7 @@
 /// Counts the attempts in flight and adjusts the limit on them.
 pub(super) struct ConcurrencyLimiter {
     in_flight: f64,
-    /// Infinite until the first attempt ends.
+    /// In attempts; infinite until the first attempt ends.
     limit: f64,
 }
 
@@ -67,8 +68,8 @@
         self.in_flight += 1.0;
     }
 
-    /// Records the end of an attempt. Fast responses raise the limit; a full step up is one attempt per endpoint, from all
-    /// gateways together. Responses that are not fast, timeouts, rejections by the endpoint and connection failures lower
+    /// Records the end of an attempt. Fast responses raise the limit if enough of it is in use; a full step up is one attempt
+    /// per endpoint, from all gateways together. Responses that are not fast, timeouts, rejections by the endpoint and connection failures lower
     /// it, down to one attempt per endpoint.
     pub(super) fn on_attempt_end(
         &mut self,
@@ -77,7 +78,7 @@
         fleet: FleetShare,
     ) {
         if !self.limit.is_finite() {
-            self.limit = INITIAL_LIMIT_PER_ENDPOINT * fleet.endpoints * fleet.gateway_share;
+            self.limit = INITIAL_ATTEMPTS_PER_ENDPOINT * fleet.endpoints * fleet.gateway_share;
         }
         let step_size = (STEPS_PER_ROUND / self.limit).min(1.0);
         match self.step(result, latency_target) {
--- a/src/control/counter_names.rs
+++ b/src/control/counter_names.rs
@@ -21,7 +21,7 @@
     pub(super) starts_at: Duration,
 }
 
-/// The number of the first interval. Lower numbers are free for "no interval".
+/// The number of the first interval. 0 stands for no interval, and 1 is not used because it would seem to follow 0.
 const FIRST_INTERVAL_NUMBER: u64 = 2;
 
 /// Returns the customer's interval of the given length that contains the time `at`. Intervals of different customers start
--- a/src/control/customer_quotas.rs
+++ b/src/control/customer_quotas.rs
@@ -18,11 +18,8 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// The lease of an attempt, or `None` if the plan has no concurrency limit.
-pub(super) type GrantedLease = Option<LeaseId>;
-
-/// The lease of an attempt, or the reason for which it was denied.
-pub(super) type LeaseOutcome = Result<GrantedLease, LeaseDenial>;
+/// The lease of an attempt (`None` if the plan has no concurrency limit), or why it was denied.
+pub(super) type LeaseOutcome = Result<Option<LeaseId>, LeaseDenial>;
 
 /// A lease was denied because the customer's attempts in flight have reached the concurrency limit.
 pub(super) struct LeaseDenial {
@@ -31,8 +28,8 @@
     pub(super) excess_attempts: f64,
 }
 
-/// A decision that was waiting for a reply of the counter.
-pub(super) enum Resumption {
+/// A decision on a request or on a customer's waiting requests that needed the counter's reply.
+pub(super) enum QuotaDecision {
     /// The lease of a request's next attempt was granted or denied.
     Lease {
         request: RequestId,
@@ -89,7 +86,7 @@
         self.counter.is_circuit_open(now)
     }
 
-    /// Records the demand of a new request. Returns whether the customer's quota is known to be spent, so that the request
+    /// Records the demand of a new request. Returns whether the customer's quota is known to be exhausted, so that the request
     /// can be rejected without a call on the counter.
     pub(super) fn record_request(&mut self, context: &Context, request: &Request) -> bool {
         let settings = &context.settings;
@@ -105,8 +102,8 @@
         };
         let customer = self.customers.get_or_insert(&request.customer);
         customer.record_request(context.now, request, gateway_rank, terms.window_seconds);
-        let even_split = quota / customer.place.gateway_count;
-        let has_small_quota = even_split < request.units;
+        let even_share = quota / customer.place.gateway_count;
+        let has_small_quota = even_share < request.units;
         self.counter
             .pacer
             .record_request(has_small_quota, settings.value_of(request));
@@ -299,7 +296,7 @@
         &mut self,
         context: &mut Context,
         customer_id: &CustomerId,
-        lease: GrantedLease,
+        lease: Option<LeaseId>,
     ) {
         let Some(lease) = lease else {
             return;
@@ -323,7 +320,7 @@
         &mut self,
         context: &mut Context,
         request: &Request,
-        lease: GrantedLease,
+        lease: Option<LeaseId>,
     ) -> Reservation {
         let now = context.now;
         let terms = RateTerms::of(context.settings.plan(&request.plan));
@@ -445,11 +442,11 @@
         context: &mut Context,
         name: CounterName,
         reply: CounterReply,
-    ) -> Option<Resumption> {
+    ) -> Option<QuotaDecision> {
         match self.counter.on_reply(context, name, reply)? {
             CallPurpose::AcquireLease(customer, acquisition) => {
                 let outcome = self.decide_lease(context, &customer, &acquisition, reply);
-                Some(Resumption::Lease {
+                Some(QuotaDecision::Lease {
                     request: acquisition.request,
                     customer,
                     purpose: acquisition.purpose,
@@ -459,7 +456,7 @@
             CallPurpose::LeaseBlock(customer, block) => {
                 let granted = self.on_block_reply(context, &customer, &block, reply);
                 let waiting = self.customers.get_or_insert(&customer).quota.take_waiting();
-                Some(Resumption::Block {
+                Some(QuotaDecision::Block {
                     customer,
                     granted,
                     waiting,
@@ -485,7 +482,7 @@
     /// are without a ceiling. The units of a request that the counter does not count are charged once for each of the
     /// customer's gateways, because the other gateways can't see them. `started_at` is the time at which the gateway
     /// started.
-    pub(super) fn try_pass_ceiling(
+    pub(super) fn try_take_from_ceiling(
         &mut self,
         context: &Context,
         request: &Request,
--- a/src/control/endpoint_picker.rs
+++ b/src/control/endpoint_picker.rs
@@ -43,8 +43,8 @@
     pub(super) route_failure_rate: f64,
     /// The latency ratios of the machine types.
     pub(super) machine_types: &'a MachineTypeLatencies,
-    /// The limit on this gateway's attempts in flight.
-    pub(super) concurrency_limit: f64,
+    /// The adaptive limit on this gateway's attempts in flight at all endpoints.
+    pub(super) adaptive_limit: f64,
 }
 
 impl EndpointPicker<'_> {
@@ -82,12 +82,12 @@
     }
 
     /// Returns whether an endpoint has capacity for one more attempt of this gateway. Its capacity is an equal share
-    /// of the concurrency limit, reduced in slow start, but at least one attempt. In slow start the endpoint must also
+    /// of the adaptive limit, reduced in slow start, but at least one attempt. In slow start the endpoint must also
     /// have a permit left.
     fn has_capacity(&self, endpoint: &EndpointRecord) -> bool {
         let subset_size = self.endpoints.subset().len().max(1) as f64;
         let equal_share =
-            self.concurrency_limit / subset_size * self.slow_start.capacity_factor(endpoint);
+            self.adaptive_limit / subset_size * self.slow_start.capacity_factor(endpoint);
         self.slow_start.may_send(endpoint) && f64::from(endpoint.in_flight) < equal_share.max(1.0)
     }
 
--- a/src/control/endpoint_picker/tests.rs
+++ b/src/control/endpoint_picker/tests.rs
@@ -18,14 +18,14 @@
     let load = SubsetLoad {
         attempt_rate: 0.0,
         in_flight: 0.0,
-        concurrency_limit: 6.0,
-        max_per_endpoint: 16.0,
+        adaptive_limit: 6.0,
+        max_in_flight_per_endpoint: 16.0,
     };
     table.refresh_subset(NOW, &Settings::default(), load);
     table
 }
 
-/// Returns how often each endpoint is picked for 200 attempts, with a concurrency limit of six attempts.
+/// Returns how often each endpoint is picked for 200 attempts, with an adaptive limit of six attempts.
 fn pick_counts(table: &EndpointTable, last_endpoint: Option<&str>) -> BTreeMap<String, u32> {
     let open = open_request(Route::default());
     let guard = RepeatGuard::of(&open, Duration::ZERO);
@@ -44,7 +44,7 @@
         },
         route_failure_rate: 0.0,
         machine_types: &MachineTypeLatencies::default(),
-        concurrency_limit: 6.0,
+        adaptive_limit: 6.0,
     };
     let mut rng = WyRand::new_seed(1);
     let mut counts = BTreeMap::new();
--- a/src/control/endpoints.rs
+++ b/src/control/endpoints.rs
@@ -86,10 +86,10 @@
     pub(super) attempt_rate: f64,
     /// This gateway's attempts in flight.
     pub(super) in_flight: f64,
-    /// The limit on this gateway's attempts in flight at all endpoints.
-    pub(super) concurrency_limit: f64,
+    /// The adaptive limit on this gateway's attempts in flight at all endpoints.
+    pub(super) adaptive_limit: f64,
     /// The upper bound of the limit on this gateway's attempts in flight at one endpoint.
-    pub(super) max_per_endpoint: f64,
+    pub(super) max_in_flight_per_endpoint: f64,
 }
 
 /// The endpoint list, the ring on which the endpoints are ordered, and the subset that this gateway uses.
@@ -257,12 +257,12 @@
     pub(super) fn refresh_subset(&mut self, now: Duration, settings: &Settings, load: SubsetLoad) {
         let idle_timeout = settings.limits.idle_timeout.as_secs_f64();
         let endpoints = self.ring.len();
-        let limit_per_endpoint = load.concurrency_limit / self.subset.len().max(1) as f64;
+        let limit_per_endpoint = load.adaptive_limit / self.subset.len().max(1) as f64;
         let needed = SubsetSizing {
             attempt_rate: load.attempt_rate,
             idle_timeout_seconds: idle_timeout,
             in_flight: load.in_flight,
-            max_in_flight_per_endpoint: limit_per_endpoint.min(load.max_per_endpoint),
+            max_in_flight_per_endpoint: limit_per_endpoint.min(load.max_in_flight_per_endpoint),
         };
         let size = if idle_timeout > 0.0 {
             needed.size(endpoints)
--- a/src/control/load_balancer.rs
+++ b/src/control/load_balancer.rs
@@ -1,7 +1,7 @@
 //! The load balancer: the endpoints that this gateway uses, what it has observed of them, and how many attempts may be
 //! in flight at them.
 
-use super::concurrency_limit::{ConcurrencyLimiter, FleetShare, INITIAL_LIMIT_PER_ENDPOINT};
+use super::concurrency_limit::{ConcurrencyLimiter, FleetShare, INITIAL_ATTEMPTS_PER_ENDPOINT};
 use super::context::Context;
 use super::endpoint_picker::EndpointPicker;
 use super::endpoints::{EndpointTable, SubsetLoad, UpdateReceipt};
@@ -26,7 +26,7 @@
     /// The baseline latencies of the routes.
     latencies: BaselineLatencies,
     machine_types: MachineTypeLatencies,
-    /// The limit on attempts in flight at all endpoints.
+    /// The adaptive limit on attempts in flight at all endpoints.
     limiter: ConcurrencyLimiter,
     attempt_rate: AttemptRate,
     answer_rate: AnswerRate,
@@ -85,8 +85,8 @@
         let load = SubsetLoad {
             attempt_rate: self.attempt_rate.per_second(),
             in_flight: self.limiter.in_flight(),
-            concurrency_limit: self.limiter.limit(),
-            max_per_endpoint: INITIAL_LIMIT_PER_ENDPOINT,
+            adaptive_limit: self.limiter.limit(),
+            max_in_flight_per_endpoint: INITIAL_ATTEMPTS_PER_ENDPOINT,
         };
         self.endpoints
             .refresh_subset(context.now, &context.settings, load);
@@ -116,7 +116,7 @@
             slow_start: self.slow_start(context),
             route_failure_rate: self.failures.overall_rate(route, context.now),
             machine_types: &self.machine_types,
-            concurrency_limit: self.limiter.limit(),
+            adaptive_limit: self.limiter.limit(),
         };
         picker.pick(rng)
     }
@@ -162,7 +162,7 @@
         Some(StartedAttempt { sent, send_by })
     }
 
-    /// Records the result of an attempt for its endpoint, its route and the concurrency limit.
+    /// Records the result of an attempt for its endpoint, its route and the adaptive concurrency limit.
     pub(super) fn on_attempt_end(
         &mut self,
         context: &Context,
--- a/src/control/load_shedding.rs
+++ b/src/control/load_shedding.rs
@@ -1,7 +1,7 @@
 //! Load shedding: under overload, the requests with the least value per second of work are rejected first, before they
 //! cause calls on the counter.
 
-/// The share of the concurrency limit in use above which requests are shed.
+/// The share of the adaptive concurrency limit in use above which requests are shed.
 const SHED_ABOVE_USE_RATIO: f64 = 0.6;
 
 /// The weight of one request in the moving average of the priorities.
@@ -29,8 +29,8 @@
 }
 
 impl LoadShedder {
-    /// Returns whether a request with this priority is shed while the share `use_ratio` of the concurrency limit is in
-    /// use.
+    /// Returns whether a request with this priority is shed while the share `use_ratio` of the adaptive concurrency
+    /// limit is in use.
     pub(super) fn should_shed(&self, priority: f64, use_ratio: f64) -> bool {
         let overload = (use_ratio - SHED_ABOVE_USE_RATIO) / (1.0 - SHED_ABOVE_USE_RATIO);
         let required = overload * self.mean_priority;
--- a/src/control/rate_pacer.rs
+++ b/src/control/rate_pacer.rs
@@ -52,7 +52,9 @@
 /// The capacity for tokens is at least this large, whatever the rate.
 const MIN_BURST_TOKENS: f64 = 4.0;
 
-/// Calls are paced if at least this share of the requests is larger than the even split of its customer's quota.
+/// Calls are paced if at least this share of the requests is larger than the even share of its customer's quota, which is
+/// the quota divided by the number of the customer's gateways. The quota is the burst of the plan, or its concurrency limit
+/// if the plan has no rate quota.
 const SMALL_QUOTA_THRESHOLD: f64 = 0.5;
 
 /// The weight of one request in the moving average of the share of small quotas.
@@ -61,7 +63,7 @@
 /// The weight of one request in the moving average of request values.
 const VALUE_SMOOTHING: f64 = 0.05;
 
-/// The minimum mean value in quotients; prevents a division by zero.
+/// The lowest mean value that is used as a divisor; prevents a division by zero.
 const MIN_MEAN_VALUE: f64 = 1e-9;
 
 /// Paces the calls on the counter.
@@ -78,7 +80,7 @@
     /// When an error last decreased the rate; zero before the first decrease.
     last_decrease_at: Duration,
     decreases_since_success: u32,
-    /// The share of recent requests that are larger than the even split of their customer's quota.
+    /// The share of recent requests that are larger than the even share of their customer's quota.
     small_quota_ratio: f64,
     /// The mean value of recent requests.
     mean_value: f64,
@@ -100,20 +102,20 @@
         }
     }
 
-    /// Records a request: its value, and whether it is larger than the even split of its customer's quota.
+    /// Records a request: its value, and whether it is larger than the even share of its customer's quota.
     pub(super) fn record_request(&mut self, has_small_quota: bool, value: f64) {
         let small = f64::from(u8::from(has_small_quota));
         self.small_quota_ratio += (small - self.small_quota_ratio) * SMALL_QUOTA_SMOOTHING;
         self.mean_value += (value - self.mean_value) * VALUE_SMOOTHING;
     }
 
-    /// Returns whether at least half of the recent requests are larger than the even split of their customer's quota.
+    /// Returns whether at least half of the recent requests are larger than the even share of their customer's quota.
     pub(super) fn quotas_are_small(&self) -> bool {
         self.small_quota_ratio >= SMALL_QUOTA_THRESHOLD
     }
 
     /// Returns the share of the tokens that a call must leave in reserve if it serves `requests` requests of this value
-    /// each: 0 or less if their value is at least the mean value of a request, 1 if they have no value.
+    /// each: 0 or less if their total value is at least the mean value of one request, 1 if they have no value.
     pub(super) fn reserve_ratio(&self, value: f64, requests: f64) -> f64 {
         1.0 - value * requests / self.mean_value.max(MIN_MEAN_VALUE)
     }
--- a/src/control/rate_quota.rs
+++ b/src/control/rate_quota.rs
@@ -149,7 +149,7 @@
 pub(super) struct CallBudget {
     /// Whether a call can be spared to return units.
     pub(super) has_spare_calls: bool,
-    /// Whether an even split of the quota over the gateways is less than a request for most requests.
+    /// Whether at least half of the recent requests are larger than the even share of their customer's quota.
     pub(super) quotas_are_small: bool,
 }
 
@@ -192,11 +192,11 @@
             return Reservation::Counted;
         }
         let units = demand.units;
-        let even_split = terms.burst / demand.gateway_count;
-        let start_units = if terms.has_ceiling { 0.0 } else { even_split };
+        let even_share = terms.burst / demand.gateway_count;
+        let start_units = if terms.has_ceiling { 0.0 } else { even_share };
         let refill = Refill {
             rate: terms.rate / demand.gateway_count,
-            capacity: even_split.max(units),
+            capacity: even_share.max(units),
         };
         let local_quota = self
             .local_quota
@@ -218,7 +218,7 @@
             local_quota.refund(if fits_locally { units } else { 0.0 });
             return Reservation::AwaitsBlock;
         }
-        // With many gateways the even split may be less than one unit. Customers of low demand may exceed it, because
+        // With many gateways the even share may be less than one unit. Customers of low demand may exceed it, because
         // otherwise none of their requests could pass.
         let has_low_demand =
             !terms.has_ceiling && demand.previous_total_demand < terms.rate * LOW_DEMAND_RATIO;
@@ -241,8 +241,8 @@
     }
 
     /// Returns the size of the block to lease for a request, in whole units. It is the recent demand of one window, limited
-    /// to the even split over the gateways; the first block is the even split. While calls are scarce, it is the demand
-    /// of half a window. It covers at least the request, and units that are already leased are deducted.
+    /// to this gateway's even share of the burst; the first block is the even share. While calls are scarce, it is the
+    /// demand of half a window. It covers at least the request, and units that are already leased are deducted.
     pub(super) fn block_size(
         &self,
         terms: &RateTerms,
@@ -250,13 +250,13 @@
         has_spare_calls: bool,
     ) -> f64 {
         let window_demand = demand.local_demand * terms.window_length().as_secs_f64();
-        let even_split = terms.burst / demand.gateway_count;
+        let even_share = terms.burst / demand.gateway_count;
         let wanted = if !has_spare_calls {
             window_demand * SCARCE_BLOCK_WINDOWS
         } else if self.bucket.has_entered_window() {
-            even_split.min(window_demand)
+            even_share.min(window_demand)
         } else {
-            even_split
+            even_share
         };
         (wanted.max(demand.units) - self.leased_units).ceil()
     }
@@ -316,7 +316,7 @@
     }
 
     /// Returns the time until which a customer is rejected whose bucket does not hold the units: until the bucket has
-    /// refilled, but for no more than half a window. If calls are scarce and the even split is less than a request, until
+    /// refilled, but for no more than half a window. If calls are scarce and the quotas are small (see [`CallBudget`]), until
     /// the end of the window.
     fn rejection_end(
         &self,
--- a/src/control/rate_quota/tests.rs
+++ b/src/control/rate_quota/tests.rs
@@ -12,7 +12,7 @@
     has_ceiling: false,
 };
 
-/// The demand at one of two gateways, whose even split is 4 units.
+/// The demand at one of two gateways, whose even share is 4 units.
 fn demand(units: f64, previous_total_demand: f64, local_demand: f64) -> UnitDemand {
     UnitDemand {
         units,
@@ -89,9 +89,9 @@
 }
 
 #[test]
-fn block_is_sized_by_demand_within_the_even_split() {
+fn block_is_sized_by_demand_within_the_even_share() {
     for (quota, local_demand, has_spare_calls, size) in [
-        // The first block is the even split. Later ones are the demand of a window of 4 s, limited to 4 units, but they
+        // The first block is the even share. Later ones are the demand of a window of 4 s, limited to 4 units, but they
         // cover the request of 3 units.
         (RateQuota::default(), 0.1, true, 4.0),
         (quota_with(0.0), 0.9, true, 4.0),
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -15,7 +15,8 @@
     pub(super) received_at: Duration,
     /// The number of attempts that were started.
     pub(super) attempts: u32,
-    /// Whether its units are not counted on the shared counter, because they were reserved from the local quota.
+    /// Whether its units are treated as not counted on the shared counter: they were reserved without the counter, or the
+    /// circuit breaker was open when the request was received.
     pub(super) is_uncounted: bool,
     /// The attempt in flight. There is at most one.
     pub(super) in_flight: Option<AttemptNumber>,
@@ -23,8 +24,8 @@
     pub(super) last_endpoint: Option<EndpointId>,
     /// The first attempt that may have run.
     pub(super) first_execution: Option<SentAttempt>,
-    /// Whether an attempt was delivered to an endpoint completely, so that the request's units are used.
-    pub(super) units_spent: bool,
+    /// Whether an attempt was delivered to an endpoint completely. The request's units are then not refunded.
+    pub(super) was_delivered: bool,
 }
 
 impl OpenRequest {
@@ -44,7 +45,7 @@
             in_flight: None,
             last_endpoint: None,
             first_execution: None,
-            units_spent: false,
+            was_delivered: false,
         }
     }
 
@@ -84,12 +85,12 @@
     pub(super) route: RouteName,
     /// The customer that sent its request.
     pub(super) customer: CustomerId,
-    /// The concurrency lease, or `None` if the plan has no concurrency quota.
+    /// The concurrency lease, or `None` if the plan has no concurrency limit.
     pub(super) lease: Option<LeaseId>,
     /// The units that were charged for the request.
     pub(super) units: f64,
     /// Whether these units are not counted on the shared counter.
     pub(super) is_uncounted: bool,
     /// Whether an earlier attempt of the request was delivered to an endpoint completely.
-    pub(super) units_spent_before: bool,
+    pub(super) was_delivered_before: bool,
 }
--- a/src/port.rs
+++ b/src/port.rs
@@ -216,7 +216,7 @@
     pub outcome: AttemptOutcome,
     /// The time from sending the attempt to its end.
     pub latency: Duration,
-    /// Whether the request is closed, because of this outcome or already before it: it needs no further answer.
+    /// Whether the request needs no further answer: this outcome has closed it, or it was closed before.
     pub request_closed: bool,
     /// The units that the request actually took, if they are settled after the attempt.
     pub settled_units: Option<f64>,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -126,7 +126,7 @@
     pub rate: f64,
     /// The capacity of the token bucket in units.
     pub burst: f64,
-    /// The maximum number of a customer's upstream attempts in flight; 0 means that the plan has no concurrency quota.
+    /// The maximum number of a customer's upstream attempts in flight; 0 means that the plan has no concurrency limit.
     pub concurrency_limit: f64,
     /// The factor by which the value of a route is multiplied.
     pub price: f64,
