--- a/fault-injection/src/layout.rs
+++ b/fault-injection/src/layout.rs
@@ -39,13 +39,13 @@
     MaxReadBytes,
     /// The maximum number of bytes that one write sends; 0 means no limit.
     MaxWriteBytes,
-    /// The number of next writes that are delayed.
+    /// How many of the next writes are delayed.
     StalledWrites,
     /// The delay of each of these writes, in milliseconds.
     StallMilliseconds,
     /// The error number (`errno`) with which a system call fails.
     ErrorNumber(SystemCall),
-    /// The number of next calls of a system call that fail with its error number.
+    /// How many of the next calls of a system call fail with its error number.
     FailureCount(SystemCall),
 }
 
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -178,7 +178,7 @@
     )
 }
 
-/// Reads at most the limit of bytes from a socket, unless the call must fail.
+/// Reads from a socket, at most [`Slot::MaxReadBytes`] bytes if that limit is set, unless the call must fail.
 ///
 /// # Safety
 /// The caller keeps the contract of recv(2).
@@ -202,7 +202,8 @@
     )
 }
 
-/// Writes at most the limit of bytes to a socket, unless the call must fail. The write may be delayed first.
+/// Writes to a socket, at most [`Slot::MaxWriteBytes`] bytes if that limit is set, unless the call must fail. The write
+/// may be delayed first.
 ///
 /// # Safety
 /// The caller keeps the contract of send(2).
--- a/src/control.rs
+++ b/src/control.rs
@@ -531,8 +531,8 @@
         }
     }
 
-    /// Closes a request and returns its record. Cancels the attempt in flight if the deployment permits that. Refunds the
-    /// request's units if attempts were started but none is in flight and none was delivered to an endpoint.
+    /// Closes a request and returns its record. Cancels the attempt in flight if the deployment permits that. Refunds
+    /// the request's units if attempts were started but none is in flight and none was delivered to an endpoint.
     fn close_request(&mut self, id: &RequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(id)?;
         match open.in_flight {
--- a/src/control/concurrency_limit.rs
+++ b/src/control/concurrency_limit.rs
@@ -68,9 +68,9 @@
         self.in_flight += 1.0;
     }
 
-    /// Records the end of an attempt. Fast responses raise the limit if enough of it is in use; a full step up is one attempt
-    /// per endpoint, from all gateways together. Responses that are not fast, timeouts, rejections by the endpoint and connection failures lower
-    /// it, down to one attempt per endpoint.
+    /// Records the end of an attempt. Fast responses raise the limit if enough of it is in use; a full step up is one
+    /// attempt per endpoint, from all gateways together. Responses that are not fast, timeouts, rejections by the endpoint and
+    /// connection failures lower it, down to one attempt per endpoint from all gateways together.
     pub(super) fn on_attempt_end(
         &mut self,
         result: &AttemptResult,
--- a/src/control/customer_quotas.rs
+++ b/src/control/customer_quotas.rs
@@ -86,8 +86,8 @@
         self.counter.is_circuit_open(now)
     }
 
-    /// Records the demand of a new request. Returns whether the customer's quota is known to be exhausted, so that the request
-    /// can be rejected without a call on the counter.
+    /// Records the demand of a new request. Returns whether the customer's quota is known to be exhausted, so that the
+    /// request can be rejected without a call on the counter.
     pub(super) fn record_request(&mut self, context: &Context, request: &Request) -> bool {
         let settings = &context.settings;
         let plan = settings.plan(&request.plan);
--- a/src/control/rate_pacer.rs
+++ b/src/control/rate_pacer.rs
@@ -13,7 +13,7 @@
 /// The minimum rate of calls of one gateway.
 const MIN_CALLS_PER_SECOND: f64 = 0.5;
 
-/// The increase of the rate for each prompt reply below the slow-start threshold.
+/// The increase of the rate for each prompt reply below the threshold of the fast increase.
 const FAST_INCREASE_CALLS_PER_SECOND: f64 = 1.0;
 
 /// The increase of the rate for each prompt reply above the threshold, or [`INCREASE_RATIO`] of the rate if that is more.
@@ -28,11 +28,12 @@
 /// The constant part of the limit on the rate; see [`MAX_RATE_FACTOR`].
 const RATE_HEADROOM_CALLS_PER_SECOND: f64 = 4.0;
 
-/// An error reduces the rate to this share of the recent rate of calls.
+/// An error reduces the rate to this share of the recent rate of calls, or of the permitted rate if that is lower.
 const DECREASE_FACTOR: f64 = 0.6;
 
-/// The slow-start threshold after an error, as a share of the recent rate of calls.
-const SLOW_START_THRESHOLD_FACTOR: f64 = 0.5;
+/// The threshold of the fast increase after an error, as a share of the recent rate of calls, or of the permitted rate if
+/// that is lower.
+const FAST_INCREASE_THRESHOLD_FACTOR: f64 = 0.5;
 
 /// A reply within this share of the counter's timeout is prompt.
 const PROMPT_TIMEOUT_RATIO: f64 = 0.7;
@@ -52,9 +53,9 @@
 /// The capacity for tokens is at least this large, whatever the rate.
 const MIN_BURST_TOKENS: f64 = 4.0;
 
-/// Calls are paced if at least this share of the requests is larger than the even share of its customer's quota, which is
-/// the quota divided by the number of the customer's gateways. The quota is the burst of the plan, or its concurrency limit
-/// if the plan has no rate quota.
+/// Calls are paced if at least this share of the requests is larger than the even share of its customer's quota, which
+/// is the quota divided by the number of the customer's gateways. The quota is the burst of the plan, or its concurrency
+/// limit if the plan has no rate quota.
 const SMALL_QUOTA_THRESHOLD: f64 = 0.5;
 
 /// The weight of one request in the moving average of the share of small quotas.
@@ -76,7 +77,7 @@
     /// The recent rate of calls per second; decays with a time constant of one second.
     recent_rate: f64,
     /// Below this rate, in calls per second, prompt replies increase the rate fast. Infinite before the first error.
-    slow_start_threshold: f64,
+    fast_increase_threshold: f64,
     /// When an error last decreased the rate; zero before the first decrease.
     last_decrease_at: Duration,
     decreases_since_success: u32,
@@ -94,7 +95,7 @@
             tokens: 0.0,
             refilled_at: now,
             recent_rate: 0.0,
-            slow_start_threshold: f64::INFINITY,
+            fast_increase_threshold: f64::INFINITY,
             last_decrease_at: Duration::ZERO,
             decreases_since_success: 0,
             small_quota_ratio: SMALL_QUOTA_THRESHOLD,
@@ -126,7 +127,7 @@
     pub(super) fn allows(&mut self, now: Duration, reserve_ratio: f64) -> bool {
         let burst = self.refill(now);
         let needed = 1.0 + (burst - 1.0) * reserve_ratio.clamp(0.0, 1.0);
-        let is_unpaced = !self.quotas_are_small() && self.slow_start_threshold.is_infinite();
+        let is_unpaced = !self.quotas_are_small() && self.fast_increase_threshold.is_infinite();
         is_unpaced || self.tokens >= needed
     }
 
@@ -172,7 +173,7 @@
     }
 
     fn increase(&mut self) {
-        self.rate += if self.rate < self.slow_start_threshold {
+        self.rate += if self.rate < self.fast_increase_threshold {
             FAST_INCREASE_CALLS_PER_SECOND
         } else {
             INCREASE_CALLS_PER_SECOND.max(self.rate * INCREASE_RATIO)
@@ -187,7 +188,7 @@
         self.decreases_since_success += 1;
         self.tokens = self.tokens.min(0.0);
         self.rate = (rate_before * DECREASE_FACTOR).max(MIN_CALLS_PER_SECOND);
-        self.slow_start_threshold = rate_before * SLOW_START_THRESHOLD_FACTOR;
+        self.fast_increase_threshold = rate_before * FAST_INCREASE_THRESHOLD_FACTOR;
         self.last_decrease_at = now;
     }
 }
--- a/src/control/rate_pacer/tests.rs
+++ b/src/control/rate_pacer/tests.rs
@@ -49,7 +49,7 @@
         let mut pacer = pacer(true);
         pacer.rate = rate;
         pacer.recent_rate = recent_rate;
-        pacer.slow_start_threshold = threshold;
+        pacer.fast_increase_threshold = threshold;
         pacer.record_success(Duration::from_millis(milliseconds), TIMEOUT);
         assert_eq!(pacer.rate, raised, "{rate} {recent_rate} {milliseconds}");
     }
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -15,8 +15,8 @@
     pub(super) received_at: Duration,
     /// The number of attempts that were started.
     pub(super) attempts: u32,
-    /// Whether its units are treated as not counted on the shared counter: they were reserved without the counter, or the
-    /// circuit breaker was open when the request was received.
+    /// Whether its units are treated as not counted on the shared counter: they were reserved without the counter, or
+    /// the circuit breaker was open when the request was received.
     pub(super) is_uncounted: bool,
     /// The attempt in flight. There is at most one.
     pub(super) in_flight: Option<AttemptNumber>,
--- a/src/control/retry_after.rs
+++ b/src/control/retry_after.rs
@@ -12,8 +12,8 @@
 /// The longest delay that a client is told.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// The maximum number of attempts ahead that the delay is computed from.
-const MAX_ATTEMPTS_AHEAD: f64 = 99.0;
+/// The maximum number of excess attempts that the delay is computed from.
+const MAX_EXCESS_ATTEMPTS: f64 = 99.0;
 
 /// Limits a computed delay to the range that clients are told.
 pub(super) fn clamp(wait: Duration) -> Duration {
@@ -21,11 +21,12 @@
 }
 
 /// Returns the delay for a customer that has reached the concurrency limit of its plan: the route's baseline latency,
-/// in seconds, for each attempt that is ahead. [`DEFAULT_RETRY_AFTER`] stands in for a baseline that is not known yet.
-pub(super) fn until_lease_is_free(baseline_latency: Option<f64>, attempts_ahead: f64) -> Duration {
+/// in seconds, for each of the `excess_attempts` that must end first. [`DEFAULT_RETRY_AFTER`] stands in for a baseline
+/// that is not known yet.
+pub(super) fn until_lease_is_free(baseline_latency: Option<f64>, excess_attempts: f64) -> Duration {
     baseline_latency
         .map_or(DEFAULT_RETRY_AFTER, seconds)
-        .mul_f64(attempts_ahead.clamp(1.0, MAX_ATTEMPTS_AHEAD))
+        .mul_f64(excess_attempts.clamp(1.0, MAX_EXCESS_ATTEMPTS))
 }
 
 /// Returns the delay for a customer whose rate quota is exhausted: the time until `rejected_until`, when its token
--- a/src/control/retry_after/tests.rs
+++ b/src/control/retry_after/tests.rs
@@ -8,14 +8,14 @@
 }
 
 #[test]
-fn delay_at_the_concurrency_limit_is_the_baseline_latency_per_attempt_ahead() {
-    for (baseline_latency, attempts_ahead, delay) in [
+fn delay_at_the_concurrency_limit_is_the_baseline_latency_per_excess_attempt() {
+    for (baseline_latency, excess_attempts, delay) in [
         (Some(0.5), 3.0, 1.5),
         (Some(0.5), 0.0, 0.5),
         (Some(0.5), 1000.0, 49.5),
         (None, 2.0, 10.0),
     ] {
-        let actual = until_lease_is_free(baseline_latency, attempts_ahead);
+        let actual = until_lease_is_free(baseline_latency, excess_attempts);
         assert_eq!(actual, seconds(delay));
     }
 }
