--- a/tests/random_run/mod.rs
+++ b/tests/random_run/mod.rs
@@ -82,11 +82,11 @@
         }
     }
 
-    /// Plays random events. Panics if a rule is broken or a request gets no final answer.
+    /// Passes random events to the controller. Panics if a rule is broken or a request gets no final answer.
     pub(crate) fn run(mut self) {
         self.update_endpoints();
         for _ in 0..EVENT_COUNT {
-            self.play_event();
+            self.run_random_event();
         }
         self.advance(FINAL_WAIT);
         let seed = self.seed;
@@ -98,7 +98,7 @@
         );
     }
 
-    fn play_event(&mut self) {
+    fn run_random_event(&mut self) {
         match self.rng.generate_range(0..12u32) {
             0 => self.update_endpoints(),
             1..=4 => self.send_request(),
