--- a/edge/src/budget.rs
+++ b/edge/src/budget.rs
@@ -41,7 +41,8 @@
     pub(crate) upstream: usize,
     /// The number of connections to the counter.
     pub(crate) counter: usize,
-    /// The number of bytes in buffers and open requests at which no further requests are accepted.
+    /// The limit of the bytes in buffers and open requests. Further requests are rejected while it would be exceeded if each
+    /// open request received a value of the maximum size.
     pub(crate) bytes: usize,
 }
 
--- a/edge/src/client.rs
+++ b/edge/src/client.rs
@@ -4,7 +4,7 @@
 use crate::invariants::invariant;
 use crate::notification::Notification;
 use crate::reactor::{Reactor, Serial};
-use crate::requests::{request_id, OpenRequest, OpenRequests, RequestCommand, ResponseSlot};
+use crate::requests::{request_id, AnswerSlot, OpenRequest, OpenRequests, RequestCommand};
 use crate::resp::{self, ProtocolError};
 use crate::stream::BufferedStream;
 use std::collections::VecDeque;
@@ -226,7 +226,7 @@
         requests: &mut OpenRequests,
         gateway: GatewayStatus,
     ) {
-        let slot = ResponseSlot {
+        let slot = AnswerSlot {
             key,
             connection: self.connection,
             number: self.push_command(),
@@ -266,7 +266,7 @@
     fn open_request(
         &mut self,
         reactor: &mut Reactor,
-        slot: ResponseSlot,
+        slot: AnswerSlot,
         command: RequestCommand,
         requests: &mut OpenRequests,
         is_full: bool,
--- a/edge/src/clients.rs
+++ b/edge/src/clients.rs
@@ -5,11 +5,11 @@
 
 use crate::client::{Client, GatewayStatus, MAX_IDLE};
 use crate::component::Component;
-use crate::lingering::Lingering;
+use crate::lingering::LingeringConnections;
 use crate::notification::Notification;
 use crate::reactor::{Reactor, Serial};
 use crate::readiness::Readiness;
-use crate::requests::{OpenRequests, ResponseSlot};
+use crate::requests::{AnswerSlot, OpenRequests};
 use crate::resp::{self, ProtocolError, MAX_MESSAGE_BYTES};
 use crate::stream::BufferedStream;
 use listener::{Accepted, Listener};
@@ -18,14 +18,14 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// How many connections that wait for the client to close them may exist beyond the budget of clients' connections.
+/// By how many connections the budget for clients may be exceeded if lingering connections are included.
 const MAX_LINGERING_BEYOND_BUDGET: usize = 2;
 
 /// All connections of clients, and the socket on which they connect.
 pub(crate) struct Clients {
     listener: Listener,
     connections: Slab<Client>,
-    lingering: Lingering,
+    lingering: LingeringConnections,
     /// Accepting is paused, because the budget is used up or because the system refused.
     is_accept_paused: bool,
     /// A connection was closed or became idle since the last attempt to accept, so accepting may succeed again.
@@ -50,7 +50,7 @@
         Ok(Clients {
             listener: Listener::bind(reactor, address)?,
             connections: Slab::new(),
-            lingering: Lingering::default(),
+            lingering: LingeringConnections::default(),
             is_accept_paused: false,
             may_resume_accept: false,
             resumable: Vec::new(),
@@ -58,12 +58,12 @@
         })
     }
 
-    /// The number of connections, including those that the gateway has ended and the client has not closed yet.
+    /// The number of connections, including lingering ones.
     pub(crate) fn len(&self) -> usize {
         self.connections.len() + self.lingering.len()
     }
 
-    /// Whether there are as many connections as the budget allows, not counting those that the gateway has ended.
+    /// Whether there are as many connections as the budget allows, not counting lingering ones.
     fn is_budget_exhausted(&self, reactor: &Reactor) -> bool {
         self.connections.len() >= reactor.budget.clients
     }
@@ -256,8 +256,9 @@
         !client.is_closing() && !client.is_paused()
     }
 
-    /// Handles a client that has stopped sending: complete commands in the buffer are rejected, open requests are
-    /// answered now instead of being attempted further, and the connection is closed after the last answer.
+    /// Handles a client that has stopped sending: the complete commands in the buffer are handled, with their requests
+    /// rejected; open requests are answered now instead of being attempted further; and the connection is closed after
+    /// the last answer.
     fn on_peer_closed(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         let Some(open) = self.begin_last_commands(key) else {
             return;
@@ -293,10 +294,10 @@
 
     /// Answers a command. The answer is queued for writing once all commands before it are answered; it is dropped if
     /// the connection is closed.
-    pub(crate) fn respond(
+    pub(crate) fn answer(
         &mut self,
         reactor: &mut Reactor,
-        slot: ResponseSlot,
+        slot: AnswerSlot,
         write: impl FnOnce(&mut Vec<u8>),
     ) {
         let Some(client) = self
@@ -336,8 +337,8 @@
         }
     }
 
-    /// Closes a connection on which all answers are written, so that the client receives the last one. See
-    /// [`Lingering`].
+    /// Starts the lingering close of a connection on which all answers are written, so that the client receives the
+    /// last one. See [`LingeringConnections`].
     fn close_gracefully(&mut self, reactor: &mut Reactor, key: usize, requests: &mut OpenRequests) {
         if let Some(client) = self.remove(reactor, key, requests) {
             self.lingering.close_gracefully(reactor, client.stream);
@@ -351,7 +352,7 @@
         }
     }
 
-    /// Handles a readiness event of a connection that the gateway has ended.
+    /// Handles a readiness event of a lingering connection.
     pub(crate) fn on_lingering_ready(&mut self, reactor: &mut Reactor, key: usize) {
         self.lingering.discard_input(reactor, key);
         self.may_resume_accept = true;
@@ -399,9 +400,9 @@
         !keys.is_empty()
     }
 
-    /// Called at each tick. Closes connections whose clients have sent no request or have left a command incomplete for
-    /// `MAX_IDLE`; the latter get a protocol error first. While more than half of the budget is in use, connections
-    /// that have been idle for as long between two requests are closed too.
+    /// Called at each tick. Closes connections whose clients have sent no request, or have left a command incomplete,
+    /// for `MAX_IDLE`; the latter get a protocol error first. While more than half of the budget for client connections
+    /// is in use, connections that have been idle between two requests for `MAX_IDLE` are closed too.
     pub(crate) fn close_overdue(&mut self, reactor: &mut Reactor, requests: &mut OpenRequests) {
         // While accepting is paused, it is tried again: some connections may have been idle long enough by now to be
         // replaced.
@@ -463,7 +464,7 @@
             .map(|(key, _)| key)
     }
 
-    /// Closes idle connections while the gateway drains, unless input has just arrived on them.
+    /// Called at each tick while the gateway drains. Closes idle connections, unless input has just arrived on them.
     pub(crate) fn close_idle_connections(
         &mut self,
         reactor: &mut Reactor,
--- a/edge/src/clients/listener.rs
+++ b/edge/src/clients/listener.rs
@@ -8,7 +8,7 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// Errors that accept(2) reports for a connection that failed while it waited. The next one can be accepted at once.
+/// Errors that accept(2) reports for a connection that failed in the backlog. The next one can be accepted at once.
 const CONNECTION_GONE: [i32; 12] = [
     libc::ECONNABORTED,
     libc::EINTR,
@@ -24,17 +24,17 @@
     libc::ECONNRESET,
 ];
 
-/// How many connections may wait to be accepted, unless the system's limit is lower. The client of a connection beyond
-/// that retries only after a second.
+/// How many connections may wait to be accepted, unless the system's limit is lower. When a further client connects,
+/// its SYN is dropped, and it tries again only after a second.
 const BACKLOG: i32 = 4096;
 
 /// The result of trying to accept a connection.
 pub(super) enum Accepted {
     /// A connection was accepted.
     Connection(TcpStream),
-    /// A connection that waited has failed; others may wait.
+    /// The next connection in the backlog has failed. Others may still be in it.
     ConnectionGone,
-    /// No connection waits.
+    /// The backlog is empty.
     NoneWaiting,
     /// The system refused, for example because it is out of descriptors or memory.
     Failed,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Accepts one connection, if one waits. Logs the first of several refusals in a row.
+    /// Accepts the next connection in the backlog, if any. Logs the first of several refusals in a row.
     pub(super) fn accept(&mut self, reactor: &Reactor) -> Accepted {
         let error = match self.socket.accept() {
             Ok((socket, _)) => {
--- a/edge/src/component.rs
+++ b/edge/src/component.rs
@@ -13,7 +13,7 @@
     Peers,
     /// A client's connection.
     Client,
-    /// A client's connection that the gateway has ended and the client has not closed yet.
+    /// A client's connection whose sending direction the gateway has shut down, see [`crate::lingering`].
     Lingering,
     /// A connection to an endpoint.
     Upstream,
--- a/edge/src/config.rs
+++ b/edge/src/config.rs
@@ -1,4 +1,4 @@
-//! The node's configuration: the JSON file that the environment variable `BALANCER_CONFIG` names. It is read at start-up
+//! The gateway's configuration: the JSON file that the environment variable `BALANCER_CONFIG` names. It is read at start-up
 //! and again on SIGHUP.
 
 use crate::discovery::EndpointListMessage;
@@ -49,7 +49,7 @@
 #[derive(Clone, Default, Deserialize, PartialEq)]
 #[serde(default)]
 pub(crate) struct Limits {
-    /// The memory limit in units of 2^20 bytes.
+    /// The memory limit in MiB.
     pub(crate) memory_mb: usize,
     /// The maximum number of file descriptors.
     pub(crate) sockets: usize,
--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -1,7 +1,7 @@
 //! The client of the shared counter. It has a few connections, on which calls are pipelined. All calls for one name use
 //! the same connection, so that their replies arrive in order. A reply that arrives after the timeout of its call was
 //! reported is matched to that call and dropped. When the counter's address changes, each connection gets a successor,
-//! whose replies are handled once the old connection owes none.
+//! whose replies are handled once every call on the old connection was reported to the controller.
 
 use crate::component::Component;
 use crate::deadlines::{Deadline, DeadlineId};
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use wellcrank::port::{CounterName, CounterReply};
 
-/// The longest reply line that is accepted without a line end, in bytes.
+/// If more bytes than this arrive without a line end, they count as one malformed reply.
 const MAX_REPLY_LINE_BYTES: usize = 256;
 
 /// The longest time to live of a value that a call may request, in milliseconds.
@@ -30,7 +30,7 @@
     queued_at: Duration,
     /// The deadline of the reply; `None` for a ping.
     timeout: Option<DeadlineId>,
-    /// The number of bytes that were queued on the connection up to the end of this call.
+    /// The number of bytes that were queued since the connection was opened, up to the end of this call.
     end_offset: usize,
 }
 
@@ -46,8 +46,8 @@
 }
 
 impl Connection {
-    /// Returns whether a call is pending for which nothing has been reported to the controller yet.
-    fn owes_replies(&self) -> bool {
+    /// Returns whether a call is pending whose result was not reported to the controller yet.
+    fn has_unreported_calls(&self) -> bool {
         self.pending_calls.iter().any(|call| call.name.is_some())
     }
 
@@ -121,36 +121,39 @@
         counter
     }
 
-    /// Uses the counter at another address from now on. Earlier calls still get their replies on the old connections.
+    /// Sends calls to the counter at another address from now on. Replies to earlier calls are still read from the old
+    /// connections.
     pub(crate) fn set_address(&mut self, reactor: &mut Reactor, address: Option<SocketAddr>) {
         if address == self.address {
             return;
         }
         self.address = address;
-        self.active_start = self.half() - self.active_start;
-        for index in self.active_start..self.active_start + self.half() {
+        self.active_start = self.half_len() - self.active_start;
+        for index in self.active_start..self.active_start + self.half_len() {
             self.disconnect(reactor, index);
             self.connect(reactor, index);
-            self.retire_if_drained(reactor, self.counterpart(index));
+            self.close_if_superseded(reactor, self.counterpart(index));
         }
     }
 
-    fn half(&self) -> usize {
+    /// Returns the number of connections in each half.
+    fn half_len(&self) -> usize {
         self.connections.len() / 2
     }
 
     /// Returns the index of the corresponding connection in the other half.
     fn counterpart(&self, index: usize) -> usize {
-        (index + self.half()) % self.connections.len()
+        (index + self.half_len()) % self.connections.len()
     }
 
     fn is_active(&self, index: usize) -> bool {
-        (self.active_start..self.active_start + self.half()).contains(&index)
+        (self.active_start..self.active_start + self.half_len()).contains(&index)
     }
 
-    /// Closes a connection of the inactive half if it owes no replies, and handles the replies on its successor.
-    fn retire_if_drained(&mut self, reactor: &mut Reactor, index: usize) {
-        if self.connections[index].owes_replies() || self.is_active(index) {
+    /// Closes a connection of the inactive half once it has no unreported calls, and handles the replies that its
+    /// successor has received meanwhile. Does nothing to an active connection.
+    fn close_if_superseded(&mut self, reactor: &mut Reactor, index: usize) {
+        if self.connections[index].has_unreported_calls() || self.is_active(index) {
             return;
         }
         if let Some(stream) = std::mem::take(&mut self.connections[index]).stream {
@@ -181,7 +184,7 @@
         amount: f64,
         ttl: Duration,
     ) {
-        let index = self.active_start + (name.0 % self.half() as u64) as usize;
+        let index = self.active_start + (name.0 % self.half_len() as u64) as usize;
         let timeout = reactor.settings.counter.timeout;
         self.ensure_connected(reactor, index, timeout);
         let connection = &mut self.connections[index];
@@ -221,8 +224,8 @@
         }
     }
 
-    /// Handles the timeout of a call, which is reported at once. If the call was not written completely, the connection is
-    /// closed instead, which reports the call as not applied.
+    /// Handles the timeout of a call. A call that was written completely is reported as unknown, and its late reply will be
+    /// dropped. Otherwise the connection is closed, which reports the call as not applied.
     pub(crate) fn on_timeout(&mut self, reactor: &mut Reactor, index: usize, serial: Serial) {
         let connection = &mut self.connections[index];
         let written_bytes = connection.written_bytes();
@@ -239,10 +242,10 @@
         if let Some(name) = call.name.take() {
             report_reply(reactor, name, CounterReply::Unknown);
         }
-        self.retire_if_drained(reactor, index);
+        self.close_if_superseded(reactor, index);
     }
 
-    /// Handles a poll event of a connection.
+    /// Handles a readiness event of a connection.
     pub(crate) fn on_ready(&mut self, reactor: &mut Reactor, index: usize, readiness: Readiness) {
         let Some(stream) = self
             .connections
@@ -274,7 +277,7 @@
             self.disconnect(reactor, index);
             return false;
         }
-        self.retire_if_drained(reactor, index);
+        self.close_if_superseded(reactor, index);
         may_have_more && self.can_read(reactor, index)
     }
 
@@ -289,10 +292,11 @@
     /// Matches each reply to the oldest pending call and reports it. Returns false if the connection must be closed: a reply
     /// has no pending call or is malformed. A malformed reply still means that its call was applied.
     ///
-    /// While the connection to the previous address owes replies, nothing is handled here, so that the replies for one name
-    /// stay in order.
+    /// While the connection to the previous address has unreported calls, nothing is handled here, so that the replies for
+    /// one name are reported in the order of the calls.
     fn handle_replies(&mut self, reactor: &mut Reactor, index: usize) -> bool {
-        if self.is_active(index) && self.connections[self.counterpart(index)].owes_replies() {
+        if self.is_active(index) && self.connections[self.counterpart(index)].has_unreported_calls()
+        {
             return true;
         }
         let connection = &mut self.connections[index];
@@ -361,7 +365,7 @@
         if let Some(stream) = connection.stream {
             stream.close(reactor);
         }
-        self.retire_if_drained(reactor, index);
+        self.close_if_superseded(reactor, index);
     }
 
     /// Sends a ping on each connection without pending calls, which keeps it open. Runs once a second; a ping is not
@@ -390,9 +394,11 @@
         }
     }
 
-    /// Returns whether no calls are pending except pings and calls whose timeout was reported to the controller.
-    pub(crate) fn owes_no_replies(&self) -> bool {
-        !self.connections.iter().any(Connection::owes_replies)
+    /// Returns whether a call is pending on any connection whose result was not reported to the controller yet.
+    pub(crate) fn has_unreported_calls(&self) -> bool {
+        self.connections
+            .iter()
+            .any(Connection::has_unreported_calls)
     }
 }
 
--- a/edge/src/discovery/codec.rs
+++ b/edge/src/discovery/codec.rs
@@ -23,11 +23,11 @@
     entries: Vec<MessageEntry>,
 }
 
-/// An entry of the message. A malformed entry does not affect the others.
+/// An entry of the message. An unreadable entry does not affect the others.
 enum MessageEntry {
-    /// A well-formed entry, whose address is not parsed yet.
+    /// An entry that was deserialized; its address is not parsed yet.
     Readable(Target),
-    /// A malformed entry.
+    /// An entry that can't be deserialized as a [`Target`].
     Unreadable {
         /// The endpoint's id, if the entry has a string there.
         uid: Option<String>,
@@ -100,7 +100,7 @@
     pub(crate) address: Option<SocketAddr>,
 }
 
-/// A malformed entry, or one with a malformed address, for log lines.
+/// An entry that can't be deserialized, or whose address is malformed; for log lines.
 #[derive(Debug)]
 pub(crate) struct UnreadableEntry {
     /// The entry's index in the message, counted from 0.
@@ -128,17 +128,17 @@
     }
 }
 
-/// A decoded message of discovery.
+/// A message of discovery in the types of the admission controller's interface.
 pub(crate) struct ParsedUpdate {
     /// The revision of the list after this message.
     pub(crate) revision: u64,
     /// Whether this is the complete list. Endpoints that it does not contain no longer exist.
     pub(crate) is_snapshot: bool,
-    /// The endpoints of the well-formed entries.
+    /// The endpoints of the entries that could be deserialized.
     pub(crate) endpoints: Vec<ListedEndpoint>,
-    /// The endpoints of malformed entries whose id is known. They keep their previous state.
+    /// The endpoints of the entries of which only the id is readable. They keep their previous state.
     pub(crate) unreadable_endpoints: Vec<EndpointId>,
-    /// The malformed entries and those with a malformed address.
+    /// The entries that could not be deserialized, and those with a malformed address.
     pub(crate) unreadable_entries: Vec<UnreadableEntry>,
 }
 
@@ -148,7 +148,7 @@
         self.entries.is_empty()
     }
 
-    /// Decodes the entries. Malformed ones are collected in the result.
+    /// Decodes the entries. Unreadable ones are collected in the result.
     pub(crate) fn parse(self) -> ParsedUpdate {
         let mut update = ParsedUpdate {
             revision: self.revision,
@@ -176,7 +176,7 @@
 }
 
 impl ParsedUpdate {
-    /// Adds the endpoint of a well-formed entry. A malformed address is recorded as an unreadable entry; an endpoint that
+    /// Adds the endpoint of an entry that was deserialized. A malformed address is recorded as an unreadable entry; an endpoint that
     /// no longer exists needs no address.
     fn add_target(&mut self, index: usize, target: Target) {
         let address = target.address.parse().ok();
--- a/edge/src/discovery/follower.rs
+++ b/edge/src/discovery/follower.rs
@@ -21,7 +21,7 @@
 /// 1,024 endpoints.
 pub(super) const MIN_RESPONSE_LIMIT_BYTES: usize = 4 << 20;
 
-/// A connection to discovery.
+/// The connection to discovery, which carries one call at a time.
 struct Connection {
     stream: BufferedStream,
     /// Whether no response has arrived on it yet.
@@ -121,9 +121,9 @@
         self.revision = None;
         self.retry_policy.record_success();
         self.close_connection(reactor);
-        // The delay spreads the calls of all gateways, which are reconfigured at the same moment. The gateway counts as
-        // notified of the list there a few seconds after the first of several changes of the address in a row, so only
-        // half of the usual delay is used, and a later change does not postpone the call.
+        // The delay spreads the calls of all gateways, which are reconfigured at the same moment. The gateway is expected
+        // to know the list at the new address a few seconds after the first of several changes in a row. The delay is
+        // therefore half of the usual one, and a later change does not postpone the call.
         let delay = self.retry_policy.first_call_delay(self.gateway_index) / 2;
         let due_at = reactor.now + delay;
         let due_at = self
@@ -247,7 +247,8 @@
         self.call_started_at = reactor.now;
     }
 
-    /// Returns how long discovery may wait for a change before it answers the pending call, or the next one.
+    /// Returns how long discovery may wait for a change before it responds to the pending call, or to the next one if none
+    /// is pending.
     fn watch_wait(&self) -> Duration {
         let awaits_first_response = self
             .connection
@@ -283,9 +284,9 @@
         }
     }
 
-    /// Handles a poll event of the connection with this key. Returns the list or change that has arrived, if it is
+    /// Handles a readiness event of the connection with this key. Returns the list or change that has arrived, if it is
     /// complete.
-    pub(crate) fn ready(
+    pub(crate) fn on_ready(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
--- a/edge/src/event_loop.rs
+++ b/edge/src/event_loop.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Delivers notifications and writes queued output, until neither causes more of the other.
+/// Delivers notifications, resumes paused clients and writes queued output, until nothing of this is left to do.
 fn finish_iteration(gateway: &RefCell<Gateway>, controller: &mut AdmissionController) {
     loop {
         deliver_notifications(gateway, controller);
--- a/edge/src/gateway.rs
+++ b/edge/src/gateway.rs
@@ -1,5 +1,5 @@
 //! Everything that one gateway owns besides its admission controller: the components, the open requests and the reactor
-//! that they share. Passes each event of the poll and each deadline to its component.
+//! that they share. Passes each readiness event and each expired deadline to the component that it belongs to.
 
 mod socket_port;
 
@@ -28,7 +28,7 @@
 pub(crate) use socket_port::SocketPort;
 
 /// How long after its start a gateway without an endpoint list reports itself ready all the same. Its configuration
-/// then holds no list and discovery does not answer, but nine of ten restarted gateways must be ready within 10 s.
+/// then holds no list and discovery does not respond, but nine of ten restarted gateways must be ready within 10 s.
 /// Trade-off: the gateway receives requests that others could serve; it rejects them at once, with advice when to
 /// retry.
 const MAX_WAIT_FOR_ENDPOINTS: Duration = Duration::from_secs(8);
@@ -101,7 +101,7 @@
         slog::info!(self.reactor.log, "serving"; "listen" => %config.listen, "budget" => ?self.reactor.budget);
     }
 
-    /// Passes an event of the poll to the component that owns the socket.
+    /// Passes a readiness event to the component that owns the socket.
     pub(crate) fn on_readiness(&mut self, token: Token, readiness: Readiness) {
         let Gateway {
             reactor,
@@ -117,7 +117,7 @@
             (Component::Upstream, key) => pool.on_ready(reactor, key, readiness, requests, clients),
             (Component::Counter, key) => self.counter.on_ready(reactor, key, readiness),
             (Component::Discovery, key) => {
-                if let Some(message) = self.discovery.ready(reactor, key, readiness) {
+                if let Some(message) = self.discovery.on_ready(reactor, key, readiness) {
                     self.on_discovery_message(message);
                 }
             }
@@ -291,12 +291,13 @@
     }
 
     /// Whether the graceful shutdown is complete: no client is connected, no request is open and, unless all requests
-    /// must be answered by now, the counter owes no reply.
+    /// must be answered by now, no call to the counter still awaits its reply or timeout.
     pub(crate) fn is_finished(&mut self) -> bool {
-        // Once all requests must be answered, missing replies of the counter are not awaited: the calls were written,
-        // and the values on the counter expire.
-        let has_counter_settled = self.counter.owes_no_replies() || self.reactor.must_answer_now();
-        let is_quiet = self.clients.len() == 0 && self.requests.len() == 0 && has_counter_settled;
+        // Once all requests must be answered, replies of the counter are no longer awaited: the calls were written, and
+        // the values on the counter expire.
+        let needs_no_replies =
+            !self.counter.has_unreported_calls() || self.reactor.must_answer_now();
+        let is_quiet = self.clients.len() == 0 && self.requests.len() == 0 && needs_no_replies;
         if !is_quiet || !self.reactor.is_draining() {
             return false;
         }
@@ -340,7 +341,7 @@
         self.requests.is_unanswered(request)
     }
 
-    /// Closes a request and sends its client the controller's final answer, unless an endpoint's answer was sent.
+    /// Closes a request and sends its client the controller's final answer, unless an endpoint's value was sent to it.
     fn answer_request(&mut self, request: &RequestId, answer: &str) {
         let slot = self
             .requests
@@ -349,7 +350,7 @@
             .map(|open| open.slot);
         self.close_request(request);
         if let Some(slot) = slot {
-            self.clients.respond(&mut self.reactor, slot, |out| {
+            self.clients.answer(&mut self.reactor, slot, |out| {
                 out.extend_from_slice(answer.as_bytes());
             });
         }
@@ -361,7 +362,7 @@
         self.close_request(request);
     }
 
-    /// Removes a request from the open ones and releases its bytes.
+    /// Removes a request from the open ones and subtracts its size from the buffered bytes.
     pub(crate) fn close_request(&mut self, request: &RequestId) {
         if let Some(open) = self.requests.remove(request) {
             self.reactor.release_buffered_bytes(open.command.size());
--- a/edge/src/lingering.rs
+++ b/edge/src/lingering.rs
@@ -1,10 +1,10 @@
-//! Lingering close of client connections that the gateway ends. Once all answers are written, the gateway shuts down
-//! the sending direction, then reads and discards input until the client closes the connection too. Closing at once
-//! while unread bytes have arrived would reset the connection, and the client could lose the last answer. Commands that
-//! arrive after the shutdown are not served, since their answers could no longer be sent.
+//! Lingering close of client connections. Once all answers are written, the gateway shuts down the sending direction,
+//! then reads and discards input until the client closes the connection too. Closing at once while unread bytes have
+//! arrived would reset the connection, and the client could lose the last answer. Commands that arrive after the
+//! sending direction is shut down are not served, since their answers could no longer be sent.
 //!
-//! Trade-off: the descriptor stays in use a while longer. It counts towards the clients' connections, and lingering
-//! connections are closed first when a descriptor is needed.
+//! Trade-off: the descriptor stays in use for up to `MAX_LINGER` longer. The oldest lingering connections are closed
+//! when new client connections need their descriptors.
 
 use crate::component::Component;
 use crate::reactor::Reactor;
@@ -12,9 +12,10 @@
 use slab::Slab;
 use std::time::Duration;
 
-/// The bounds for how long the gateway waits until the client closes the connection; between them, it waits for the
-/// connect timeout.
+/// A connection lingers for the connect timeout, but at least this long.
 const MIN_LINGER: Duration = Duration::from_millis(200);
+
+/// A connection lingers for the connect timeout, but at most this long.
 const MAX_LINGER: Duration = Duration::from_secs(1);
 
 /// How many bytes of further input are discarded before the connection is closed at once.
@@ -31,18 +32,18 @@
 
 /// All connections whose sending direction is shut down.
 #[derive(Default)]
-pub(crate) struct Lingering {
+pub(crate) struct LingeringConnections {
     connections: Slab<LingeringConnection>,
 }
 
-impl Lingering {
-    /// The number of these connections.
+impl LingeringConnections {
+    /// The number of lingering connections.
     pub(crate) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Ends a connection on which all output is written. Connections that have failed, or whose clients do not read
-    /// their answers, are closed directly instead.
+    /// Starts the lingering close of a connection on which all output is written. If its sending direction can't be shut
+    /// down, the connection is closed at once.
     pub(crate) fn close_gracefully(&mut self, reactor: &mut Reactor, mut stream: BufferedStream) {
         let key = self.connections.vacant_key();
         if stream
--- a/edge/src/metrics.rs
+++ b/edge/src/metrics.rs
@@ -19,8 +19,8 @@
     pub(crate) disconnected: u64,
     /// Malformed responses of endpoints.
     pub(crate) malformed_responses: u64,
-    /// Attempts that were given up before their first byte was sent, because the request was no longer wanted, the endpoint
-    /// no longer usable or the time up.
+    /// Attempts that were given up before their first byte was written, because the request no longer awaited an answer,
+    /// the endpoint could get no further attempts or the time for the attempt had passed.
     pub(crate) lapsed_attempts: u64,
     /// Finished attempts by outcome.
     attempts: BTreeMap<&'static str, u64>,
--- a/edge/src/notification.rs
+++ b/edge/src/notification.rs
@@ -1,4 +1,4 @@
-//! Events for the admission controller, which components queue and the event loop delivers.
+//! Notifications: events for the admission controller, which components queue and the event loop delivers.
 
 use std::rc::Rc;
 use wellcrank::port::{
@@ -27,11 +27,11 @@
         /// The outcome of the attempt.
         result: AttemptResult,
     },
-    /// A call on the shared counter was answered, failed or timed out.
+    /// A call on the shared counter got its reply, failed or timed out.
     CounterReply {
         /// The name of the value on the counter that the call was for.
         name: CounterName,
-        /// The counter's answer, or what is known without one.
+        /// The counter's reply, or, without one, whether the call may have been applied.
         reply: CounterReply,
     },
     /// A complete endpoint list, or a change of it, was received from discovery or read from the configuration.
--- a/edge/src/pool.rs
+++ b/edge/src/pool.rs
@@ -64,7 +64,7 @@
     if let Some(open) = requests.get_mut(request).filter(|open| !open.answered) {
         open.answered = true;
         reactor.metrics.served += 1;
-        clients.respond(reactor, open.slot, |out| resp::write_bulk(out, value));
+        clients.answer(reactor, open.slot, |out| resp::write_bulk(out, value));
     }
 }
 
@@ -114,8 +114,8 @@
         self.endpoints.forget_unconnected(&connected);
     }
 
-    /// Starts an upstream attempt on an idle or new connection. All attempts start here; the end of each is reported to
-    /// the controller, also where no connection could be opened.
+    /// Starts an upstream attempt on an idle or new connection. The end of each attempt is reported to the controller,
+    /// even if no connection could be opened for it.
     pub(crate) fn send(&mut self, reactor: &mut Reactor, attempt: &NewAttempt) {
         match self.connection_to(reactor, attempt.endpoint) {
             Ok(key) => self.assign_attempt(reactor, key, attempt),
@@ -127,7 +127,7 @@
     }
 
     /// Returns a connection without an attempt: the most recently used idle one that is reusable, or else a new one.
-    /// Where the budget is used up, the connection that has been idle longest is closed for it.
+    /// If the budget for endpoint connections is used up, the connection that has been idle longest is closed first.
     fn connection_to(
         &mut self,
         reactor: &mut Reactor,
@@ -253,8 +253,8 @@
         }
     }
 
-    /// Handles a timer of an attempt: for its response, for writing its command or for establishing its connection. A
-    /// timer of a connection that is closed by now, whose key may be in use again, has no effect.
+    /// Handles the timeout of an attempt, or of one of its steps: establishing the connection, writing the command or
+    /// receiving the rest of a response. Does nothing if the connection is closed by now; its key may be in use again.
     pub(crate) fn on_timeout(&mut self, reactor: &mut Reactor, key: usize, serial: Serial) {
         let Some(connection) = self
             .connections
--- a/edge/src/pool/attempt.rs
+++ b/edge/src/pool/attempt.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use wellcrank::port::{AttemptNumber, AttemptOutcome, AttemptResult, RequestId};
 
-/// The longest part of a client's timeout that may have passed unnoticed, before the gateway read the command and
-/// before it writes the command to the endpoint. At most a quarter of the remaining time is assumed to have passed.
+/// How much of a client's timeout may pass without the gateway's notice, before it has read the command and before it
+/// writes the command to the endpoint. At most a quarter of the remaining time is assumed to pass like this.
 const MAX_UNOBSERVED_TIME: Duration = Duration::from_millis(50);
 
 /// The state of an attempt. It tells whether the endpoint may have run the command: only if all of it was written.
--- a/edge/src/pool/response.rs
+++ b/edge/src/pool/response.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use wellcrank::port::{AttemptOutcome, AttemptResult};
 
-/// The name in a response's usage list of the units that the request used.
+/// The name under which a response's usage list states the units that the request used.
 const SETTLED_UNITS: &str = "cost";
 
 /// The result of an attempt whose response `reply` came after `latency`.
--- a/edge/src/pool/upstream_connection.rs
+++ b/edge/src/pool/upstream_connection.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use wellcrank::port::{AttemptOutcome, EndpointId};
 
-/// One connection to an endpoint.
+/// A connection to an endpoint, with the attempt that it carries; without one, it is idle.
 pub(super) struct UpstreamConnection {
     pub(super) stream: BufferedStream,
     pub(super) endpoint: EndpointId,
@@ -57,8 +57,8 @@
 }
 
 /// How long after its last use an idle connection may be reused; `None` if the settings state no idle timeout of the
-/// endpoints. It is shorter than the endpoints' idle timeout, because a command could cross with the close by the
-/// endpoint: by the connect timeout, but by a quarter at most.
+/// endpoints. It is shorter than the endpoints' idle timeout by the connect timeout, but by at most a quarter, because
+/// a command that is written just before the timeout could reach the endpoint after it has closed the connection.
 pub(super) fn idle_lifetime(reactor: &Reactor) -> Option<Duration> {
     let idle_timeout = reactor.settings.limits.idle_timeout;
     let margin = reactor.connect_timeout().min(idle_timeout / 4);
--- a/edge/src/requests.rs
+++ b/edge/src/requests.rs
@@ -1,5 +1,5 @@
-//! The open requests of all clients: the command of each, its deadline, the number of its attempts and the command that
-//! its answer belongs to.
+//! The open requests of all clients: the command of each, its deadline, the number of its attempts and where its answer
+//! goes.
 
 mod command;
 mod parameters;
@@ -12,7 +12,7 @@
 
 /// The destination of an answer: a client's connection, and the number of the command on it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ResponseSlot {
+pub(crate) struct AnswerSlot {
     /// The connection's key.
     pub(crate) key: usize,
     /// Distinguishes the connection from earlier ones with the same key.
@@ -30,7 +30,7 @@
     /// The number of attempts that the controller has asked for.
     pub(crate) attempts: u32,
     /// Where its answer goes.
-    pub(crate) slot: ResponseSlot,
+    pub(crate) slot: AnswerSlot,
     /// Whether an endpoint's value was sent to the client. The request stays open until the controller has been told.
     pub(crate) answered: bool,
     /// Whether the client has disconnected or stopped sending. The request stays open until the controller has been
@@ -43,7 +43,7 @@
     pub(crate) fn new(
         command: RequestCommand,
         deadline: Duration,
-        slot: ResponseSlot,
+        slot: AnswerSlot,
     ) -> OpenRequest {
         OpenRequest {
             command,
@@ -61,7 +61,7 @@
     }
 }
 
-/// All open requests.
+/// The open requests of all clients, and the ids that the clients gave them.
 #[derive(Default)]
 pub(crate) struct OpenRequests {
     /// The open requests by their serial numbers.
--- a/edge/src/requests/command/tests.rs
+++ b/edge/src/requests/command/tests.rs
@@ -111,7 +111,7 @@
     let words = ["SVC.QUERY", CUSTOMER, ID, parameters];
     let command = parse(&words).expect("a request");
     let mut requests = OpenRequests::default();
-    let slot = super::super::ResponseSlot {
+    let slot = super::super::AnswerSlot {
         key: 0,
         connection: 1,
         number: 0,
--- a/edge/src/shutdown.rs
+++ b/edge/src/shutdown.rs
@@ -4,11 +4,12 @@
 use std::time::Duration;
 use wellcrank::settings::Settings;
 
-/// The platform kills the process no earlier than the longest client timeout, or this if it is shorter, plus
-/// [`KILL_GRACE`] after it told the gateway to stop. Source: the operators' terms.
+/// The longest client timeout that the platform takes into account. It kills the process no earlier than the shorter of
+/// this and the longest client timeout of the settings, plus [`KILL_GRACE`], after it told the gateway to stop. Source:
+/// the operators' terms.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long beyond the longest client timeout the platform waits before it kills the process. Source: the operators'
+/// How long the platform waits after the longest client timeout before it kills the process. Source: the operators'
 /// terms.
 const KILL_GRACE: Duration = Duration::from_millis(700);
 
--- a/edge/src/stream.rs
+++ b/edge/src/stream.rs
@@ -14,7 +14,7 @@
 /// Connections are registered with the poll for reading and writing.
 const READABLE_AND_WRITABLE: Interest = Interest::READABLE.add(Interest::WRITABLE);
 
-/// How often connecting is tried without a pause. Errors other than a refusal, such as a lack of a local resource or an
+/// How many times connecting is tried in a row, without a pause between the tries. Errors other than a refusal, such as a lack of a local resource or an
 /// interruption by a signal, may be gone a moment later.
 const MAX_CONNECT_ATTEMPTS: u32 = 3;
 
