--- a/edge/src/counter.rs
+++ b/edge/src/counter.rs
@@ -368,8 +368,8 @@
         self.close_if_superseded(reactor, index);
     }
 
-    /// Sends a ping on each connection without pending calls, which keeps it open. Runs once a second; a ping is not
-    /// charged.
+    /// Sends a ping on each connection without pending calls, which keeps it open. Runs once a second. Unlike the calls
+    /// that add to a value, pings have no price.
     pub(crate) fn ping_idle(&mut self, reactor: &mut Reactor) {
         for connection in &mut self.connections {
             let Some(stream) = connection
--- a/edge/tests/gateway_scenario/gateway.rs
+++ b/edge/tests/gateway_scenario/gateway.rs
@@ -10,7 +10,7 @@
 
 /// The settings of the gateway, before a scenario changes them.
 const DEFAULT_SETTINGS: &str = include_str!("../scenarios/settings.json");
-const DEFAULT_MEMORY_MB: usize = 192;
+const DEFAULT_MEMORY_MIB: usize = 192;
 const DEFAULT_SOCKETS: usize = 1024;
 /// A command that the gateway answers itself.
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
@@ -26,9 +26,9 @@
 /// The resource limits in the gateway's configuration.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResourceLimits {
-    /// Memory in megabytes.
+    /// The memory limit in MiB.
     pub(crate) memory_mb: usize,
-    /// The number of sockets.
+    /// The maximum number of file descriptors.
     pub(crate) sockets: usize,
 }
 
@@ -57,7 +57,7 @@
             configuration_file,
             address: None,
             limits: ResourceLimits {
-                memory_mb: DEFAULT_MEMORY_MB,
+                memory_mb: DEFAULT_MEMORY_MIB,
                 sockets: DEFAULT_SOCKETS,
             },
             changed_settings: Vec::new(),
--- a/edge/tests/gateway_scenario/mod.rs
+++ b/edge/tests/gateway_scenario/mod.rs
@@ -23,8 +23,8 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 /// The interval at which [`wait_until`] checks for an event.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// The `stop_sending_within_ns` of `settings.json`, which is 500 ms, and 50 ms of tolerance.
-const DRAIN_GRACE: Duration = Duration::from_millis(550);
+/// The drain grace, `stop_sending_within_ns` in `settings.json`, which is 500 ms, and 50 ms of tolerance.
+const DRAIN_GRACE_WITH_TOLERANCE: Duration = Duration::from_millis(550);
 
 /// The gateway under test and its stand-ins.
 pub(crate) struct GatewayScenario {
@@ -109,8 +109,11 @@
                     "expected the gateway to exit with success, found {status}"
                 );
             }
-            GatewayStep::WaitDrainGrace => sleep(DRAIN_GRACE),
-            GatewayStep::ExpectLogged { text, is_there } => self.expect_logged(text, *is_there),
+            GatewayStep::WaitDrainGrace => sleep(DRAIN_GRACE_WITH_TOLERANCE),
+            GatewayStep::ExpectLogged {
+                text,
+                must_not_wait,
+            } => self.expect_logged(text, *must_not_wait),
             _ => self.run_environment_step(step),
         }
     }
@@ -201,8 +204,8 @@
         stand_ins::disconnect(&mut old_connections);
     }
 
-    fn expect_logged(&self, text: &str, is_there: bool) {
-        if is_there {
+    fn expect_logged(&self, text: &str, must_not_wait: bool) {
+        if must_not_wait {
             let log = self.gateway.log();
             assert!(
                 log.contains(text),
@@ -305,9 +308,9 @@
             ClientStep::Receive {
                 client,
                 expected,
-                is_there,
+                must_not_wait,
             } => {
-                if *is_there {
+                if *must_not_wait {
                     clients.expect_something_received(client, gateway);
                 }
                 let received = clients.receive(client, gateway);
@@ -327,7 +330,7 @@
             CounterStep::SetMode(mode) => self.counter.set_mode(*mode),
             CounterStep::Disconnect => self.counter.disconnect_all(),
             CounterStep::ExpectLeasesReleased => {
-                wait_until("the total of the name added last is zero", || {
+                wait_until("the counter's total for the newest name is zero", || {
                     self.counter.newest_total_is_zero().then_some(())
                 });
             }
@@ -363,7 +366,7 @@
                 let whole_list = request_lines.into_iter().find(is_for_whole_list);
                 assert_eq!(
                     whole_list, None,
-                    "expected only calls for the changes since a version"
+                    "expected only calls for the changes since a revision"
                 );
             }
         }
--- a/edge/tests/gateway_scenario/notation/client.rs
+++ b/edge/tests/gateway_scenario/notation/client.rs
@@ -20,12 +20,12 @@
     SendBytes { client: String, bytes: String },
     /// The client sends this many KiB that are not a command.
     SendKib { client: String, kib: usize },
-    /// Waits for the next reply to the client, which must be the expected one. With `is_there`, fails if nothing has
-    /// arrived yet.
+    /// Waits for the next answer to the client, which must be the expected one. With `must_not_wait`, fails if nothing
+    /// has arrived yet.
     Receive {
         client: String,
-        expected: ExpectedReply,
-        is_there: bool,
+        expected: ExpectedAnswer,
+        must_not_wait: bool,
     },
     /// Expects that the gateway has not reset the client's connection.
     ExpectNotReset { client: String },
@@ -37,7 +37,7 @@
 
 /// What a client is expected to receive next.
 #[derive(Debug)]
-pub(crate) enum ExpectedReply {
+pub(crate) enum ExpectedAnswer {
     /// The end of the connection.
     Closed,
     /// A reset of the connection.
@@ -48,27 +48,27 @@
     StartsWith(String),
 }
 
-impl ExpectedReply {
+impl ExpectedAnswer {
     fn parse(text: &str) -> Self {
         match text {
-            "closed" => ExpectedReply::Closed,
-            "reset" => ExpectedReply::Reset,
+            "closed" => ExpectedAnswer::Closed,
+            "reset" => ExpectedAnswer::Reset,
             text => match text.strip_suffix('*') {
-                Some(start) => ExpectedReply::StartsWith(start.to_string()),
-                None => ExpectedReply::Exactly(text.to_string()),
+                Some(start) => ExpectedAnswer::StartsWith(start.to_string()),
+                None => ExpectedAnswer::Exactly(text.to_string()),
             },
         }
     }
 
-    /// Returns whether the received reply is the expected one.
+    /// Returns whether the received answer is the expected one.
     pub(crate) fn matches(&self, received: &Received) -> bool {
         match (self, received) {
-            (ExpectedReply::Closed, Received::Closed) => true,
-            (ExpectedReply::Reset, Received::Reset) => true,
-            (ExpectedReply::Exactly(text), Received::Line(_) | Received::Value(_)) => {
+            (ExpectedAnswer::Closed, Received::Closed) => true,
+            (ExpectedAnswer::Reset, Received::Reset) => true,
+            (ExpectedAnswer::Exactly(text), Received::Line(_) | Received::Value(_)) => {
                 *text == received.to_string()
             }
-            (ExpectedReply::StartsWith(start), Received::Line(_) | Received::Value(_)) => {
+            (ExpectedAnswer::StartsWith(start), Received::Line(_) | Received::Value(_)) => {
                 received.to_string().starts_with(start)
             }
             _ => false,
@@ -100,8 +100,8 @@
             },
             "receive" | "receive_now" => ClientStep::Receive {
                 client: arguments.value("client")?,
-                expected: ExpectedReply::parse(arguments.text("reply")?),
-                is_there: verb == "receive_now",
+                expected: ExpectedAnswer::parse(arguments.text("answer")?),
+                must_not_wait: verb == "receive_now",
             },
             "not_reset" => ClientStep::ExpectNotReset {
                 client: arguments.value("client")?,
--- a/edge/tests/gateway_scenario/notation/gateway.rs
+++ b/edge/tests/gateway_scenario/notation/gateway.rs
@@ -49,8 +49,8 @@
     ExpectExit,
     /// Waits for the drain grace of the settings and the tolerance of its rule.
     WaitDrainGrace,
-    /// Waits until the gateway's log contains a text. With `is_there`, fails if it does not contain it yet.
-    ExpectLogged { text: String, is_there: bool },
+    /// Waits until the gateway's log contains a text. With `must_not_wait`, fails if it does not contain it yet.
+    ExpectLogged { text: String, must_not_wait: bool },
     /// Prepares fault injection for the system calls of the gateway that is started next.
     InjectFaults,
     /// Makes the next `count` calls of a system call fail.
@@ -87,7 +87,7 @@
             "wait_drain_grace" => GatewayStep::WaitDrainGrace,
             "logged" | "logged_now" => GatewayStep::ExpectLogged {
                 text: arguments.text("text")?.to_string(),
-                is_there: verb == "logged_now",
+                must_not_wait: verb == "logged_now",
             },
             _ => return Self::parse_environment(verb, arguments),
         };
--- a/edge/tests/gateway_scenario/notation/server.rs
+++ b/edge/tests/gateway_scenario/notation/server.rs
@@ -52,10 +52,10 @@
 /// A response of an app server.
 #[derive(Debug)]
 pub(crate) enum ServerResponse {
-    /// A value and, if the server reports any, load figures such as `cost=2`.
+    /// A value and, if the server states any, the usage list, such as `cost=2`: the request used 2 units.
     Value {
         value: String,
-        load_figures: Option<String>,
+        usage: Option<String>,
     },
     /// A RESP2 line without its line end.
     Line(String),
@@ -66,21 +66,18 @@
     pub(crate) fn to_resp(&self) -> String {
         match self {
             ServerResponse::Line(line) => format!("{line}\r\n"),
-            ServerResponse::Value {
-                value,
-                load_figures,
-            } => {
-                let load_figures = match load_figures {
+            ServerResponse::Value { value, usage } => {
+                let usage = match usage {
                     None => "$-1".to_string(),
-                    Some(figures) => format!("${}\r\n{figures}", figures.len()),
+                    Some(usage) => format!("${}\r\n{usage}", usage.len()),
                 };
                 let length = value.len();
-                format!("*3\r\n${length}\r\n{value}\r\n{load_figures}\r\n$-1\r\n")
+                format!("*3\r\n${length}\r\n{value}\r\n{usage}\r\n$-1\r\n")
             }
         }
     }
 
-    /// Parses `$VALUE [LOAD_FIGURES]`, where `$x*9` stands for `x` repeated nine times, or a line of one word.
+    /// Parses `$VALUE [USAGE]`, where `$x*9` stands for `x` repeated nine times, or a line of one word.
     fn parse(arguments: &mut Arguments) -> Result<Self, StepError> {
         let word = arguments.word("response")?;
         let Some(value) = word.strip_prefix('$') else {
@@ -90,11 +87,8 @@
             None => value.to_string(),
             Some((part, count)) => part.repeat(parse_value("number of repetitions", count)?),
         };
-        let load_figures = arguments.optional_value("list of load figures")?;
-        Ok(ServerResponse::Value {
-            value,
-            load_figures,
-        })
+        let usage = arguments.optional_value("usage list")?;
+        Ok(ServerResponse::Value { value, usage })
     }
 }
 
--- a/edge/tests/gateway_scenario/notation/service.rs
+++ b/edge/tests/gateway_scenario/notation/service.rs
@@ -13,8 +13,7 @@
     SetMode(CounterMode),
     /// The counter closes its connections.
     Disconnect,
-    /// Waits until the total of the name that was added last, which is that of the newest period, is zero: all its
-    /// leases are released.
+    /// Waits until the total of the newest name is zero: all leases of the newest period are released.
     ExpectLeasesReleased,
 }
 
@@ -22,7 +21,7 @@
     /// Parses the words after `counter`.
     pub(super) fn parse(arguments: &mut Arguments) -> Result<Self, StepError> {
         let mode = match arguments.word("mode of the counter")? {
-            "answers" => CounterMode::Answering,
+            "replies" => CounterMode::Replying,
             "silent" => CounterMode::Silent,
             "rejects" => CounterMode::Rejecting,
             "malformed_once" => CounterMode::MalformedOnce,
@@ -38,15 +37,15 @@
 pub(crate) enum DiscoveryStep {
     /// Changes entries of the endpoint list, in this order.
     UpdateEndpoints(Vec<EndpointChange>),
-    /// Sets how discovery answers calls from now on.
+    /// Sets how discovery responds to calls from now on.
     SetMode(DiscoveryMode),
     /// Discovery closes its connections.
     Disconnect,
     /// Discovery closes its connections and rejects this many of the next calls.
     RejectCalls { count: usize },
-    /// Discovery never answers this many of the next calls.
+    /// Discovery sends no response to this many of the next calls.
     IgnoreCalls { count: usize },
-    /// Discovery never answers this many of the next watches, which are calls that wait for changes.
+    /// Discovery sends no response to this many of the next watches, which are calls that wait for changes.
     IgnoreWatches { count: usize },
     /// Discovery sends bytes in place of the response to the next call, and then ends the connection.
     ScriptResponse(ScriptedResponse),
@@ -82,7 +81,7 @@
     /// Parses the words after `discovery`.
     pub(super) fn parse(arguments: &mut Arguments) -> Result<Self, StepError> {
         let step = match arguments.word("action of discovery")? {
-            "answers" => DiscoveryStep::SetMode(DiscoveryMode::Answering),
+            "responds" => DiscoveryStep::SetMode(DiscoveryMode::Responding),
             "silent" => DiscoveryStep::SetMode(DiscoveryMode::Silent),
             "closes_every_connection" => DiscoveryStep::SetMode(DiscoveryMode::Closing),
             "disconnects" => DiscoveryStep::Disconnect,
--- a/edge/tests/gateway_scenario/stand_ins/clients.rs
+++ b/edge/tests/gateway_scenario/stand_ins/clients.rs
@@ -78,19 +78,19 @@
         self.send_bytes(client, gateway, request.command().as_bytes());
     }
 
-    /// Waits for the next reply on a client's connection, or its end.
+    /// Waits for the next answer on a client's connection, or its end.
     pub(crate) fn receive(&mut self, client: &str, gateway: &str) -> Received {
         resp::receive(self.connect(client, gateway))
     }
 
-    /// Panics if neither a reply nor the end has arrived on a client's connection by now.
+    /// Panics if neither an answer nor the end has arrived on a client's connection by now.
     pub(crate) fn expect_something_received(&mut self, client: &str, gateway: &str) {
         let input = self.connect(client, gateway);
         set_receive_timeout(input, ARRIVED_TIMEOUT);
-        let is_there = input.fill_buf().is_ok();
+        let has_arrived = input.fill_buf().is_ok();
         set_receive_timeout(input, TIMEOUT);
         assert!(
-            is_there,
+            has_arrived,
             "expected {client} to have received something, found nothing"
         );
     }
--- a/edge/tests/gateway_scenario/stand_ins/counter.rs
+++ b/edge/tests/gateway_scenario/stand_ins/counter.rs
@@ -16,12 +16,12 @@
 pub(crate) enum CounterMode {
     /// It adds the amount and replies with the total.
     #[default]
-    Answering,
+    Replying,
     /// It neither adds nor replies until the mode changes.
     Silent,
     /// It adds nothing and replies `busy`.
     Rejecting,
-    /// It adds the amount of the next call and replies without a number. After that it is in the mode `Answering`.
+    /// It adds the amount of the next call and replies without a number. After that it is in the mode `Replying`.
     MalformedOnce,
 }
 
@@ -66,7 +66,7 @@
         !lock(&self.state).connections.is_empty()
     }
 
-    /// Returns whether the total of the name that was added last is zero.
+    /// Returns whether the total of the newest name, which is the one that was first used last, is zero.
     pub(crate) fn newest_total_is_zero(&self) -> bool {
         let state = lock(&self.state);
         state.totals.last().is_some_and(|(_, total)| *total == 0.0)
@@ -104,7 +104,7 @@
                     amount.parse().expect("expected a number as the amount"),
                 );
                 if self.mode == CounterMode::MalformedOnce {
-                    self.mode = CounterMode::Answering;
+                    self.mode = CounterMode::Replying;
                     return "ok #".to_string();
                 }
                 format!("ok {total}")
--- a/edge/tests/gateway_scenario/stand_ins/discovery.rs
+++ b/edge/tests/gateway_scenario/stand_ins/discovery.rs
@@ -19,13 +19,13 @@
 const REJECTION: &str =
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-/// How discovery answers calls.
+/// How discovery responds to calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum DiscoveryMode {
-    /// It answers all calls, including those that still wait.
+    /// It responds to all calls, including those that still wait.
     #[default]
-    Answering,
-    /// It reads calls and does not answer, not even the watches that wait already.
+    Responding,
+    /// It reads calls and does not respond, not even to the watches that wait already.
     Silent,
     /// It closes each new connection at once.
     Closing,
@@ -55,7 +55,7 @@
 /// Bytes that discovery sends in place of a response, before it ends the connection.
 #[derive(Clone, Debug)]
 pub(crate) struct ScriptedResponse {
-    /// The bytes.
+    /// Sent as they are, with the HTTP status line and headers that they may contain.
     pub(crate) bytes: String,
     /// Whether discovery resets the connection instead of closing it.
     pub(crate) resets: bool,
@@ -73,12 +73,12 @@
 #[derive(Default)]
 struct EndpointList {
     /// The number of changes so far.
-    version: u64,
+    revision: u64,
     /// The entries as JSON, by the endpoint's name.
     entries: BTreeMap<String, String>,
 }
 
-/// The calls so far, and how the next ones are answered.
+/// The calls so far, and how discovery responds to the next ones.
 #[derive(Default)]
 struct CallState {
     mode: DiscoveryMode,
@@ -86,22 +86,25 @@
     request_lines: Vec<String>,
     /// The number of next calls that are rejected.
     calls_to_reject: usize,
-    /// The number of next calls that are never answered.
+    /// The number of next calls that get no response.
     calls_to_ignore: usize,
-    /// The number of next watches that are never answered. A watch is a call that waits for changes.
+    /// The number of next watches that get no response. A watch is a call that waits for changes.
     watches_to_ignore: usize,
     /// The responses to the next calls.
     scripted_responses: VecDeque<ScriptedResponse>,
-    /// The number of calls without an answer whose connections the gateway has closed, and of connections that
+    /// The number of calls without a response whose connections the gateway has closed, and of connections that
     /// discovery has closed in the mode `Closing`, since the mode was set.
     abandoned_calls: usize,
 }
 
-/// How one call is answered.
-enum Answer {
-    Never,
+/// What discovery sends in response to one call.
+enum Response {
+    /// Nothing, until the gateway closes the connection.
+    Nothing,
     Scripted(ScriptedResponse),
+    /// Status 503.
     Rejection,
+    /// The endpoint list, once it has changed if the call is a watch.
     List,
 }
 
@@ -125,7 +128,7 @@
              \"state\":\"{state}\",\"capacity_hint\":1.0,\"boot_ms\":{started_at_unix_ms}}}"
         );
         let mut list = lock(&self.list);
-        list.version += 1;
+        list.revision += 1;
         list.entries.insert(name.to_string(), entry);
     }
 
@@ -136,11 +139,11 @@
         let entries = entries.join(",");
         format!(
             "{{\"rev\":{},\"all\":true,\"targets\":[{entries}]}}",
-            list.version
+            list.revision
         )
     }
 
-    /// Sets how it answers calls from now on, and resets the number of abandoned calls. In the mode `Closing`, also
+    /// Sets how it responds to calls from now on, and resets the number of abandoned calls. In the mode `Closing`, also
     /// shuts down the open connections.
     pub(crate) fn set_mode(&self, mode: DiscoveryMode) {
         {
@@ -174,12 +177,12 @@
         self.disconnect_all();
     }
 
-    /// Never answers the next `count` calls.
+    /// Sends no response to the next `count` calls.
     pub(crate) fn ignore_next_calls(&self, count: usize) {
         lock(&self.calls).calls_to_ignore = count;
     }
 
-    /// Never answers the next `count` watches.
+    /// Sends no response to the next `count` watches.
     pub(crate) fn ignore_next_watches(&self, count: usize) {
         lock(&self.calls).watches_to_ignore = count;
     }
@@ -217,16 +220,16 @@
         let mut input = BufReader::new(connection);
         while let Some(request_line) = resp::read_line(&mut input) {
             while resp::read_line(&mut input).is_some_and(|header| !header.is_empty()) {}
-            let answer = lock(&self.calls).next_answer(&request_line);
-            match answer {
-                Answer::Never => {
+            let response = lock(&self.calls).next_response(&request_line);
+            match response {
+                Response::Nothing => {
                     while !is_closed_by_peer(&output) {}
                     lock(&self.calls).abandoned_calls += 1;
                     return;
                 }
-                Answer::Scripted(response) => return self.send_scripted(&output, &response),
-                Answer::Rejection => return send(&output, REJECTION),
-                Answer::List => {
+                Response::Scripted(response) => return self.send_scripted(&output, &response),
+                Response::Rejection => return send(&output, REJECTION),
+                Response::List => {
                     if !self.wait_for_change(&request_line, &output) {
                         lock(&self.calls).abandoned_calls += 1;
                         return;
@@ -237,11 +240,11 @@
         }
     }
 
-    /// Waits until the list has another version than the caller knows and discovery is not silent. Returns false if the
+    /// Waits until the list has another revision than the caller knows and discovery is not silent. Returns false if the
     /// gateway closes the connection before.
     fn wait_for_change(&self, request_line: &str, connection: &TcpStream) -> bool {
-        let known_version = known_version(request_line);
-        while known_version == Some(lock(&self.list).version)
+        let known_revision = known_revision(request_line);
+        while known_revision == Some(lock(&self.list).revision)
             || lock(&self.calls).mode == DiscoveryMode::Silent
         {
             if is_closed_by_peer(connection) {
@@ -274,22 +277,22 @@
 }
 
 impl CallState {
-    /// Records a call and decides how it is answered.
-    fn next_answer(&mut self, request_line: &str) -> Answer {
+    /// Records a call and decides on the response to it.
+    fn next_response(&mut self, request_line: &str) -> Response {
         self.request_lines.push(request_line.to_string());
         let is_watch = request_line.contains("wait_ms=") && !request_line.contains("wait_ms=0 ");
         let is_ignored = self.take_ignored(is_watch);
         let is_rejected = take_one(&mut self.calls_to_reject);
         let scripted = self.scripted_responses.pop_front();
         match scripted {
-            _ if is_ignored => Answer::Never,
-            Some(response) => Answer::Scripted(response),
-            None if is_rejected => Answer::Rejection,
-            None => Answer::List,
+            _ if is_ignored => Response::Nothing,
+            Some(response) => Response::Scripted(response),
+            None if is_rejected => Response::Rejection,
+            None => Response::List,
         }
     }
 
-    /// Returns whether the call is one that is never answered, and counts it as such.
+    /// Returns whether the call gets no response, and counts it as such.
     fn take_ignored(&mut self, is_watch: bool) -> bool {
         (is_watch && take_one(&mut self.watches_to_ignore)) || take_one(&mut self.calls_to_ignore)
     }
@@ -302,8 +305,8 @@
     is_positive
 }
 
-/// Returns the version of the list that the caller has, or `None` if the call asks for the whole list.
-fn known_version(request_line: &str) -> Option<u64> {
+/// Returns the revision of the list that the caller has, or `None` if the call asks for the whole list.
+fn known_revision(request_line: &str) -> Option<u64> {
     let (_, query) = request_line.split_once("after=")?;
     query.split('&').next()?.parse().ok()
 }
--- a/edge/tests/gateway_scenario/stand_ins/resp.rs
+++ b/edge/tests/gateway_scenario/stand_ins/resp.rs
@@ -1,4 +1,4 @@
-//! Reads lines, replies and commands in RESP2 from a buffered connection, and writes commands.
+//! Reads lines, answers to clients and commands in RESP2 from a buffered connection, and formats commands.
 
 use std::fmt::{self, Display};
 use std::io::{BufRead, ErrorKind};
--- a/edge/tests/scenarios.rs
+++ b/edge/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! Runs every scenario in `edge/tests/scenarios` against the built gateway, with stand-ins for app servers, counter,
 //! discovery and clients on free loopback ports. A scenario is a text file with one step per line. `#` starts a
-//! comment.
-//! A step that states an expectation waits up to 20 s for it, unless the description says "already" or "expects".
+//! comment. A step that waits until something happens fails if that takes longer than 20 s. A step that only
+//! "expects" something, or needs it to have happened "already", does not wait for it.
 //!
 //! By convention, clients are named `client1`, app servers `app1`, and requests `r1`: the `r` is followed by the id of
 //! the request in hex digits without leading zeros. `settings.json` holds the settings that every scenario starts with.
@@ -12,21 +12,22 @@
 //! The gateway, its configuration and its process:
 //!
 //! ```text
-//! limits memory_mb=64 sockets=40  sets the limits in the configuration (default: 192 MB and 1024 sockets)
+//! limits memory_mb=64 sockets=40  sets the limits in the configuration (default: 192 MiB and 1024 sockets)
 //! descriptor_limit 24             the system grants the gateway at most 24 descriptors
 //! setting rules.ask_within_ns 1e9 changes a value in the settings that the gateway gets at its start and with 'reload'
 //! pin_known_endpoints             the configuration gets the current endpoint list also if it is written later; by
 //!                                 default it gets the list at that time
 //! start_gateway                   starts the gateway, which knows the app servers entered so far
 //! gateway_ready                   waits until the gateway answers PING with +PONG
-//! synchronize                     sends PING and expects +PONG: the gateway has processed all earlier events
+//! synchronize                     sends PING and waits for +PONG: the gateway has processed all earlier events
 //! pause_gateway                   suspends the process (SIGSTOP)
 //! resume_gateway                  resumes it (SIGCONT); it handles at once all that has happened meanwhile
 //! reload                          writes the configuration with the current settings and new addresses of the counter
 //!                                 and discovery, and sends SIGHUP
 //! reload_malformed_configuration  writes a configuration that is not valid JSON and sends SIGHUP
-//! move_counter_and_discovery      as 'reload'; the old counter and discovery accept no connections any more, and
-//!                                 their open ones are broken once the gateway has connected to the new ones
+//! move_counter_and_discovery      as 'reload', but the old addresses of the counter and discovery accept no further
+//!                                 connections, and the open connections there are broken once the gateway has
+//!                                 connected to the new addresses
 //! sigterm                         sends SIGTERM
 //! sigkill [after_ms=1200]         sends SIGKILL after this delay (default: 3700 ms, the platform's shortest delay
 //!                                 between SIGTERM and SIGKILL)
@@ -59,8 +60,8 @@
 //! server_receives_now app1 r1     app1 has already received r1
 //! no_server_request               expects that no app server has received a request that no step has named
 //! remaining_ms_at_most r1 900     expects that the latest command of r1 states a remaining time of at most 900 ms
-//! server_responds r1 $value [cost=2]  responds to r1 with a value ('$x*9': x repeated 9 times) and optional load
-//!                                 figures, or with a line of one word
+//! server_responds r1 $value [cost=2]  responds to r1 with a value ('$x*9': x repeated 9 times) and an optional usage
+//!                                 list, here 2 units, or with a line of one word
 //! server_disconnects r1           the app server closes the connection on which it received r1
 //! server_sends_bytes r1 BYTES     the app server writes BYTES to the connection on which it received r1
 //! gateway_closes_connection r1    waits until the connection on which r1 was received has ended
@@ -77,9 +78,9 @@
 //!                                 the plan 'capped', and states how long it waits
 //! send_bytes client1 *1\r\n$4\r\nPING\r\n  client1 sends these bytes
 //! send_kib client1 200            client1 sends 200 KiB that are not a command
-//! receive client1 -BUSY*          waits for the next reply to client1 and expects this one: a line, '$' and a value,
+//! receive client1 -BUSY*          waits for the next answer to client1 and expects this one: a line, '$' and a value,
 //!                                 'closed' or 'reset'; '*' at the end stands for any rest
-//! receive_now client1 LINE        as 'receive', but the reply has already arrived
+//! receive_now client1 LINE        as 'receive', but the answer has already arrived
 //! not_reset client1               expects that the connection of client1 was not reset
 //! shut_down_sending client1       client1 shuts down its sending direction; it can still receive
 //! disconnect client1              client1 closes its connection
@@ -88,23 +89,23 @@
 //! The counter and discovery:
 //!
 //! ```text
-//! counter answers                 from now on the counter adds and replies with the total (the mode at the start)
+//! counter replies                 from now on the counter adds and replies with the total (the mode at the start)
 //! counter silent                  from now on it neither adds nor replies; calls wait until the mode changes
 //! counter rejects                 from now on it rejects calls
-//! counter malformed_once          it adds the amount of the next call and replies without a number, then 'answers'
+//! counter malformed_once          it adds the amount of the next call and replies without a number, then 'replies'
 //! counter disconnects             it closes its connections
-//! leases_released                 waits until the counter's total for the newest period, whose name was added last, is
-//!                                 zero: all its leases are released
+//! leases_released                 waits until the counter's total for the newest name is zero: all leases of the newest
+//!                                 period are released
 //! update_endpoints app1=draining app2=removed app3=active,started=9ms  changes entries of discovery's list; a server
 //!                                 started at this Unix time ('now': the present; default: 0)
-//! discovery answers               from now on discovery answers all calls, also those that still wait (the mode at the
-//!                                 start)
-//! discovery silent                from now on it answers no calls, not even the watch that already waits
+//! discovery responds              from now on discovery responds to all calls, also to those that still wait (the mode
+//!                                 at the start)
+//! discovery silent                from now on it responds to no calls, not even to the watch that already waits
 //! discovery closes_every_connection  closes its connections, and from now on each new one at once
 //! discovery disconnects           closes its connections
 //! discovery rejects_calls 4       closes its connections and rejects the next 4 calls with status 503
-//! discovery ignores_calls 1       never answers the next call
-//! discovery ignores_watches 1     never answers the next watch, which is a call that waits for changes
+//! discovery ignores_calls 1       sends no response to the next call
+//! discovery ignores_watches 1     sends no response to the next watch, which is a call that waits for changes
 //! discovery sends_bytes BYTES     sends BYTES in place of the next response and closes the connection; several such
 //!                                 steps apply to one call each
 //! discovery sends_bytes_and_resets BYTES  the same, but resets the connection
