--- a/edge/tests/gateway_scenario/notation/client.rs
+++ b/edge/tests/gateway_scenario/notation/client.rs
@@ -4,7 +4,7 @@
 use crate::gateway_scenario::stand_ins::{Received, RequestArguments};
 use crate::step_arguments::{invalid, Arguments, StepError};
 
-/// A step of one client, or of many at once.
+/// What a scenario has one client or many do, or expects a client to receive.
 #[derive(Debug)]
 pub(crate) enum ClientStep {
     /// The client connects, unless it is connected.
--- a/edge/tests/gateway_scenario/notation/gateway.rs
+++ b/edge/tests/gateway_scenario/notation/gateway.rs
@@ -10,7 +10,7 @@
 /// 3 s, the longest client timeout that the platform takes into account, and 0.7 s.
 const MIN_KILL_DELAY: Duration = Duration::from_millis(3700);
 
-/// A step of the gateway.
+/// What a scenario does to the gateway's process, configuration or system calls, or expects of the gateway.
 #[derive(Debug)]
 pub(crate) enum GatewayStep {
     /// Sets the resource limits in the configuration.
--- a/edge/tests/gateway_scenario/notation/mod.rs
+++ b/edge/tests/gateway_scenario/notation/mod.rs
@@ -20,17 +20,12 @@
 /// One step of a scenario.
 #[derive(Debug)]
 pub(crate) enum Step {
-    /// A step of the gateway's process, its configuration or its system calls.
     Gateway(GatewayStep),
-    /// A step of an app server.
     Server(ServerStep),
-    /// A step of a client.
     Client(ClientStep),
-    /// A step of the counter.
     Counter(CounterStep),
-    /// A step of discovery.
     Discovery(DiscoveryStep),
-    /// Waits for a fixed time.
+    /// Waits for a fixed time, whatever happens meanwhile.
     Wait(Duration),
 }
 
--- a/edge/tests/gateway_scenario/notation/server.rs
+++ b/edge/tests/gateway_scenario/notation/server.rs
@@ -6,7 +6,7 @@
 /// Stands for any app server in place of a name.
 const ANY_SERVER: &str = "any";
 
-/// A step of app servers, or of the requests that they have received.
+/// What a scenario has app servers do, or expects of the connections and requests that they receive.
 #[derive(Debug)]
 pub(crate) enum ServerStep {
     /// Starts app servers, each at a new address, and enters them into discovery's list.
@@ -49,7 +49,7 @@
     ExpectDifferentConnections { first: String, second: String },
 }
 
-/// A response of an app server.
+/// What an app server writes in response to a request.
 #[derive(Debug)]
 pub(crate) enum ServerResponse {
     /// A value and, if the server states any, the usage list, such as `cost=2`: the request used 2 units.
--- a/edge/tests/gateway_scenario/notation/service.rs
+++ b/edge/tests/gateway_scenario/notation/service.rs
@@ -6,7 +6,7 @@
 };
 use crate::step_arguments::{invalid, parse_value, Arguments, StepError};
 
-/// A step of the counter.
+/// What a scenario has the counter do, or expects of its totals.
 #[derive(Debug)]
 pub(crate) enum CounterStep {
     /// Sets how the counter replies from now on.
@@ -32,7 +32,7 @@
     }
 }
 
-/// A step of discovery.
+/// What a scenario has discovery do, or expects of the calls that it receives.
 #[derive(Debug)]
 pub(crate) enum DiscoveryStep {
     /// Changes entries of the endpoint list, in this order.
@@ -60,11 +60,9 @@
 /// A change of an entry of discovery's list.
 #[derive(Debug)]
 pub(crate) struct EndpointChange {
-    /// The name of the app server.
+    /// The app server's name in the scenario, which is also the endpoint's id.
     pub(crate) server: String,
-    /// Its new state.
     pub(crate) state: EndpointState,
-    /// When its process started.
     pub(crate) started_at: StartTime,
 }
 
--- a/edge/tests/gateway_scenario/stand_ins/app_servers.rs
+++ b/edge/tests/gateway_scenario/stand_ins/app_servers.rs
@@ -1,4 +1,4 @@
-//! The app servers, each at its own address.
+//! The stand-ins for app servers, each at its own address.
 
 use super::discovery::{EndpointState, FakeDiscovery};
 use super::loopback::{FullListener, ListeningServer, LoopbackHost};
--- a/edge/tests/gateway_scenario/stand_ins/clients.rs
+++ b/edge/tests/gateway_scenario/stand_ins/clients.rs
@@ -1,4 +1,4 @@
-//! The clients, each with one connection to the gateway.
+//! The stand-ins for clients, each with one connection to the gateway.
 
 use super::loopback::connect_while_possible;
 use super::resp::{self, Received};
--- a/edge/tests/gateway_scenario/stand_ins/counter.rs
+++ b/edge/tests/gateway_scenario/stand_ins/counter.rs
@@ -1,4 +1,4 @@
-//! The shared counter.
+//! The stand-in for the shared counter, which keeps a total for each name.
 
 use super::loopback::{ListeningServer, LoopbackHost};
 use super::{disconnect, lock, resp, send};
--- a/edge/tests/gateway_scenario/stand_ins/discovery.rs
+++ b/edge/tests/gateway_scenario/stand_ins/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery service, which serves the endpoint list over HTTP with long polls.
+//! The stand-in for the discovery service, which serves the endpoint list over HTTP with long polls.
 
 use super::loopback::{ListeningServer, LoopbackHost};
 use super::{disconnect, lock, resp, send};
@@ -69,7 +69,7 @@
     calls: Arc<Mutex<CallState>>,
 }
 
-/// The endpoint list.
+/// The endpoint list that discovery serves.
 #[derive(Default)]
 struct EndpointList {
     /// The number of changes so far.
