--- a/edge/tests/gateway_scenario/notation/gateway.rs
+++ b/edge/tests/gateway_scenario/notation/gateway.rs
@@ -10,7 +10,7 @@
 /// 3 s, the longest client timeout that the platform takes into account, and 0.7 s.
 const MIN_KILL_DELAY: Duration = Duration::from_millis(3700);
 
-/// A step of the gateway.
+/// What a scenario does to the gateway's process, configuration or system calls, or expects of the gateway.
 #[derive(Debug)]
 pub(crate) enum GatewayStep {
     /// Sets the resource limits in the configuration.
@@ -49,8 +49,8 @@
     ExpectExit,
     /// Waits for the drain grace of the settings and the tolerance of its rule.
     WaitDrainGrace,
-    /// Waits until the gateway's log contains a text. With `is_there`, fails if it does not contain it yet.
-    ExpectLogged { text: String, is_there: bool },
+    /// Waits until the gateway's log contains a text. With `must_not_wait`, fails if it does not contain it yet.
+    ExpectLogged { text: String, must_not_wait: bool },
     /// Prepares fault injection for the system calls of the gateway that is started next.
     InjectFaults,
     /// Makes the next `count` calls of a system call fail.
@@ -87,7 +87,7 @@
             "wait_drain_grace" => GatewayStep::WaitDrainGrace,
             "logged" | "logged_now" => GatewayStep::ExpectLogged {
                 text: arguments.text("text")?.to_string(),
-                is_there: verb == "logged_now",
+                must_not_wait: verb == "logged_now",
             },
             _ => return Self::parse_environment(verb, arguments),
         };
--- a/edge/tests/gateway_scenario/notation/service.rs
+++ b/edge/tests/gateway_scenario/notation/service.rs
@@ -6,15 +6,14 @@
 };
 use crate::step_arguments::{invalid, parse_value, Arguments, StepError};
 
-/// A step of the counter.
+/// What a scenario has the counter do, or expects of its totals.
 #[derive(Debug)]
 pub(crate) enum CounterStep {
     /// Sets how the counter replies from now on.
     SetMode(CounterMode),
     /// The counter closes its connections.
     Disconnect,
-    /// Waits until the total of the name that was added last, which is that of the newest period, is zero: all its
-    /// leases are released.
+    /// Waits until the total of the newest name is zero: all leases of the newest period are released.
     ExpectLeasesReleased,
 }
 
@@ -22,7 +21,7 @@
     /// Parses the words after `counter`.
     pub(super) fn parse(arguments: &mut Arguments) -> Result<Self, StepError> {
         let mode = match arguments.word("mode of the counter")? {
-            "answers" => CounterMode::Answering,
+            "replies" => CounterMode::Replying,
             "silent" => CounterMode::Silent,
             "rejects" => CounterMode::Rejecting,
             "malformed_once" => CounterMode::MalformedOnce,
@@ -33,20 +32,20 @@
     }
 }
 
-/// A step of discovery.
+/// What a scenario has discovery do, or expects of the calls that it receives.
 #[derive(Debug)]
 pub(crate) enum DiscoveryStep {
     /// Changes entries of the endpoint list, in this order.
     UpdateEndpoints(Vec<EndpointChange>),
-    /// Sets how discovery answers calls from now on.
+    /// Sets how discovery responds to calls from now on.
     SetMode(DiscoveryMode),
     /// Discovery closes its connections.
     Disconnect,
     /// Discovery closes its connections and rejects this many of the next calls.
     RejectCalls { count: usize },
-    /// Discovery never answers this many of the next calls.
+    /// Discovery sends no response to this many of the next calls.
     IgnoreCalls { count: usize },
-    /// Discovery never answers this many of the next watches, which are calls that wait for changes.
+    /// Discovery sends no response to this many of the next watches, which are calls that wait for changes.
     IgnoreWatches { count: usize },
     /// Discovery sends bytes in place of the response to the next call, and then ends the connection.
     ScriptResponse(ScriptedResponse),
@@ -61,11 +60,9 @@
 /// A change of an entry of discovery's list.
 #[derive(Debug)]
 pub(crate) struct EndpointChange {
-    /// The name of the app server.
+    /// The app server's name in the scenario, which is also the endpoint's id.
     pub(crate) server: String,
-    /// Its new state.
     pub(crate) state: EndpointState,
-    /// When its process started.
     pub(crate) started_at: StartTime,
 }
 
@@ -82,7 +79,7 @@
     /// Parses the words after `discovery`.
     pub(super) fn parse(arguments: &mut Arguments) -> Result<Self, StepError> {
         let step = match arguments.word("action of discovery")? {
-            "answers" => DiscoveryStep::SetMode(DiscoveryMode::Answering),
+            "responds" => DiscoveryStep::SetMode(DiscoveryMode::Responding),
             "silent" => DiscoveryStep::SetMode(DiscoveryMode::Silent),
             "closes_every_connection" => DiscoveryStep::SetMode(DiscoveryMode::Closing),
             "disconnects" => DiscoveryStep::Disconnect,
--- a/tool/src/lab/validate.rs
+++ b/tool/src/lab/validate.rs
@@ -20,7 +20,7 @@
     /// Experiment files, each with at least two variants.
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Number of seeds in simulated time.
+    /// Number of seeds in simulated time; at least 3 are run.
     #[arg(long, default_value_t = 20)]
     model_seeds: usize,
     /// Number of seeds on loopback.
@@ -47,7 +47,7 @@
     let program = gateway_program(args.edge.as_deref())?;
     let mut trials = Vec::new();
     for file in &args.files {
-        trials.extend(play_trials(file, args, &program)?);
+        trials.extend(run_trials(file, args, &program)?);
     }
     let held = trials.iter().filter(|trial| trial.holds()).count();
     print_trials(&trials, &args.figure);
@@ -65,8 +65,8 @@
     Ok(())
 }
 
-/// Plays the trials of one experiment: each variant compared with the first one.
-fn play_trials(
+/// Runs the trials of one experiment, in which each variant is compared with the first one.
+fn run_trials(
     file: &Path,
     args: &ValidateArgs,
     program: &GatewayProgram,
@@ -122,5 +122,5 @@
         text += &serde_json::to_string(trial).map_err(CommandError::Json)?;
         text.push('\n');
     }
-    std::fs::write(file, text).map_err(file_error(file))
+    std::fs::write(file, text).map_err(file_error(file, "cannot be written"))
 }
